--- a/Makefile
+++ b/Makefile
@@ -5,9 +5,10 @@
 RUNS ?= 100
 GOBIN ?= $(CURDIR)/bin
 GOLANGCI_LINT_VERSION ?= v2.15.0
+GOPLS_VERSION ?= v0.21.1
 FUZZTIME ?= 20s
 
-.PHONY: help build demo test lint tools bench generate man soak slopes fuzz bench-platform experiment
+.PHONY: help build demo test lint tools gopls bench generate man soak slopes fuzz bench-platform experiment
 
 help: ## list the targets
 	@grep -E '^[a-z]+:.*##' $(MAKEFILE_LIST) | sed 's/:.*## /\t/'
@@ -24,6 +25,9 @@
 tools: ## install the linter
 	GOBIN=$(GOBIN) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_LINT_VERSION)
 
+gopls: ## install gopls, which renames identifiers by type
+	GOBIN=$(GOBIN) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
+
 lint: ## run formatter and linter
 	test -z "$$(gofmt -l $$(git ls-files '*.go'))"
 	$(GOBIN)/golangci-lint run ./...
