--- a/internal/steer/convergence_test.go
+++ b/internal/steer/convergence_test.go
@@ -13,22 +13,22 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// tellers is two control instances, what each has told the other, and an entry
+// convergenceTest is two control instances, what each has told the other, and an entry
 // that one of them tells whole and the other by sums.
-type tellers struct {
+type convergenceTest struct {
 	now        time.Time
 	registries [2]*registry.Registry
-	sent       [2]uint64 // to the other control instance, by number
+	lastSent   [2]uint64 // to the other control instance, by number
 	entry      *Steerer
-	linked     [2]bool
-	told       [2]uint64 // to the entry, by number
+	connected  [2]bool
+	lastTold   [2]uint64 // to the entry, by number
 	primary    int
 	sequences  map[string]uint64
 	leaving    map[string]bool // an endpoint never takes that back
 }
 
-func newTellers() *tellers {
-	t := &tellers{
+func newConvergenceTest() *convergenceTest {
+	t := &convergenceTest{
 		now: start, sequences: map[string]uint64{}, leaving: map[string]bool{},
 		entry: New(Config{Domain: "plateau", MaxFlow: time.Hour, MaxFlows: 10, Beat: time.Second}),
 	}
@@ -39,7 +39,7 @@
 }
 
 // hear has a control instance hear an endpoint, or that it leaves.
-func (t *tellers) hear(at, n int, leaving bool) {
+func (t *convergenceTest) hear(at, n int, leaving bool) {
 	id := fmt.Sprint("i-", n)
 	t.sequences[id]++
 	t.leaving[id] = t.leaving[id] || leaving
@@ -50,39 +50,39 @@
 }
 
 // exchange hands what a control instance heard to the other one.
-func (t *tellers) exchange(from int) {
-	reports := t.registries[from].Beats(t.now, t.sent[from])
-	t.sent[from] = reports.Number
+func (t *convergenceTest) exchange(from int) {
+	reports := t.registries[from].Beats(t.now, t.lastSent[from])
+	t.lastSent[from] = reports.Number
 	t.registries[1-from].Merge(t.now, reports)
 }
 
-// tell tells the entry what a control instance has not told it yet.
-func (t *tellers) tell(from int) {
+// sync tells the entry what a control instance has not told it yet.
+func (t *convergenceTest) sync(from int) {
 	r, source := t.registries[from], fmt.Sprint("c", from)
 	var reports *wire.Reports
 	switch {
-	case !t.linked[from]:
-		t.linked[from] = true
+	case !t.connected[from]:
+		t.connected[from] = true
 		reports = r.Lacking(t.now, t.entry.Digest())
 	case from == t.primary:
-		reports = r.Changes(t.now, t.told[from])
+		reports = r.Changes(t.now, t.lastTold[from])
 	default:
-		reports = r.ChangesBriefly(t.now, t.told[from])
+		reports = r.ChangesBriefly(t.now, t.lastTold[from])
 	}
-	t.told[from] = reports.Number
+	t.lastTold[from] = reports.Number
 	if lacking := t.entry.Learn(t.now, source, reports); len(lacking) > 0 {
 		t.entry.Learn(t.now, source, r.Records(t.now, lacking))
 	}
 }
 
-// cut ends the link of the entry to a control instance.
-func (t *tellers) cut(from int) {
-	t.linked[from] = false
+// disconnect ends the link of the entry to a control instance.
+func (t *convergenceTest) disconnect(from int) {
+	t.connected[from] = false
 	t.entry.Forget(t.now, fmt.Sprint("c", from))
 }
 
 // step does one thing at random.
-func (t *tellers) step(r *rapid.T) {
+func (t *convergenceTest) step(r *rapid.T) {
 	at, n := rapid.IntRange(0, 1).Draw(r, "at"), rapid.IntRange(0, 3).Draw(r, "endpoint")
 	switch rapid.IntRange(0, 7).Draw(r, "step") {
 	case 0, 1:
@@ -94,9 +94,9 @@
 	case 3:
 		t.exchange(at)
 	case 4:
-		t.tell(at)
+		t.sync(at)
 	case 5:
-		t.cut(at)
+		t.disconnect(at)
 	case 6:
 		t.primary = at
 	case 7:
@@ -110,36 +110,36 @@
 // Whatever is late on the way, an entry that hears of one control instance alone
 // knows in the end what that one knows, and believes an endpoint silent only if
 // all that it hears of do.
-func TestAnEntryLearnsWhatControlInstancesKnow(t *testing.T) {
+func TestEntryConvergesWithControlInstances(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		g := gomega.NewWithT(r)
-		w := newTellers()
+		c := newConvergenceTest()
 		for range rapid.IntRange(10, 120).Draw(r, "steps") {
-			w.step(r)
+			c.step(r)
 		}
 		for range 2 {
-			for i := range w.registries {
-				w.exchange(i)
+			for i := range c.registries {
+				c.exchange(i)
 			}
 		}
 		alone := rapid.IntRange(0, 1).Draw(r, "alone")
-		w.tell(alone)
-		w.compare(g, alone)
-		w.tell(1 - alone)
-		w.compare(g, 1-alone)
-		for id, b := range w.entry.byID {
-			g.Expect(b.Gone || b.silent == w.silent(id)).To(gomega.BeTrue(), "silence of %s: %t", id, b.silent)
+		c.sync(alone)
+		c.compare(g, alone)
+		c.sync(1 - alone)
+		c.compare(g, 1-alone)
+		for id, b := range c.entry.byID {
+			g.Expect(b.Gone || b.silent == c.silent(id)).To(gomega.BeTrue(), "silence of %s: %t", id, b.silent)
 		}
 		var digest registry.Digest
-		for _, b := range w.entry.byID {
+		for _, b := range c.entry.byID {
 			digest.Toggle(b.ID, registry.Sum(b.Endpoint))
 		}
-		g.Expect(w.entry.Digest()).To(gomega.Equal(digest), "the digest is kept as records change")
+		g.Expect(c.entry.Digest()).To(gomega.Equal(digest), "the digest is kept as records change")
 	})
 }
 
 // compare checks that the entry knows what a control instance knows.
-func (t *tellers) compare(g *gomega.WithT, with int) {
+func (t *convergenceTest) compare(g *gomega.WithT, with int) {
 	for _, m := range t.registries[with].Changes(t.now, 0).Endpoints {
 		b := t.entry.byID[m.Id]
 		if b == nil {
@@ -154,7 +154,7 @@
 }
 
 // silent reports whether both control instances call an endpoint silent.
-func (t *tellers) silent(id string) bool {
+func (t *convergenceTest) silent(id string) bool {
 	for _, r := range t.registries {
 		for _, m := range r.Records(t.now, []string{id}).Endpoints {
 			if !m.Silent {
--- a/internal/steer/counts.go
+++ b/internal/steer/counts.go
@@ -18,7 +18,7 @@
 		if now.Before(b.suspectUntil) {
 			c.Suspect++
 		}
-		if now.Before(b.hung.until) {
+		if now.Before(b.ejection.until) {
 			c.Hung++
 		}
 		if b.reach.lost && !b.Gone {
--- a/internal/steer/evacuation.go
+++ b/internal/steer/evacuation.go
@@ -18,7 +18,7 @@
 	}
 	s.evacuations = set
 	for _, b := range s.byID {
-		s.list(b)
+		s.updatePool(b)
 	}
 	return true
 }
@@ -26,40 +26,40 @@
 // Evacuations returns the set in force, that of revision 0 before the first.
 func (s *Steerer) Evacuations() *evacuation.Set { return s.evacuations }
 
-// evacuated reports whether no new flow goes to an endpoint since its failure
-// domain is evacuated.
-func (s *Steerer) evacuated(b *backend) bool { return s.sideOf(b) == evacuatedSide }
+// isEvacuated reports whether no new flow goes to an endpoint since its failure
+// domain is isEvacuated.
+func (s *Steerer) isEvacuated(b *backend) bool { return s.tierOf(b) == evacuatedTier }
 
-// takesNew reports whether new flows may go to an endpoint now.
-func (s *Steerer) takesNew(now time.Time, b *backend) bool {
-	return b.open() && !s.barred(now, b)
+// isEligible reports whether new flows may go to an endpoint now.
+func (s *Steerer) isEligible(now time.Time, b *backend) bool {
+	return b.acceptsFlows() && !s.isExcluded(now, b)
 }
 
-// barred reports whether no new flow may go to an endpoint, whatever it says of itself.
-func (s *Steerer) barred(now time.Time, b *backend) bool {
-	return s.evacuated(b) || s.reserved(now, b)
+// isExcluded reports whether no new flow may go to an endpoint, whatever it says of itself.
+func (s *Steerer) isExcluded(now time.Time, b *backend) bool {
+	return s.isEvacuated(b) || s.excludedWhileCold(now, b)
 }
 
-// noEndpoint returns why no endpoint may take a new flow of a route. Where only
+// noEndpointReason returns why no endpoint may take a new flow of a route. Where only
 // evacuated ones could, the flow is reset at once all the same: the operator's order
 // goes before serving, and the caller learns that nothing has run.
-func (s *Steerer) noEndpoint(r *route) Reason {
+func (s *Steerer) noEndpointReason(r *route) Reason {
 	for _, share := range r.Shares {
-		if p := s.pools[share.Service]; p != nil && len(p[evacuatedSide]) > 0 {
+		if p := s.pools[share.Service]; p != nil && len(p[evacuatedTier]) > 0 {
 			return Evacuated
 		}
 	}
-	if s.anyListed(r) {
+	if s.hasColdLimited(r) {
 		return Cold
 	}
 	return NoEndpoint
 }
 
-// anyListed reports whether a route has endpoints that would take new flows if they
+// hasColdLimited reports whether a route has endpoints that would take new flows if they
 // were warm.
-func (s *Steerer) anyListed(r *route) bool {
+func (s *Steerer) hasColdLimited(r *route) bool {
 	return slices.ContainsFunc(r.Shares, func(share document.Share) bool {
 		p := s.pools[share.Service]
-		return p != nil && len(p[nearSide])+len(p[farSide]) > 0 && s.coldRates[share.Service] > 0
+		return p != nil && len(p[localTier])+len(p[remoteTier]) > 0 && s.coldRates[share.Service] > 0
 	})
 }
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -35,11 +35,11 @@
 	placedIn := func(flows int) map[string]int {
 		given := map[string]int{}
 		for n := range flows {
-			p := fleetOpening(n)
+			p := fleetOpeningPacket(n)
 			if d := s.Decide(start, p); d.Action == Forward {
 				given[domainOf(d)]++
 			}
-			s.end(s.flows[flowKey{p.Src, p.Dst}])
+			s.removeFlow(s.flows[flowKey{p.Src, p.Dst}])
 		}
 		return given
 	}
@@ -58,7 +58,7 @@
 	})
 
 	It("keeps the flows that are open, and gets new ones once it is taken back", func() {
-		opening := fleetOpening(1)
+		opening := fleetOpeningPacket(1)
 		d := s.Decide(start, opening)
 		s.SetEvacuations(setOf(4, "plateau"))
 		later := s.Decide(start.Add(time.Second), Packet{Src: opening.Src, Dst: opening.Dst, Flags: Ack, Seq: 8, Ack: 2, Tag: d.Tag, Len: 10})
@@ -82,7 +82,7 @@
 	})
 
 	It("gets no copy of an opening packet either", func() {
-		opening := fleetOpening(1)
+		opening := fleetOpeningPacket(1)
 		s.Decide(start, opening)
 		s.SetEvacuations(setOf(4, "plateau"))
 		opening.Copy = 1
@@ -90,7 +90,7 @@
 	})
 
 	It("gets none where no other endpoint takes it, and the flow, which may be open, is not reset", func() {
-		opening := fleetOpening(1)
+		opening := fleetOpeningPacket(1)
 		s.Decide(start, opening)
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
 		opening.Copy = 1
@@ -101,7 +101,7 @@
 
 	It("has new flows reset at once where every one is evacuated, and says why", func() {
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
-		opening := fleetOpening(1)
+		opening := fleetOpeningPacket(1)
 		d := s.Decide(start, opening)
 		Expect(d.Action).To(Equal(Reset))
 		Expect(d.Reason).To(Equal(Evacuated))
@@ -117,10 +117,10 @@
 		b := s.byID["booking-0"]
 		b.reach.lost, s.lost[b] = true, true
 		s.SetEvacuations(setOf(4, "plateau"))
-		s.askLost(start)
+		s.probeLost(start)
 		Expect(asked).To(BeZero())
 		s.SetEvacuations(setOf(5))
-		s.askLost(start)
+		s.probeLost(start)
 		Expect(asked).To(Equal(1))
 	})
 
--- a/internal/steer/explain.go
+++ b/internal/steer/explain.go
@@ -39,18 +39,18 @@
 	if r != nil {
 		d.Parameter = r.describe()
 	}
-	looked := map[*backend]bool{}
-	reason := s.explainFlow(now, d, r, Packet{Src: src, Dst: dst, Flags: Syn}, looked)
+	considered := map[*backend]bool{}
+	reason := s.explainFlow(now, d, r, Packet{Src: src, Dst: dst, Flags: Syn}, considered)
 	d.Reason, d.NextStep = reason.String(), nextSteps[reason]
 	if r != nil {
-		d.Candidates = s.candidates(now, r, d, looked)
+		d.Candidates = s.candidates(now, r, d, considered)
 	}
 	return d
 }
 
 // explainFlow fills in the action and the endpoint, and returns why; looked takes
 // the endpoints that are looked at for a flow that is not remembered.
-func (s *Steerer) explainFlow(now time.Time, d *wire.Decision, r *route, p Packet, looked map[*backend]bool) Reason {
+func (s *Steerer) explainFlow(now time.Time, d *wire.Decision, r *route, p Packet, considered map[*backend]bool) Reason {
 	d.Action = Forward.String()
 	f := s.flows[flowKey{p.Src, p.Dst}]
 	_, dropped := s.dropped[p.Dst]
@@ -67,26 +67,26 @@
 	case f != nil:
 		d.Endpoint = f.backend.ID
 		d.Hops = append(d.Hops, f.describe(now))
-		if f.moved {
+		if f.reassigned {
 			return Corrected
 		}
 		return Steered
 	}
-	return s.explainOpening(now, d, r, p, looked)
+	return s.explainOpening(now, d, r, p, considered)
 }
 
 // explainOpening fills in what would be done with an opening packet now, and
 // returns why.
-func (s *Steerer) explainOpening(now time.Time, d *wire.Decision, r *route, p Packet, looked map[*backend]bool) Reason {
+func (s *Steerer) explainOpening(now time.Time, d *wire.Decision, r *route, p Packet, considered map[*backend]bool) Reason {
 	d.Recomputed = true
-	b := s.choose(now, r, p, nil, func(b *backend) { looked[b] = true })
+	b := s.choose(now, r, p, nil, func(b *backend) { considered[b] = true })
 	switch {
-	case b == nil && !s.whole:
+	case b == nil && !s.synced:
 		d.Action = Drop.String()
 		return NoTable
 	case b == nil:
 		d.Action = Reset.String()
-		return s.noEndpoint(r)
+		return s.noEndpointReason(r)
 	}
 	d.Endpoint = b.ID
 	return Placed
@@ -105,19 +105,19 @@
 func (f *flow) describe(now time.Time) string {
 	state := "its caller has not gone on yet"
 	switch {
-	case f.busy:
+	case f.awaitingResponse:
 		state = "a request waits for its answer"
-	case f.open:
+	case f.established:
 		state = "open"
 	}
-	return fmt.Sprintf("placed or moved %s ago, last packet %s ago, %s", now.Sub(f.opened).Round(time.Millisecond),
-		now.Sub(f.seen).Round(time.Millisecond), state)
+	return fmt.Sprintf("placed or moved %s ago, last packet %s ago, %s", now.Sub(f.openedAt).Round(time.Millisecond),
+		now.Sub(f.lastSeen).Round(time.Millisecond), state)
 }
 
 // candidates tells of each endpoint of a route's services why it is chosen or
 // passed over, by id.
-func (s *Steerer) candidates(now time.Time, r *route, d *wire.Decision, looked map[*backend]bool) []*wire.Candidate {
-	var all []*wire.Candidate
+func (s *Steerer) candidates(now time.Time, r *route, d *wire.Decision, considered map[*backend]bool) []*wire.Candidate {
+	var list []*wire.Candidate
 	for _, b := range s.byID {
 		if !r.leadsTo(b.Service) {
 			continue
@@ -126,25 +126,25 @@
 		switch {
 		case b.ID == d.Endpoint:
 			verdict = "chosen; " + verdict
-		case d.Recomputed && b.listing != nil && !s.evacuated(b) && !looked[b]:
+		case d.Recomputed && b.position != nil && !s.isEvacuated(b) && !considered[b]:
 			verdict = "not looked at, since others suffice; " + verdict
 		}
-		all = append(all, &wire.Candidate{Endpoint: b.ID, Verdict: verdict})
+		list = append(list, &wire.Candidate{Endpoint: b.ID, Verdict: verdict})
 	}
-	slices.SortFunc(all, func(a, b *wire.Candidate) int { return strings.Compare(a.Endpoint, b.Endpoint) })
-	return all
+	slices.SortFunc(list, func(a, b *wire.Candidate) int { return strings.Compare(a.Endpoint, b.Endpoint) })
+	return list
 }
 
 // verdict tells what speaks for and against an endpoint here.
 func (s *Steerer) verdict(now time.Time, b *backend, bulk bool) string {
 	verdict := b.verdict(now, s.config.Domain, bulk)
-	if now.Before(b.hung.until) {
-		verdict += fmt.Sprintf(", avoided for %s: several entries say that it left requests without an answer, or answered errors", b.hung.until.Sub(now).Round(time.Millisecond))
+	if now.Before(b.ejection.until) {
+		verdict += fmt.Sprintf(", avoided for %s: several entries say that it left requests without an answer, or answered errors", b.ejection.until.Sub(now).Round(time.Millisecond))
 	}
-	if b.open() && s.reserved(now, b) {
+	if b.acceptsFlows() && s.excludedWhileCold(now, b) {
 		verdict += fmt.Sprintf(", takes no new flow before it is warm in %s: it carries too few a second then", b.warmUntil.Sub(now).Round(time.Millisecond))
 	}
-	if b.open() && s.evacuated(b) {
+	if b.acceptsFlows() && s.isEvacuated(b) {
 		verdict += fmt.Sprintf(", takes no new flow: failure domain %s is evacuated by revision %d", b.Domain, s.evacuations.Revision())
 	}
 	return verdict
@@ -157,14 +157,14 @@
 		return fmt.Sprintf("has ended %s ago", now.Sub(b.goneAt).Round(time.Millisecond))
 	case b.Leaving:
 		return "is leaving and takes no new flow"
-	case b.shadowed:
+	case b.tagConflict:
 		return "has the tag of another endpoint and takes no flow"
 	}
-	verdict := fmt.Sprintf("load %.2f: %d flows and %d waiting requests on %d slots", b.load(now, domain, bulk), b.flows, b.busy, b.Slots)
+	verdict := fmt.Sprintf("load %.2f: %d flows and %d waiting requests on %d slots", b.load(now, domain, bulk), b.flows, b.pendingRequests, b.Slots)
 	if b.Domain != domain {
 		verdict += ", in failure domain " + b.Domain
 	}
-	if b.cold(now) {
+	if b.isCold(now) {
 		verdict += ", still slow"
 	}
 	if b.reach.lost {
--- a/internal/steer/learn.go
+++ b/internal/steer/learn.go
@@ -15,9 +15,9 @@
 		s.Vouch(now, source)
 	}
 	r := s.reporterOf(source)
-	s.learnSame(now, r, reports.Same)
+	s.learnMatchingParts(now, r, reports.Same)
 	for _, m := range reports.Endpoints {
-		s.learn(now, registry.FromMessage(m))
+		s.learnEndpoint(now, registry.FromMessage(m))
 		s.learnSilence(now, r, m.Id, m.Silent)
 	}
 	for _, id := range reports.Silent {
@@ -26,7 +26,7 @@
 	for _, id := range reports.Heard {
 		s.learnSilence(now, r, id, false)
 	}
-	s.whole = s.whole || reports.Whole
+	s.synced = s.synced || reports.Whole
 	for _, m := range reports.Sums {
 		if !s.learnSum(now, r, m) {
 			lacking = append(lacking, m.Id)
@@ -42,10 +42,10 @@
 		return
 	}
 	was := b.silent
-	r.say(id, silent)
-	s.settleSilence(now, b)
+	r.setSilent(id, silent)
+	s.updateSilence(now, b)
 	if was && !b.silent {
-		s.heardAgain(now, b)
+		s.probeOnHeartbeat(now, b)
 	}
 }
 
@@ -61,21 +61,21 @@
 	case b.sum != m.Sum:
 		return false
 	}
-	if r.mention(m.Id) {
-		s.settleSilence(now, b)
+	if r.markKnown(m.Id) {
+		s.updateSilence(now, b)
 	}
 	return true
 }
 
-// learnSame takes that a control instance knows just what this entry knows of
+// learnMatchingParts takes that a control instance knows just what this entry knows of
 // some parts of the endpoints: those that it has not called silent it hears.
-func (s *Steerer) learnSame(now time.Time, r *reporter, parts uint64) {
+func (s *Steerer) learnMatchingParts(now time.Time, r *reporter, parts uint64) {
 	if parts == 0 {
 		return
 	}
 	for id, b := range s.byID {
-		if parts&b.part != 0 && r.mention(id) {
-			s.settleSilence(now, b)
+		if parts&b.digestPart != 0 && r.markKnown(id) {
+			s.updateSilence(now, b)
 		}
 	}
 }
@@ -83,9 +83,9 @@
 // Vouch takes that a control instance, source, has had the time to hear every
 // endpoint: those that it has not called silent it hears.
 func (s *Steerer) Vouch(now time.Time, source string) {
-	for _, id := range s.reporterOf(source).vouch() {
+	for _, id := range s.reporterOf(source).markReady() {
 		if b := s.byID[id]; b != nil {
-			s.settleSilence(now, b)
+			s.updateSilence(now, b)
 		}
 	}
 }
@@ -98,26 +98,26 @@
 func (s *Steerer) Forget(now time.Time, source string) {
 	delete(s.reporters, source)
 	for _, b := range s.byID {
-		s.settleSilence(now, b)
+		s.updateSilence(now, b)
 	}
 }
 
-// learn takes what is reported of one endpoint, and keeps the digest.
-func (s *Steerer) learn(now time.Time, e registry.Endpoint) {
-	s.take(now, e)
+// learnEndpoint takes what is reported of one endpoint, and keeps the digest.
+func (s *Steerer) learnEndpoint(now time.Time, e registry.Endpoint) {
+	s.applyReport(now, e)
 	b := s.byID[e.ID]
 	s.digest.Toggle(b.ID, b.sum)
 	b.sum = registry.Sum(b.Endpoint)
 	s.digest.Toggle(b.ID, b.sum)
 }
 
-// take takes what is reported of one endpoint. A report that it has ended
+// applyReport takes what is reported of one endpoint. A report that it has ended
 // stands; otherwise the highest sequence does.
-func (s *Steerer) take(now time.Time, e registry.Endpoint) {
+func (s *Steerer) applyReport(now time.Time, e registry.Endpoint) {
 	b := s.byID[e.ID]
 	switch {
 	case b == nil:
-		b = s.add(now, e)
+		b = s.addBackend(now, e)
 	case b.Gone:
 		return
 	case e.Gone:
@@ -133,16 +133,16 @@
 	}
 	if b.Leaving && b.leavingAt.IsZero() {
 		b.leavingAt = now
-		s.found(b) // it said so a moment ago, and may accept no connection from now on
+		s.markReachable(b) // it said so a moment ago, and may accept no connection from now on
 	}
 	b.warmUntil = now.Add(e.Warm)
-	s.list(b)
+	s.updatePool(b)
 }
 
-// add begins what is known of an incarnation.
-func (s *Steerer) add(now time.Time, e registry.Endpoint) *backend {
+// addBackend begins what is known of an incarnation.
+func (s *Steerer) addBackend(now time.Time, e registry.Endpoint) *backend {
 	b := &backend{
-		Endpoint: e, tag: Tag(e.ID), part: registry.PartBit(e.ID), knownAt: now,
+		Endpoint: e, tag: Tag(e.ID), digestPart: registry.PartBit(e.ID), learnedAt: now,
 		startedAt: now.Add(-time.Duration(e.Sequence) * s.config.Beat),
 	}
 	s.byID[e.ID] = b
@@ -150,12 +150,12 @@
 		return b // only known to have ended: remembered so that nobody revives it
 	}
 	s.byAddr[e.Addr] = append(s.byAddr[e.Addr], b)
-	s.settleTag(b)
+	s.assignTag(b)
 	return b
 }
 
-// settleSilence works out whether an endpoint is silent to all that know it.
-func (s *Steerer) settleSilence(now time.Time, b *backend) {
+// updateSilence works out whether an endpoint is silent to all that know it.
+func (s *Steerer) updateSilence(now time.Time, b *backend) {
 	known, silent := 0, 0
 	for _, r := range s.reporters {
 		if quiet, ok := r.silent[b.ID]; ok {
@@ -172,33 +172,33 @@
 	}
 }
 
-// forgetEnded forgets incarnations that ended so long ago that no flow of theirs
+// purgeEndedBackends forgets incarnations that ended so long ago that no flow of theirs
 // can be left. Of one that crashed nobody says that it has ended: it counts as ended
 // once it has been silent, and has answered no caller, for as long as a flow may live.
-func (s *Steerer) forgetEnded(now time.Time) {
+func (s *Steerer) purgeEndedBackends(now time.Time) {
 	for _, b := range s.byID {
-		if b.Gone && now.Sub(b.goneAt) >= s.config.MaxFlow || !b.Gone && s.crashed(now, b) {
-			s.forget(b)
+		if b.Gone && now.Sub(b.goneAt) >= s.config.MaxFlow || !b.Gone && s.presumedCrashed(now, b) {
+			s.removeBackend(b)
 		}
 	}
 }
 
-// crashed reports whether an incarnation that did not say so has ended long ago.
-func (s *Steerer) crashed(now time.Time, b *backend) bool {
-	return b.silent && b.flows == 0 && now.Sub(b.silentAt) >= s.config.MaxFlow && now.Sub(b.reach.lifeAt) >= s.config.MaxFlow
+// presumedCrashed reports whether an incarnation that did not say so has ended long ago.
+func (s *Steerer) presumedCrashed(now time.Time, b *backend) bool {
+	return b.silent && b.flows == 0 && now.Sub(b.silentAt) >= s.config.MaxFlow && now.Sub(b.reach.lastResponseAt) >= s.config.MaxFlow
 }
 
-// forget drops what is known of an incarnation.
-func (s *Steerer) forget(b *backend) {
+// removeBackend drops what is known of an incarnation.
+func (s *Steerer) removeBackend(b *backend) {
 	delete(s.byID, b.ID)
 	delete(s.lost, b)
 	s.digest.Toggle(b.ID, b.sum)
-	s.freeTag(b)
-	if b.listing != nil {
-		s.unlist(b)
+	s.releaseTag(b)
+	if b.position != nil {
+		s.removeFromPool(b)
 	}
 	for _, r := range s.reporters {
-		r.forget(b.ID)
+		r.remove(b.ID)
 	}
 	itself := func(other *backend) bool { return other == b }
 	if s.byAddr[b.Addr] = slices.DeleteFunc(s.byAddr[b.Addr], itself); len(s.byAddr[b.Addr]) == 0 {
@@ -218,6 +218,6 @@
 		r.differed[i] = differs
 	}
 	r.digest = digest
-	s.learnSame(now, r, s.digest.Same(&digest))
+	s.learnMatchingParts(now, r, s.digest.Same(&digest))
 	return behind
 }
--- a/internal/steer/learn_test.go
+++ b/internal/steer/learn_test.go
@@ -20,16 +20,16 @@
 		Expect(s.byID["booking-1"].Leaving).To(BeTrue())
 		s.Learn(start, "c1", reports(report("booking", 2, func(m *wire.EndpointReport) { m.Gone = true })))
 		s.Learn(start, "c2", reports(report("booking", 2, func(m *wire.EndpointReport) { m.Sequence = 9 })))
-		Expect(s.byID["booking-2"].open()).To(BeFalse())
+		Expect(s.byID["booking-2"].acceptsFlows()).To(BeFalse())
 	})
 
 	It("does not take for living what it was only told to have ended", func() {
 		s.Learn(start, "c1", reports(&wire.EndpointReport{Id: "booking-9", Gone: true}))
 		s.Learn(start, "c2", reports(report("booking", 9, nil)))
-		Expect(s.byID["booking-9"].open()).To(BeFalse())
-		Expect(s.Decide(start, later(1000, Tag("booking-9"), 8, 1, 10)).Reason).To(Equal(UnknownTag))
-		Expect(s.pools["booking"][nearSide]).To(HaveLen(2))
-		Expect(s.pools["booking"][farSide]).To(BeEmpty())
+		Expect(s.byID["booking-9"].acceptsFlows()).To(BeFalse())
+		Expect(s.Decide(start, establishedPacket(1000, Tag("booking-9"), 8, 1, 10)).Reason).To(Equal(UnknownTag))
+		Expect(s.pools["booking"][localTier]).To(HaveLen(2))
+		Expect(s.pools["booking"][remoteTier]).To(BeEmpty())
 	})
 
 	It("takes an endpoint for silent only if every control instance that knows it does", func() {
@@ -60,20 +60,20 @@
 		s.Learn(start, "c1", reports(report("booking", 1, silent)))
 		s.Learn(start, "c2", reports(report("booking", 1, silent)))
 		before := s.Digest()
-		listed := len(s.pools["booking"][nearSide])
-		s.forgetEnded(start.Add(s.config.MaxFlow - time.Millisecond))
+		listed := len(s.pools["booking"][localTier])
+		s.purgeEndedBackends(start.Add(s.config.MaxFlow - time.Millisecond))
 		Expect(s.byID).To(HaveKey("booking-1"))
-		s.byID["booking-1"].reach.lifeAt = start.Add(time.Second) // it has answered a caller meanwhile
-		s.forgetEnded(start.Add(s.config.MaxFlow))
+		s.byID["booking-1"].reach.lastResponseAt = start.Add(time.Second) // it has answered a caller meanwhile
+		s.purgeEndedBackends(start.Add(s.config.MaxFlow))
 		Expect(s.byID).To(HaveKey("booking-1"))
-		s.forgetEnded(start.Add(s.config.MaxFlow + time.Second))
+		s.purgeEndedBackends(start.Add(s.config.MaxFlow + time.Second))
 		Expect(s.byID).NotTo(HaveKey("booking-1"))
-		Expect(s.pools["booking"][nearSide]).To(HaveLen(listed - 1))
+		Expect(s.pools["booking"][localTier]).To(HaveLen(listed - 1))
 		Expect(s.Digest()).NotTo(Equal(before))
 		s.Learn(start.Add(2*time.Minute), "c1", reports(report("booking", 1, nil)))
 		Expect(s.byID["booking-1"].silent).To(BeFalse())
 		Expect(s.Digest()).To(Equal(before))
-		Expect(s.pools["booking"][nearSide]).To(HaveLen(listed))
+		Expect(s.pools["booking"][localTier]).To(HaveLen(listed))
 	})
 
 	It("counts a control instance that knows the same as one that hears the endpoints", func() {
@@ -157,10 +157,10 @@
 
 	It("forgets an incarnation that ended a flow's longest life ago", func() {
 		s.Learn(start, "c1", reports(report("booking", 1, func(m *wire.EndpointReport) { m.Gone = true })))
-		s.Decide(start.Add(time.Minute+time.Second), opening(1000, 7, 0))
+		s.Decide(start.Add(time.Minute+time.Second), openingPacket(1000, 7, 0))
 		Expect(s.byID).NotTo(HaveKey("booking-1"))
 		Expect(s.byTag).NotTo(HaveKey(Tag("booking-1")))
-		Expect(s.pools["booking"][nearSide]).To(HaveLen(1))
-		Expect(s.pools["booking"][farSide]).To(BeEmpty())
+		Expect(s.pools["booking"][localTier]).To(HaveLen(1))
+		Expect(s.pools["booking"][remoteTier]).To(BeEmpty())
 	})
 })
--- a/internal/steer/outage_test.go
+++ b/internal/steer/outage_test.go
@@ -17,12 +17,12 @@
 			answered, atOnce = append(answered, 0), append(atOnce, 0)
 			for i := range perSecond {
 				now := begin.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
-				p := fleetOpening(second*perSecond + i)
+				p := fleetOpeningPacket(second*perSecond + i)
 				for copies, after := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
 					p.Copy = copies
 					d := s.Decide(now.Add(after), p)
 					if d.Action != Forward || cut(s.byID[d.ID].Domain) {
-						s.Decide(now.Add(after+answerWithin+sweepEvery), fleetOpening(10_000)) // time passes
+						s.Decide(now.Add(after+openTimeout+sweepInterval), fleetOpeningPacket(10_000)) // time passes
 						continue
 					}
 					answered[second]++
@@ -55,11 +55,11 @@
 		now := start
 		for n := range 9 {
 			b := s.byID[fleetReport(3*n, "").Id]
-			s.noteUnanswered(now, b)
+			s.recordDomainFailure(now, b)
 			if n%2 == 1 {
-				s.alive(now, s.byID[fleetReport(3*n+3, "").Id])
+				s.markResponsive(now, s.byID[fleetReport(3*n+3, "").Id])
 			}
-			Expect(s.avoids(now, s.byID[fleetReport(60, "").Id])).To(BeFalse())
+			Expect(s.isAvoided(now, s.byID[fleetReport(60, "").Id])).To(BeFalse())
 		}
 	})
 
@@ -70,13 +70,13 @@
 		s.NoteLeader(led)
 		answered, _ := play(s, start, 1, others)
 		Expect(answered[0]).To(BeZero(), "it may be in touch with the operator's orders")
-		answered, atOnce := play(s, led.Add(ledFor+time.Millisecond), 4, others)
+		answered, atOnce := play(s, led.Add(leaderTimeout+time.Millisecond), 4, others)
 		Expect(answered[0]+answered[1]+answered[2]+answered[3]).To(BeNumerically(">=", 22), "of 24")
 		Expect(atOnce[3]).To(BeNumerically(">=", 3))
 		healed := start.Add(10 * time.Second)
 		s.NoteLeader(healed)
 		for n := range 60 {
-			d := s.Decide(healed, fleetOpening(1000+n))
+			d := s.Decide(healed, fleetOpeningPacket(1000+n))
 			Expect(s.byID[d.ID].Domain).NotTo(Equal("plateau"))
 		}
 	})
@@ -84,7 +84,7 @@
 	It("gets nothing while every failure domain is evacuated, though this entry is cut off", func() {
 		s := fleetSteerer(threeDomains(40))
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
-		d := s.Decide(start.Add(time.Minute), fleetOpening(1))
+		d := s.Decide(start.Add(time.Minute), fleetOpeningPacket(1))
 		Expect(d.Action).To(Equal(Reset))
 		Expect(d.Reason).To(Equal(Evacuated))
 	})
--- a/internal/steer/outlier_test.go
+++ b/internal/steer/outlier_test.go
@@ -12,30 +12,30 @@
 	"oxbowsaddle/internal/outlier"
 )
 
-// hungFleet is entries before one service, with a control instance that judges what
+// outlierFleet is entries before one service, with a control instance that judges what
 // they report.
-type hungFleet struct {
+type outlierFleet struct {
 	entries []*Steerer
 	tracker *outlier.Tracker
 	now     time.Time
 	random  *rand.Rand
 	ports   uint16
-	// answers returns after how long an endpoint answers a request, 0 for never.
-	answers func(at time.Time, id string) time.Duration
-	due     []answerDue
-	given   []int // requests that an endpoint took which never answers, by second
-	judged  map[string]bool
+	// responseTime returns after how long an endpoint responseTime a request, 0 for never.
+	responseTime    func(at time.Time, id string) time.Duration
+	pending         []pendingResponse
+	hangingRequests []int // requests that an endpoint took which never answers, by second
+	ejected         map[string]bool
 }
 
-// answerDue is an answer on its way to a caller.
-type answerDue struct {
+// pendingResponse is an answer on its way to a caller.
+type pendingResponse struct {
 	at    time.Time
 	entry *Steerer
 	p     Packet // of the caller, which takes it
 }
 
-func newHungFleet(entries, endpoints int) *hungFleet {
-	f := &hungFleet{tracker: outlier.New(), now: start, random: rand.New(rand.NewPCG(1, 2)), judged: map[string]bool{}}
+func newOutlierFleet(entries, endpoints int) *outlierFleet {
+	f := &outlierFleet{tracker: outlier.New(), now: start, random: rand.New(rand.NewPCG(1, 2)), ejected: map[string]bool{}}
 	route := routeTo(bookingAddr, "booking")
 	route.Target = 500 * time.Millisecond
 	for n := range entries {
@@ -47,19 +47,19 @@
 	return f
 }
 
-func (f *hungFleet) report(entry, id string) {
+func (f *outlierFleet) report(entry, id string) {
 	if !f.tracker.Report(f.now, id, entry) {
 		return
 	}
 	for _, s := range f.entries {
 		if s.TakeHung(f.now, id) {
-			f.judged[id] = true
+			f.ejected[id] = true
 		}
 	}
 }
 
 // run plays some seconds of a request each 1/perSecond s at each entry, a flow each.
-func (f *hungFleet) run(seconds, perSecond int) {
+func (f *outlierFleet) run(seconds, perSecond int) {
 	const step = 10 * time.Millisecond
 	begin := f.now
 	for ; f.now.Before(begin.Add(time.Duration(seconds) * time.Second)); f.now = f.now.Add(step) {
@@ -68,15 +68,15 @@
 				f.request(s)
 			}
 		}
-		var later []answerDue
-		for _, a := range f.due {
+		var later []pendingResponse
+		for _, a := range f.pending {
 			if a.at.After(f.now) {
 				later = append(later, a)
 			} else {
 				a.entry.Decide(f.now, a.p)
 			}
 		}
-		f.due = later
+		f.pending = later
 		for _, s := range f.entries {
 			s.sweep(f.now)
 		}
@@ -84,27 +84,27 @@
 }
 
 // request opens a flow and sends a request on it.
-func (f *hungFleet) request(s *Steerer) {
+func (f *outlierFleet) request(s *Steerer) {
 	f.ports++
 	src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(f.random.IntN(250)), byte(f.random.IntN(250))}), f.ports)
 	d := s.Decide(f.now, Packet{Src: src, Dst: bookingAddr, Flags: Syn, Seq: 7})
 	p := Packet{Src: src, Dst: bookingAddr, Flags: Ack, Seq: 8, Ack: 1, Tag: d.Tag, Len: 100}
 	s.Decide(f.now, p)
 	second := int(f.now.Sub(start) / time.Second)
-	for len(f.given) <= second {
-		f.given = append(f.given, 0)
+	for len(f.hangingRequests) <= second {
+		f.hangingRequests = append(f.hangingRequests, 0)
 	}
-	after := f.answers(f.now, d.ID)
+	after := f.responseTime(f.now, d.ID)
 	if after == 0 {
-		f.given[second]++
+		f.hangingRequests[second]++
 		return
 	}
 	p.Seq, p.Ack, p.Len = 108, 600, 0
-	f.due = append(f.due, answerDue{at: f.now.Add(after), entry: s, p: p})
+	f.pending = append(f.pending, pendingResponse{at: f.now.Add(after), entry: s, p: p})
 }
 
-// well is how long a request takes on an endpoint that is well.
-func (f *hungFleet) well() time.Duration {
+// healthyResponseTime is how long a request takes on an endpoint that is healthyResponseTime.
+func (f *outlierFleet) healthyResponseTime() time.Duration {
 	return 30*time.Millisecond + time.Duration(f.random.IntN(150))*time.Millisecond
 }
 
@@ -120,16 +120,16 @@
 	}
 
 	It("are avoided by all entries after a second, under the usual load of a large fleet", func() {
-		f := newHungFleet(30, 40)
-		f.answers = func(_ time.Time, id string) time.Duration {
+		f := newOutlierFleet(30, 40)
+		f.responseTime = func(_ time.Time, id string) time.Duration {
 			if isHanging(id) {
 				return 0
 			}
-			return f.well()
+			return f.healthyResponseTime()
 		}
 		f.run(12, 6)
 		before, after := 0, 0
-		for second, n := range f.given {
+		for second, n := range f.hangingRequests {
 			switch {
 			case second < 2:
 				before += n
@@ -139,57 +139,57 @@
 		}
 		Expect(before/2).To(BeNumerically(">", 15), "a second, before the verdict")
 		Expect(after/8).To(BeNumerically("<", 6), "a second: those that try them again")
-		Expect(len(f.judged)).To(Equal(hanging), "and nobody else")
+		Expect(len(f.ejected)).To(Equal(hanging), "and nobody else")
 	})
 
 	It("are tried again, and taken back once they answer", func() {
-		f := newHungFleet(30, 40)
-		f.answers = func(at time.Time, id string) time.Duration {
+		f := newOutlierFleet(30, 40)
+		f.responseTime = func(at time.Time, id string) time.Duration {
 			if isHanging(id) && at.Sub(start) < 5*time.Second {
 				return 0
 			}
-			return f.well()
+			return f.healthyResponseTime()
 		}
 		f.run(30, 6)
 		for _, s := range f.entries {
-			Expect(s.avoids(f.now, s.byID[fleetReport(0, "").Id])).To(BeFalse())
+			Expect(s.isAvoided(f.now, s.byID[fleetReport(0, "").Id])).To(BeFalse())
 		}
 	})
 
 	It("are not found in a service that is slow as a whole, nor one that hangs as a whole", func() {
 		for _, all := range []time.Duration{3 * time.Second, 0} {
-			f := newHungFleet(30, 40)
-			f.answers = func(time.Time, string) time.Duration { return all }
+			f := newOutlierFleet(30, 40)
+			f.responseTime = func(time.Time, string) time.Duration { return all }
 			f.run(8, 6)
-			Expect(f.judged).To(BeEmpty(), all.String())
+			Expect(f.ejected).To(BeEmpty(), all.String())
 		}
 	})
 
 	It("are not made of long requests, one in 200 of two seconds", func() {
-		f := newHungFleet(30, 40)
-		f.answers = func(time.Time, string) time.Duration {
+		f := newOutlierFleet(30, 40)
+		f.responseTime = func(time.Time, string) time.Duration {
 			if f.random.IntN(200) == 0 {
 				return 2 * time.Second
 			}
-			return f.well()
+			return f.healthyResponseTime()
 		}
 		f.run(20, 6)
-		Expect(f.judged).To(BeEmpty())
+		Expect(f.ejected).To(BeEmpty())
 	})
 
 	It("are not made of what one entry says, even beside a long request of each", func() {
-		f := newHungFleet(30, 40)
+		f := newOutlierFleet(30, 40)
 		for n := range 40 {
 			f.report("e1", fleetReport(n, "").Id)
 		}
 		for n := range 500 {
 			f.report("liar", fleetReport(n%40, "").Id)
 		}
-		Expect(f.judged).To(BeEmpty())
+		Expect(f.ejected).To(BeEmpty())
 	})
 
 	It("are a third of a service at most, however many are reported", func() {
-		f := newHungFleet(2, 30)
+		f := newOutlierFleet(2, 30)
 		for n := range 30 {
 			for range 2 {
 				f.report("a", fleetReport(n, "").Id)
@@ -197,13 +197,13 @@
 				f.report("c", fleetReport(n, "").Id)
 			}
 		}
-		Expect(len(f.judged)).To(Equal(10))
+		Expect(len(f.ejected)).To(Equal(10))
 	})
 
 	It("keep the flows that are open", func() {
-		f := newHungFleet(2, 30)
+		f := newOutlierFleet(2, 30)
 		s := f.entries[0]
-		p := fleetOpening(1)
+		p := fleetOpeningPacket(1)
 		d := s.Decide(start, p)
 		Expect(s.TakeHung(start, d.ID)).To(BeTrue())
 		later := s.Decide(start.Add(time.Millisecond), Packet{Src: p.Src, Dst: p.Dst, Flags: Ack, Seq: 8, Ack: 1, Tag: d.Tag, Len: 10})
@@ -213,13 +213,13 @@
 
 	It("are watched up to a bound, and none is kept for longer than it counts", func() {
 		s := fleetSteerer(threeDomains(4))
-		f := &flow{key: flowKey{dst: bookingAddr}, backend: s.byID[fleetReport(0, "").Id], askedAt: start, busy: true}
-		for range 2 * awaitMost {
-			s.awaitAnswer(f)
+		f := &flow{key: flowKey{dst: bookingAddr}, backend: s.byID[fleetReport(0, "").Id], requestAt: start, awaitingResponse: true}
+		for range 2 * maxPendingRequests {
+			s.trackRequest(f)
 		}
-		Expect(s.awaiting).To(HaveLen(awaitMost))
-		s.reportHung(start.Add(s.hungAfter(f)))
-		Expect(s.awaiting).To(BeEmpty())
+		Expect(s.pendingRequests).To(HaveLen(maxPendingRequests))
+		s.reportHungRequests(start.Add(s.hangTimeout(f)))
+		Expect(s.pendingRequests).To(BeEmpty())
 	})
 
 	It("wait as long as their route says", func() {
@@ -228,8 +228,8 @@
 		route.Target = time.Second
 		s.SetDocument(start, testDocument(2, route))
 		f := &flow{key: flowKey{dst: bookingAddr}}
-		Expect(s.hungAfter(f)).To(Equal(2 * time.Second))
+		Expect(s.hangTimeout(f)).To(Equal(2 * time.Second))
 		f.key.dst = documentsAddr
-		Expect(s.hungAfter(f)).To(Equal(hungLeast))
+		Expect(s.hangTimeout(f)).To(Equal(minHangTime))
 	})
 })
--- a/internal/steer/packet.go
+++ b/internal/steer/packet.go
@@ -40,8 +40,8 @@
 // Opens reports whether the packet asks for a new flow.
 func (p Packet) Opens() bool { return p.Flags == Syn }
 
-// draw returns a number that is the same for all copies of an opening packet.
-func (p Packet) draw() uint64 {
+// hash returns a number that is the same for all copies of an opening packet.
+func (p Packet) hash() uint64 {
 	var b [40]byte
 	src, dst := p.Src.Addr().As16(), p.Dst.Addr().As16()
 	copy(b[:16], src[:])
@@ -51,5 +51,5 @@
 		b[32+2*i], b[33+2*i] = byte(port>>8), byte(port)
 	}
 	b[36], b[37], b[38], b[39] = byte(p.Seq>>24), byte(p.Seq>>16), byte(p.Seq>>8), byte(p.Seq)
-	return siphash.Hash(tagKey0, tagKey1, b[:])
+	return siphash.Hash(hashKey0, hashKey1, b[:])
 }
--- a/internal/steer/reachability.go
+++ b/internal/steer/reachability.go
@@ -7,30 +7,30 @@
 )
 
 const (
-	// missesToLose is how many questions in a row an endpoint leaves without an
+	// unreachableThreshold is how many questions in a row an endpoint leaves without an
 	// answer before it counts as out of reach: one may be a lost packet.
-	missesToLose = 2
-	// askAgainAfter is how soon an endpoint that has answered is asked again: a
+	unreachableThreshold = 2
+	// probeInterval is how soon an endpoint that has answered is asked again: a
 	// question is a new connection, and evidence may come with every packet.
-	askAgainAfter = 500 * time.Millisecond
-	// unsureMost is how many questions without an outcome are followed by another
+	probeInterval = 500 * time.Millisecond
+	// maxInconclusive is how many questions without an outcome are followed by another
 	// one before new evidence must come.
-	unsureMost = 5
-	// lostFirst and lostMost bound how long after it was lost an endpoint is
+	maxInconclusive = 5
+	// minReprobeDelay and lostMost bound how long after it was lost an endpoint is
 	// asked whether it is back; the span doubles with each miss, since every entry
 	// asks. One whose heartbeats are heard again is asked at once.
-	lostFirst = time.Second
-	lostMost  = 16 * time.Second
-	// tellAgainAfter bounds what other entries are told of an endpoint.
-	tellAgainAfter = 2 * time.Second
-	// missHolds is how long a miss is proof enough to reset a flow: within it an
+	minReprobeDelay = time.Second
+	maxReprobeDelay = 16 * time.Second
+	// missNoticeInterval bounds what other entries are told of an endpoint.
+	missNoticeInterval = 2 * time.Second
+	// missValidity is how long a miss is proof enough to reset a flow: within it an
 	// endpoint may come back, but no flow on it has lived through that unharmed.
-	missHolds = 1200 * time.Millisecond
-	// stallsToEnd is how many times callers must repeat data to a superseded endpoint,
+	missValidity = 1200 * time.Millisecond
+	// stallThreshold is how many times callers must repeat data to a superseded endpoint,
 	// each time while its address accepts a connection and with no answer of it in
 	// between, before it counts as ended: a packet of a living one may be lost. Questions
 	// are at least askAgainAfter apart.
-	stallsToEnd = 2
+	stallThreshold = 2
 )
 
 // Why an endpoint is asked: the closed list.
@@ -71,8 +71,8 @@
 		Addr netip.AddrPort
 		Why  Evidence
 		// Within is how long the answer may take.
-		Within time.Duration
-		began  time.Time
+		Within    time.Duration
+		startedAt time.Time
 	}
 
 	// Ended is a flow whose endpoint is out of reach; its caller is to be sent a
@@ -82,18 +82,18 @@
 		Seq      uint32 // what the caller expects next
 	}
 
-	// reach is what an entry knows of whether an endpoint can be reached.
-	reach struct {
-		asking bool      // a question is under way
-		misses int       // questions in a row without an answer
-		unsure int       // questions in a row without an outcome
-		lost   bool      // it cannot be reached
-		missAt time.Time // when a question was missed last
-		askAt  time.Time // no question before
-		lifeAt time.Time // when it was last seen to answer
-		tellAt time.Time // other entries are not told before
-		passed bool      // another incarnation lives at its address: it has ended
-		stalls int       // times in a row that callers repeated data though the address answers
+	// reachability is what an entry knows of whether an endpoint can be reached.
+	reachability struct {
+		probing        bool      // a question is under way
+		misses         int       // questions in a row without an answer
+		inconclusive   int       // questions in a row without an outcome
+		lost           bool      // it cannot be reached
+		lastMissAt     time.Time // when a question was missed last
+		nextProbeAt    time.Time // no question before
+		lastResponseAt time.Time // when it was last seen to answer
+		nextNoticeAt   time.Time // other entries are not told before
+		replaced       bool      // another incarnation lives at its address: it has ended
+		stalls         int       // times in a row that callers repeated data though the address answers
 	}
 )
 
@@ -103,75 +103,75 @@
 // String returns the name of the evidence.
 func (e Evidence) String() string { return evidenceNames[e] }
 
-// doubt takes evidence that an endpoint may be out of reach, and asks it. One
+// probe takes evidence that an endpoint may be out of reach, and asks it. One
 // that leaves is not asked: it may accept no connection and serve its flows.
-func (s *Steerer) doubt(now time.Time, b *backend, why Evidence) {
-	ending := b.Gone || b.Leaving || b.reach.passed || !b.Addr.IsValid()
-	if s.config.Ask == nil || ending || b.reach.asking || now.Before(b.reach.askAt) {
+func (s *Steerer) probe(now time.Time, b *backend, why Evidence) {
+	ending := b.Gone || b.Leaving || b.reach.replaced || !b.Addr.IsValid()
+	if s.config.Ask == nil || ending || b.reach.probing || now.Before(b.reach.nextProbeAt) {
 		return
 	}
-	b.reach.asking = s.config.Ask(Question{ID: b.ID, Addr: b.Addr, Why: why, Within: s.trips[b.Domain].within(), began: now})
+	b.reach.probing = s.config.Ask(Question{ID: b.ID, Addr: b.Addr, Why: why, Within: s.roundTrips[b.Domain].probeTimeout(), startedAt: now})
 }
 
-// alive takes evidence that an endpoint answers callers.
-func (s *Steerer) alive(now time.Time, b *backend) {
-	b.reach.lifeAt, s.lifeAt = now, now
+// markResponsive takes evidence that an endpoint answers callers.
+func (s *Steerer) markResponsive(now time.Time, b *backend) {
+	b.reach.lastResponseAt, s.lastResponseAt = now, now
 	b.reach.stalls = 0
 	delete(s.outages, b.Domain)
-	s.found(b)
+	s.markReachable(b)
 }
 
-// found notes that an endpoint can be reached.
-func (s *Steerer) found(b *backend) {
+// markReachable notes that an endpoint can be reached.
+func (s *Steerer) markReachable(b *backend) {
 	b.reach.misses = 0
-	if b.reach.lost && !b.reach.passed {
+	if b.reach.lost && !b.reach.replaced {
 		b.reach.lost = false
 		delete(s.lost, b)
-		s.suspected(b, false)
+		s.notifySuspect(b, false)
 	}
 }
 
-// pass takes that an endpoint answered an opening packet that was sent once the
+// markReplaced takes that an endpoint answered an opening packet that was sent once the
 // others at its address were known: these have ended, since an address is given
 // away only then. Control instances must wait for their heartbeats to stay away.
-func (s *Steerer) pass(b *backend, sent time.Time) {
+func (s *Steerer) markReplaced(b *backend, sent time.Time) {
 	for _, other := range s.byAddr[b.Addr] {
-		if other == b || other.Gone || other.reach.passed || !sent.After(other.knownAt) {
+		if other == b || other.Gone || other.reach.replaced || !sent.After(other.learnedAt) {
 			continue
 		}
-		other.reach.passed, other.reach.lost = true, true
+		other.reach.replaced, other.reach.lost = true, true
 		delete(s.lost, other)
-		s.suspected(other, true)
+		s.notifySuspect(other, true)
 	}
 }
 
-// contested reports whether another endpoint may live at the address, and be the
+// isAddressContested reports whether another endpoint may live at the address, and be the
 // one that accepts connections.
-func (s *Steerer) contested(b *backend) bool {
+func (s *Steerer) isAddressContested(b *backend) bool {
 	return slices.ContainsFunc(s.byAddr[b.Addr], func(other *backend) bool {
-		return other != b && !other.Gone && !other.reach.passed
+		return other != b && !other.Gone && !other.reach.replaced
 	})
 }
 
-// askLost asks endpoints that were out of reach whether they are back, so that
+// probeLost asks endpoints that were out of reach whether they are back, so that
 // new flows may go to them again; those that are to get none are left alone.
-func (s *Steerer) askLost(now time.Time) {
+func (s *Steerer) probeLost(now time.Time) {
 	for b := range s.lost {
-		if !s.evacuated(b) {
-			s.doubt(now, b, Lost)
+		if !s.isEvacuated(b) {
+			s.probe(now, b, Lost)
 		}
 	}
 }
 
-// steerLost decides about a packet of a flow whose endpoint is out of reach. What
+// decideUnreachable decides about a packet of a flow whose endpoint is out of reach. What
 // was found too long ago is found out again first.
-func (s *Steerer) steerLost(now time.Time, b *backend, p Packet) Decision {
-	if !b.reach.passed && now.Sub(b.reach.missAt) > missHolds || p.Flags.Has(Rst) {
-		b.reach.askAt = time.Time{}
-		s.doubt(now, b, Lost)
+func (s *Steerer) decideUnreachable(now time.Time, b *backend, p Packet) Decision {
+	if !b.reach.replaced && now.Sub(b.reach.lastMissAt) > missValidity || p.Flags.Has(Rst) {
+		b.reach.nextProbeAt = time.Time{}
+		s.probe(now, b, Lost)
 		return b.forward(Steered)
 	}
-	s.end(s.flows[flowKey{p.Src, p.Dst}])
+	s.removeFlow(s.flows[flowKey{p.Src, p.Dst}])
 	return Decision{Action: Reset, Reason: EndpointLost, Seq: p.Ack, ID: b.ID}
 }
 
@@ -183,81 +183,81 @@
 	if b == nil || b.Gone {
 		return nil
 	}
-	b.reach.asking = false
+	b.reach.probing = false
 	if outcome == Reached {
-		b.reach.askAt, b.reach.unsure = now.Add(askAgainAfter), 0
-		if !s.contested(b) {
-			s.found(b)
+		b.reach.nextProbeAt, b.reach.inconclusive = now.Add(probeInterval), 0
+		if !s.isAddressContested(b) {
+			s.markReachable(b)
 			return nil
 		}
-		return s.stalled(b, q)
+		return s.recordStall(b, q)
 	}
-	if b.reach.lifeAt.After(q.began) || b.Leaving {
+	if b.reach.lastResponseAt.After(q.startedAt) || b.Leaving {
 		return nil
 	}
-	if outcome == Unsure || !s.lifeAt.After(q.began) {
-		if b.reach.unsure++; b.reach.unsure < unsureMost {
-			s.doubt(now, b, Again)
+	if outcome == Unsure || !s.lastResponseAt.After(q.startedAt) {
+		if b.reach.inconclusive++; b.reach.inconclusive < maxInconclusive {
+			s.probe(now, b, Again)
 		} else {
-			b.reach.unsure = 0
+			b.reach.inconclusive = 0
 		}
 		return nil
 	}
-	return s.missed(now, b, q.Why)
+	return s.recordMiss(now, b, q.Why)
 }
 
-// superseded reports whether heartbeats speak for an endpoint having ended, and for
+// isSuperseded reports whether heartbeats speak for an endpoint having ended, and for
 // another one at its address living. That alone ends no flow.
-func (s *Steerer) superseded(b *backend) bool {
+func (s *Steerer) isSuperseded(b *backend) bool {
 	return b.silent && slices.ContainsFunc(s.byAddr[b.Addr], func(other *backend) bool {
-		return other != b && !other.Gone && !other.silent && !other.reach.passed
+		return other != b && !other.Gone && !other.silent && !other.reach.replaced
 	})
 }
 
-// stalled takes that an address accepted a connection while a caller repeated data to
+// recordStall takes that an address accepted a connection while a caller repeated data to
 // an endpoint there. Where heartbeats say that another one lives at the address by now,
 // the path works and the flow's endpoint is not there: its flows end, rather than
 // wait for their deadlines.
-func (s *Steerer) stalled(b *backend, q Question) []Ended {
-	if q.Why != Unacked || b.reach.lifeAt.After(q.began) || !s.superseded(b) {
+func (s *Steerer) recordStall(b *backend, q Question) []Ended {
+	if q.Why != Unacked || b.reach.lastResponseAt.After(q.startedAt) || !s.isSuperseded(b) {
 		return nil
 	}
-	if b.reach.stalls++; b.reach.stalls < stallsToEnd {
+	if b.reach.stalls++; b.reach.stalls < stallThreshold {
 		return nil
 	}
-	b.reach.passed, b.reach.lost = true, true
+	b.reach.replaced, b.reach.lost = true, true
 	delete(s.lost, b)
-	s.suspected(b, true)
+	s.notifySuspect(b, true)
 	return s.endFlows(b)
 }
 
-// missed counts a question that was not answered.
-func (s *Steerer) missed(now time.Time, b *backend, why Evidence) []Ended {
-	if !b.reach.lost && now.Sub(b.reach.missAt) > missHolds {
+// recordMiss counts a question that was not answered.
+func (s *Steerer) recordMiss(now time.Time, b *backend, why Evidence) []Ended {
+	if !b.reach.lost && now.Sub(b.reach.lastMissAt) > missValidity {
 		b.reach.misses = 0 // the one before was long ago
 	}
-	b.reach.unsure, b.reach.missAt = 0, now
+	b.reach.inconclusive, b.reach.lastMissAt = 0, now
 	b.reach.misses++
-	s.tell(now, b, why)
-	if b.reach.misses < missesToLose {
-		s.doubt(now, b, Again)
+	s.notifyMiss(now, b, why)
+	if b.reach.misses < unreachableThreshold {
+		s.probe(now, b, Again)
 		return nil
 	}
-	b.reach.askAt = now.Add(min(lostFirst<<min(b.reach.misses-missesToLose, 8), lostMost))
+	b.reach.nextProbeAt = now.Add(min(minReprobeDelay<<min(b.reach.misses-unreachableThreshold, 8), maxReprobeDelay))
 	if !b.reach.lost {
 		b.reach.lost = true
 		s.lost[b] = true
-		s.suspected(b, true)
+		s.notifySuspect(b, true)
 	}
 	return s.endFlows(b)
 }
 
-// tell has other entries told of a miss, unless they know by another one.
-func (s *Steerer) tell(now time.Time, b *backend, why Evidence) {
-	if s.config.Tell == nil || now.Before(b.reach.tellAt) {
+// notifyMiss has other entries told of a miss, unless they know by another one.
+func (s *Steerer) notifyMiss(now time.Time, b *backend, why Evidence) {
+	if s.config.Tell == nil || now.Before(b.reach.nextNoticeAt) {
 		return
 	}
-	b.reach.tellAt = now.Add(tellAgainAfter)
+	b.reach.nextNoticeAt = now.Add(missNoticeInterval)
 	if why != Told {
 		s.config.Tell(b.ID)
 	}
@@ -271,17 +271,17 @@
 	switch {
 	case b == nil || b.reach.lost:
 	case b.flows > 0:
-		s.doubt(now, b, Told)
+		s.probe(now, b, Told)
 	case now.After(b.suspectUntil):
-		b.suspectUntil = now.Add(suspectFirst)
+		b.suspectUntil = now.Add(minSuspectPeriod)
 	}
 }
 
-// heardAgain has an endpoint out of reach asked whose heartbeats are heard again.
-func (s *Steerer) heardAgain(now time.Time, b *backend) {
+// probeOnHeartbeat has an endpoint out of reach asked whose heartbeats are heard again.
+func (s *Steerer) probeOnHeartbeat(now time.Time, b *backend) {
 	if b.reach.lost {
-		b.reach.askAt = now
-		s.doubt(now, b, Lost)
+		b.reach.nextProbeAt = now
+		s.probe(now, b, Lost)
 	}
 }
 
@@ -290,13 +290,13 @@
 	if b.flows == 0 {
 		return nil
 	}
-	var all []Ended
+	var ended []Ended
 	for key, f := range s.flows {
-		if f.backend != b || !f.open {
+		if f.backend != b || !f.established {
 			continue
 		}
-		all = append(all, Ended{Src: key.src, Dst: key.dst, Seq: f.acked})
-		s.end(f)
+		ended = append(ended, Ended{Src: key.src, Dst: key.dst, Seq: f.lastAck})
+		s.removeFlow(f)
 	}
-	return all
+	return ended
 }
--- a/internal/steer/reachability_test.go
+++ b/internal/steer/reachability_test.go
@@ -10,14 +10,14 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// asked keeps the questions that a Steerer has asked.
-type asked struct {
+// probeRecorder keeps the questions that a Steerer has probeRecorder.
+type probeRecorder struct {
 	questions []Question
 	full      bool
-	told      []string // of which other entries were told
+	notices   []string // of which other entries were told
 }
 
-func (a *asked) ask(q Question) bool {
+func (a *probeRecorder) ask(q Question) bool {
 	if a.full {
 		return false
 	}
@@ -25,10 +25,10 @@
 	return true
 }
 
-func (a *asked) tell(id string) { a.told = append(a.told, id) }
+func (a *probeRecorder) notify(id string) { a.notices = append(a.notices, id) }
 
 // take returns the oldest question.
-func (a *asked) take() Question {
+func (a *probeRecorder) take() Question {
 	Expect(a.questions).NotTo(BeEmpty())
 	q := a.questions[0]
 	a.questions = a.questions[1:]
@@ -38,17 +38,19 @@
 var _ = Describe("whether endpoints can be reached", func() {
 	const took = 100 * time.Millisecond
 	var s *Steerer
-	var a *asked
+	var a *probeRecorder
 	var now time.Time
 	var dead, other uint32 // tags of two flows
 
 	// request sends a request on a flow, or again the one before.
-	request := func(port uint16, tag, seq uint32) Decision { return s.Decide(now, later(port, tag, seq, 1, 10)) }
+	request := func(port uint16, tag, seq uint32) Decision {
+		return s.Decide(now, establishedPacket(port, tag, seq, 1, 10))
+	}
 	// otherLives has another endpoint answer a caller.
 	seq, ack := uint32(100), uint32(1)
 	otherLives := func() {
 		seq, ack = seq+10, ack+10
-		s.Decide(now, later(2000, other, seq, ack, 10))
+		s.Decide(now, establishedPacket(2000, other, seq, ack, 10))
 	}
 	// miss lets the oldest question go without an answer.
 	miss := func() []Ended {
@@ -59,12 +61,12 @@
 	}
 
 	BeforeEach(func() {
-		a, now, seq, ack = &asked{}, start, 100, 1
-		s = New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: a.ask, Tell: a.tell})
+		a, now, seq, ack = &probeRecorder{}, start, 100, 1
+		s = New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: a.ask, Tell: a.notify})
 		s.SetDocument(now, testDocument(1, routeTo(bookingAddr, "booking"), routeTo(documentsAddr, "documents")))
 		s.Learn(now, "c1", reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
-		first := s.Decide(now, opening(1000, 7, 0))
-		second := s.Decide(now, opening(2000, 7, 0))
+		first := s.Decide(now, openingPacket(1000, 7, 0))
+		second := s.Decide(now, openingPacket(2000, 7, 0))
 		dead, other = first.Tag, second.Tag
 		Expect(dead).NotTo(Equal(other))
 		now = now.Add(time.Millisecond)
@@ -86,9 +88,9 @@
 	})
 
 	It("are asked when an opening packet is not answered", func() {
-		s.Decide(now, opening(3000, 7, 0))
-		now = now.Add(2 * answerWithin)
-		s.Decide(now, later(2000, other, 18, 11, 0))
+		s.Decide(now, openingPacket(3000, 7, 0))
+		now = now.Add(2 * openTimeout)
+		s.Decide(now, establishedPacket(2000, other, 18, 11, 0))
 		Expect(a.take().Why).To(Equal(Unopened))
 	})
 
@@ -108,24 +110,24 @@
 	})
 
 	It("end their flows after two misses in a row: at once those that are known, others at their next packet", func() {
-		s.Decide(now, later(4000, dead, 50, 3, 0)) // carried by another entry until now, and idle
+		s.Decide(now, establishedPacket(4000, dead, 50, 3, 0)) // carried by another entry until now, and idle
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		Expect(miss()).To(BeEmpty())
 		Expect(a.questions).To(HaveLen(1))
 		Expect(a.questions[0].Why).To(Equal(Again))
-		Expect(miss()).To(Equal([]Ended{{Src: opening(1000, 0, 0).Src, Dst: bookingAddr, Seq: 1}}))
+		Expect(miss()).To(Equal([]Ended{{Src: openingPacket(1000, 0, 0).Src, Dst: bookingAddr, Seq: 1}}))
 
-		d := s.Decide(now, later(4000, dead, 50, 3, 10))
+		d := s.Decide(now, establishedPacket(4000, dead, 50, 3, 10))
 		Expect(d).To(Equal(Decision{Action: Reset, Reason: EndpointLost, Seq: 3, ID: s.byTag[dead].ID}))
-		Expect(s.Decide(now, opening(5000, 7, 0)).Tag).To(Equal(other), "new flows avoid it")
+		Expect(s.Decide(now, openingPacket(5000, 7, 0)).Tag).To(Equal(other), "new flows avoid it")
 		Expect(s.byTag[dead].flows).To(BeZero())
 	})
 
 	It("keep their flows where this entry may be to blame: nobody else answers either", func() {
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
-		for range unsureMost {
+		for range maxInconclusive {
 			q := a.take()
 			now = now.Add(took)
 			Expect(s.Answered(now, q, Missed)).To(BeEmpty())
@@ -137,7 +139,7 @@
 	It("keep them where this entry was too slow to tell, or the queue of questions was full", func() {
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
-		for range unsureMost {
+		for range maxInconclusive {
 			q := a.take()
 			now = now.Add(5 * took)
 			otherLives()
@@ -146,7 +148,7 @@
 		a.full = true
 		now = now.Add(time.Second)
 		request(1000, dead, 8)
-		Expect(s.byTag[dead].reach.asking).To(BeFalse())
+		Expect(s.byTag[dead].reach.probing).To(BeFalse())
 		a.full = false
 		request(1000, dead, 8)
 		Expect(a.questions).To(HaveLen(1))
@@ -156,7 +158,7 @@
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		q := a.take()
-		s.Decide(now.Add(took/2), later(1000, dead, 18, 9, 0))
+		s.Decide(now.Add(took/2), establishedPacket(1000, dead, 18, 9, 0))
 		now = now.Add(took)
 		otherLives()
 		Expect(s.Answered(now, q, Missed)).To(BeEmpty())
@@ -168,7 +170,7 @@
 		request(1000, dead, 18)
 		Expect(miss()).To(BeEmpty())
 		Expect(s.Answered(now, a.take(), Reached)).To(BeEmpty())
-		now = now.Add(askAgainAfter)
+		now = now.Add(probeInterval)
 		request(1000, dead, 18)
 		Expect(miss()).To(BeEmpty(), "misses are counted in a row")
 	})
@@ -177,9 +179,9 @@
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		Expect(miss()).To(BeEmpty())
-		for range unsureMost { // nothing comes of the next ones
+		for range maxInconclusive { // nothing comes of the next ones
 			q := a.take()
-			now = now.Add(missHolds)
+			now = now.Add(missValidity)
 			s.Answered(now, q, Unsure)
 		}
 		request(1000, dead, 8)
@@ -206,27 +208,27 @@
 		b := s.byTag[dead]
 		s.Learn(now, "c1", reports(report("booking", 9, func(m *wire.EndpointReport) { m.Address = b.Addr.String() })))
 		next := s.byID["booking-9"]
-		q := Question{ID: b.ID, began: now}
+		q := Question{ID: b.ID, startedAt: now}
 		b.reach.misses = 1
 		s.Answered(now, q, Reached)
 		Expect(b.reach.misses).To(Equal(1), "it may be the other one that accepts connections")
 
 		answered := func(first Packet, copies int) {
 			first.Copy = copies
-			s.remember(now, first, next)
+			s.trackOpening(now, first, next)
 			now = now.Add(time.Millisecond)
-			s.Decide(now, later(first.Src.Port(), next.tag, first.Seq+1, 1, 0))
+			s.Decide(now, establishedPacket(first.Src.Port(), next.tag, first.Seq+1, 1, 0))
 		}
-		b.knownAt = now
-		answered(opening(7000, 7, 0), 0) // sent at the moment that it became known
-		Expect(b.reach.passed).To(BeFalse())
-		answered(opening(7001, 7, 0), 1) // an earlier copy may have been answered
-		Expect(b.reach.passed).To(BeFalse())
-		answered(opening(7002, 7, 0), 0)
-		Expect(b.reach.passed).To(BeTrue())
+		b.learnedAt = now
+		answered(openingPacket(7000, 7, 0), 0) // sent at the moment that it became known
+		Expect(b.reach.replaced).To(BeFalse())
+		answered(openingPacket(7001, 7, 0), 1) // an earlier copy may have been answered
+		Expect(b.reach.replaced).To(BeFalse())
+		answered(openingPacket(7002, 7, 0), 0)
+		Expect(b.reach.replaced).To(BeTrue())
 		now = now.Add(time.Minute)
-		Expect(s.Decide(now, later(1000, dead, 8, 1, 10)).Reason).To(Equal(EndpointLost))
-		s.found(b)
+		Expect(s.Decide(now, establishedPacket(1000, dead, 8, 1, 10)).Reason).To(Equal(EndpointLost))
+		s.markReachable(b)
 		Expect(b.reach.lost).To(BeTrue(), "for good")
 		Expect(next.reach.lost).To(BeFalse())
 	})
@@ -234,13 +236,13 @@
 	It("have ended once callers repeat data to one that heartbeats call superseded, though its address answers", func() {
 		b := s.byTag[dead]
 		stall := func(why Evidence) []Ended {
-			now = now.Add(askAgainAfter)
-			return s.Answered(now, Question{ID: b.ID, Why: why, began: now.Add(-time.Millisecond)}, Reached)
+			now = now.Add(probeInterval)
+			return s.Answered(now, Question{ID: b.ID, Why: why, startedAt: now.Add(-time.Millisecond)}, Reached)
 		}
 		open := func() {
-			p := opening(7100, 7, 0)
-			s.remember(now, p, b)
-			s.flows[flowKey{p.Src, p.Dst}].open = true
+			p := openingPacket(7100, 7, 0)
+			s.trackOpening(now, p, b)
+			s.flows[flowKey{p.Src, p.Dst}].established = true
 		}
 		open()
 		s.Learn(now, "c1", reports(report("booking", 9, func(m *wire.EndpointReport) { m.Address = b.Addr.String() })))
@@ -249,30 +251,30 @@
 		for _, t := range s.reporters {
 			t.silent[b.ID] = true
 		}
-		s.settleSilence(now, b)
-		Expect(s.superseded(b)).To(BeTrue())
+		s.updateSilence(now, b)
+		Expect(s.isSuperseded(b)).To(BeTrue())
 		Expect(append(stall(Unopened), stall(Again)...)).To(BeEmpty(), "no caller of an open flow waits")
 		Expect(stall(Unacked)).To(BeEmpty(), "one packet may be lost")
-		s.alive(now, b)
+		s.markResponsive(now, b)
 		Expect(stall(Unacked)).To(BeEmpty(), "it has answered a caller meanwhile")
 		Expect(stall(Unacked)).NotTo(BeEmpty())
-		Expect(s.Decide(now, later(1000, dead, 8, 1, 10)).Reason).To(Equal(EndpointLost))
+		Expect(s.Decide(now, establishedPacket(1000, dead, 8, 1, 10)).Reason).To(Equal(EndpointLost))
 	})
 
 	It("are told of to other entries, once and only by who found out itself", func() {
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		miss()
-		Expect(a.told).To(ConsistOf(s.byTag[dead].ID))
+		Expect(a.notices).To(ConsistOf(s.byTag[dead].ID))
 		miss()
-		Expect(a.told).To(HaveLen(1))
+		Expect(a.notices).To(HaveLen(1))
 
 		s.Doubted(now, s.byTag[dead].ID)
 		Expect(a.questions).To(BeEmpty(), "it is known to be out of reach")
 		s.Doubted(now, "nobody")
 		s.Doubted(now, "documents-3")
 		Expect(a.questions).To(BeEmpty(), "no flow on it is known here")
-		Expect(s.byID["documents-3"].suspect(now)).To(BeTrue())
+		Expect(s.byID["documents-3"].isSuspect(now)).To(BeTrue())
 		Expect(s.byID["documents-3"].reach.lost).To(BeFalse())
 		s.Doubted(now, s.byTag[other].ID)
 		Expect(a.take().Why).To(Equal(Told))
@@ -291,16 +293,16 @@
 		}
 		lose()
 		b := s.byTag[dead]
-		s.Decide(now, opening(6000, 7, 0))
-		now = now.Add(lostFirst)
+		s.Decide(now, openingPacket(6000, 7, 0))
+		now = now.Add(minReprobeDelay)
 		otherLives()
-		s.Decide(now.Add(sweepEvery), opening(6001, 7, 0))
+		s.Decide(now.Add(sweepInterval), openingPacket(6001, 7, 0))
 		Expect(a.questions).To(ContainElement(And(HaveField("ID", b.ID), HaveField("Why", Lost))))
 		s.Answered(now, Question{ID: b.ID}, Reached)
 		a.questions = nil
 		Expect(b.reach.lost).To(BeFalse())
 		lose()
-		s.settle(now, &flow{backend: b}, b)
+		s.establish(now, &flow{backend: b}, b)
 		Expect(b.reach.lost).To(BeFalse())
 		lose()
 		s.Learn(now, "c1", reports(report("booking", int(b.Number), func(m *wire.EndpointReport) { m.Sequence, m.Leaving = 2, true })))
@@ -312,35 +314,35 @@
 		request(1000, dead, 8)
 		miss()
 		miss()
-		now = now.Add(missHolds + time.Millisecond)
-		d := s.Decide(now, later(4000, dead, 50, 3, 10))
+		now = now.Add(missValidity + time.Millisecond)
+		d := s.Decide(now, establishedPacket(4000, dead, 50, 3, 10))
 		Expect(d.Action).To(Equal(Forward))
 		q := a.take()
 		Expect(q.Why).To(Equal(Lost))
 		now = now.Add(took)
 		otherLives()
-		Expect(s.Answered(now, q, Missed)).To(ConsistOf(HaveField("Src", opening(4000, 0, 0).Src)))
+		Expect(s.Answered(now, q, Missed)).To(ConsistOf(HaveField("Src", openingPacket(4000, 0, 0).Src)))
 	})
 
 	It("end only the flows that come through the entry out of whose reach they are", func() {
-		b := &asked{}
-		beside := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: b.ask, Tell: b.tell})
+		b := &probeRecorder{}
+		beside := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: b.ask, Tell: b.notify})
 		beside.SetDocument(now, testDocument(1, routeTo(bookingAddr, "booking")))
 		beside.Learn(now, "c1", reports(report("booking", 1, nil), report("booking", 2, nil)))
-		beside.Decide(now, later(1500, dead, 8, 1, 10)) // a flow of the endpoint that comes through the other entry
+		beside.Decide(now, establishedPacket(1500, dead, 8, 1, 10)) // a flow of the endpoint that comes through the other entry
 
 		now = now.Add(time.Second)
 		request(1000, dead, 8)
 		Expect(miss()).To(BeEmpty())
 		Expect(miss()).To(HaveLen(1), "the flow that comes through this entry cannot go on")
-		Expect(a.told).To(HaveLen(1))
+		Expect(a.notices).To(HaveLen(1))
 
-		beside.Doubted(now, a.told[0])
+		beside.Doubted(now, a.notices[0])
 		q := b.take()
 		Expect(q.Why).To(Equal(Told))
 		Expect(beside.Answered(now, q, Reached)).To(BeEmpty())
-		Expect(beside.Decide(now, later(1500, dead, 18, 2, 10)).Reason).To(Equal(Steered))
-		Expect(beside.Decide(now, later(1000, dead, 18, 2, 10)).Reason).To(Equal(Steered), "routers may hand it over meanwhile")
+		Expect(beside.Decide(now, establishedPacket(1500, dead, 18, 2, 10)).Reason).To(Equal(Steered))
+		Expect(beside.Decide(now, establishedPacket(1000, dead, 18, 2, 10)).Reason).To(Equal(Steered), "routers may hand it over meanwhile")
 		Expect(beside.Counts(now).Lost).To(BeZero())
 	})
 
@@ -357,9 +359,9 @@
 				var d Decision
 				switch random.IntN(3) {
 				case 0:
-					d = s.Decide(now, later(port, tag, 8+uint32(random.IntN(3)), uint32(random.IntN(30)), 10))
+					d = s.Decide(now, establishedPacket(port, tag, 8+uint32(random.IntN(3)), uint32(random.IntN(30)), 10))
 				case 1:
-					d = s.Decide(now, opening(uint16(3000+random.IntN(50)), 7, random.IntN(3)))
+					d = s.Decide(now, openingPacket(uint16(3000+random.IntN(50)), 7, random.IntN(3)))
 				default:
 					if len(a.questions) == 0 {
 						continue
--- a/internal/steer/reporter.go
+++ b/internal/steer/reporter.go
@@ -7,10 +7,10 @@
 // had the time, it has a say only in who is silent. After a loss of power in a failure
 // domain its own control instances would otherwise vouch for endpoints that are gone.
 type reporter struct {
-	vouches bool
-	silent  map[string]bool // by endpoint, of those that it has a say in
-	unsure  map[string]bool // endpoints that it knows and may hear
-	digest  registry.Digest // the last that it told
+	ready       bool
+	silent      map[string]bool // by endpoint, of those that it has a say in
+	unconfirmed map[string]bool // endpoints that it knows and may hear
+	digest      registry.Digest // the last that it told
 	// differed is in which parts of it this entry knew something else.
 	differed [len(registry.Digest{})]bool
 }
@@ -19,48 +19,48 @@
 func (s *Steerer) reporterOf(source string) *reporter {
 	r := s.reporters[source]
 	if r == nil {
-		r = &reporter{silent: map[string]bool{}, unsure: map[string]bool{}}
+		r = &reporter{silent: map[string]bool{}, unconfirmed: map[string]bool{}}
 		s.reporters[source] = r
 	}
 	return r
 }
 
-// say takes whether it calls an endpoint silent.
-func (r *reporter) say(id string, silent bool) {
-	delete(r.unsure, id)
+// setSilent takes whether it calls an endpoint silent.
+func (r *reporter) setSilent(id string, silent bool) {
+	delete(r.unconfirmed, id)
 	switch {
-	case silent || r.vouches:
+	case silent || r.ready:
 		r.silent[id] = silent
 	default:
 		delete(r.silent, id)
-		r.unsure[id] = true
+		r.unconfirmed[id] = true
 	}
 }
 
-// mention takes that it knows an endpoint; it reports whether that says more than
+// markKnown takes that it knows an endpoint; it reports whether that says more than
 // what it said before.
-func (r *reporter) mention(id string) bool {
-	if _, said := r.silent[id]; said || r.unsure[id] {
+func (r *reporter) markKnown(id string) bool {
+	if _, said := r.silent[id]; said || r.unconfirmed[id] {
 		return false
 	}
-	r.say(id, false)
-	return r.vouches
+	r.setSilent(id, false)
+	return r.ready
 }
 
-// vouch takes that it has had the time to hear every endpoint, and returns those that
+// markReady takes that it has had the time to hear every endpoint, and returns those that
 // it has a say in from now on.
-func (r *reporter) vouch() (ids []string) {
-	r.vouches = true
-	for id := range r.unsure {
+func (r *reporter) markReady() (ids []string) {
+	r.ready = true
+	for id := range r.unconfirmed {
 		r.silent[id] = false
 		ids = append(ids, id)
 	}
-	clear(r.unsure)
+	clear(r.unconfirmed)
 	return ids
 }
 
-// forget drops an endpoint.
-func (r *reporter) forget(id string) {
+// remove drops an endpoint.
+func (r *reporter) remove(id string) {
 	delete(r.silent, id)
-	delete(r.unsure, id)
+	delete(r.unconfirmed, id)
 }
--- a/internal/steer/response_size_test.go
+++ b/internal/steer/response_size_test.go
@@ -28,7 +28,7 @@
 	request := func(bytes func(id string) uint32) {
 		n++
 		now = now.Add(100 * time.Millisecond)
-		p := fleetOpening(n)
+		p := fleetOpeningPacket(n)
 		d := s.Decide(now, p)
 		p = Packet{Src: p.Src, Dst: p.Dst, Flags: Ack, Seq: 8, Ack: 5001, Tag: d.Tag, Len: 100}
 		s.Decide(now.Add(time.Millisecond), p)
@@ -87,7 +87,7 @@
 		for range 200 {
 			request(func(string) uint32 { return 0 })
 		}
-		for range sizesEnough - 1 {
+		for range minSizeSamples - 1 {
 			request(func(string) uint32 { return usual(2000, 0.6) })
 		}
 		Expect(reported).To(BeEmpty())
--- a/internal/steer/roundtrip.go
+++ b/internal/steer/roundtrip.go
@@ -3,55 +3,55 @@
 import "time"
 
 const (
-	// withinLeast and withinMost bound how long an endpoint has to accept a
+	// minProbeTimeout and withinMost bound how long an endpoint has to accept a
 	// connection. The least is for machines that are busy for a moment: hosts
 	// accept connections on their own, in a fraction of it. The most stays below
 	// the 200 ms after which callers repeat.
-	withinLeast = 50 * time.Millisecond
-	withinMost  = 180 * time.Millisecond
-	// withinUnknown holds until a round trip was seen.
-	withinUnknown = 100 * time.Millisecond
-	// tripWeight and spreadWeight are the parts by which a round trip moves the
+	minProbeTimeout = 50 * time.Millisecond
+	maxProbeTimeout = 180 * time.Millisecond
+	// defaultProbeTimeout holds until a round trip was seen.
+	defaultProbeTimeout = 100 * time.Millisecond
+	// meanGain and spreadWeight are the parts by which a round trip moves the
 	// mean and the spread, and spreads how many spreads above the mean it may
 	// take: as TCP estimates its time-out (RFC 6298). withinTrips is how many
 	// such round trips an endpoint has.
-	tripWeight   = 0.125
-	spreadWeight = 0.25
-	spreads      = 4
-	withinTrips  = 4
+	meanGain          = 0.125
+	deviationGain     = 0.25
+	deviationFactor   = 4
+	timeoutRoundTrips = 4
 )
 
 // roundTrip estimates the time from an opening packet to its caller's next one:
 // by an endpoint and a caller, so above that to the endpoint and back.
 type roundTrip struct {
-	mean, spread time.Duration
+	mean, deviation time.Duration
 }
 
 // add takes the time of one.
-func (r *roundTrip) add(took time.Duration) {
+func (r *roundTrip) add(sample time.Duration) {
 	if r.mean == 0 {
-		r.mean, r.spread = took, took/2
+		r.mean, r.deviation = sample, sample/2
 		return
 	}
-	off := took - r.mean
-	r.spread += time.Duration(spreadWeight * float64(off.Abs()-r.spread))
-	r.mean += time.Duration(tripWeight * float64(off))
+	off := sample - r.mean
+	r.deviation += time.Duration(deviationGain * float64(off.Abs()-r.deviation))
+	r.mean += time.Duration(meanGain * float64(off))
 }
 
-// within returns how long a question may take; nil has seen nothing.
-func (r *roundTrip) within() time.Duration {
+// probeTimeout returns how long a question may take; nil has seen nothing.
+func (r *roundTrip) probeTimeout() time.Duration {
 	if r == nil {
-		return withinUnknown
+		return defaultProbeTimeout
 	}
-	return min(max(withinLeast, withinTrips*(r.mean+spreads*r.spread)), withinMost)
+	return min(max(minProbeTimeout, timeoutRoundTrips*(r.mean+deviationFactor*r.deviation)), maxProbeTimeout)
 }
 
-// noteTrip takes how long the opening of a flow took.
-func (s *Steerer) noteTrip(b *backend, took time.Duration) {
-	trip := s.trips[b.Domain]
-	if trip == nil {
-		trip = &roundTrip{}
-		s.trips[b.Domain] = trip
+// noteRoundTrip takes how long the opening of a flow took.
+func (s *Steerer) noteRoundTrip(b *backend, sample time.Duration) {
+	estimate := s.roundTrips[b.Domain]
+	if estimate == nil {
+		estimate = &roundTrip{}
+		s.roundTrips[b.Domain] = estimate
 	}
-	trip.add(took)
+	estimate.add(sample)
 }
--- a/internal/steer/roundtrip_test.go
+++ b/internal/steer/roundtrip_test.go
@@ -10,16 +10,16 @@
 var _ = Describe("the time that an endpoint has to answer a question", func() {
 	It("follows the round trips to its failure domain, within bounds", func() {
 		var unseen *roundTrip
-		Expect(unseen.within()).To(Equal(withinUnknown))
+		Expect(unseen.probeTimeout()).To(Equal(defaultProbeTimeout))
 		near, far, farther := &roundTrip{}, &roundTrip{}, &roundTrip{}
 		for range 50 {
 			near.add(2 * time.Millisecond)
 			far.add(30 * time.Millisecond)
 			farther.add(200 * time.Millisecond)
 		}
-		Expect(near.within()).To(Equal(withinLeast))
-		Expect(far.within()).To(BeNumerically("~", withinTrips*30*time.Millisecond, time.Millisecond))
-		Expect(farther.within()).To(Equal(withinMost))
+		Expect(near.probeTimeout()).To(Equal(minProbeTimeout))
+		Expect(far.probeTimeout()).To(BeNumerically("~", timeoutRoundTrips*30*time.Millisecond, time.Millisecond))
+		Expect(farther.probeTimeout()).To(Equal(maxProbeTimeout))
 	})
 
 	It("grows with their spread", func() {
@@ -28,14 +28,14 @@
 			steady.add(20 * time.Millisecond)
 			spread.add(time.Duration(15+10*(i%2)) * time.Millisecond)
 		}
-		Expect(spread.within()).To(BeNumerically(">", steady.within()))
+		Expect(spread.probeTimeout()).To(BeNumerically(">", steady.probeTimeout()))
 	})
 
 	It("is learned from flows that open at once, by the failure domain of the endpoint", func() {
 		s := testSteerer()
-		d := s.Decide(start, opening(1000, 7, 0))
-		s.Decide(start.Add(30*time.Millisecond), later(1000, d.Tag, 8, 1, 10))
-		Expect(s.trips).To(HaveKey("plateau"))
-		Expect(s.trips["plateau"].mean).To(Equal(30 * time.Millisecond))
+		d := s.Decide(start, openingPacket(1000, 7, 0))
+		s.Decide(start.Add(30*time.Millisecond), establishedPacket(1000, d.Tag, 8, 1, 10))
+		Expect(s.roundTrips).To(HaveKey("plateau"))
+		Expect(s.roundTrips["plateau"].mean).To(Equal(30 * time.Millisecond))
 	})
 })
--- a/internal/steer/routes.go
+++ b/internal/steer/routes.go
@@ -11,7 +11,7 @@
 // route is a route of the document with the sum of its weights.
 type route struct {
 	document.Route
-	weights uint64 // sum over the shares
+	totalWeight uint64 // sum over the shares
 }
 
 // SetDocument puts a document in force; an older one than that in force
@@ -22,11 +22,11 @@
 	}
 	routes := make(map[netip.AddrPort]*route, len(d.Routes()))
 	for _, r := range d.Routes() {
-		summed := &route{Route: r}
+		entry := &route{Route: r}
 		for _, share := range r.Shares {
-			summed.weights += uint64(share.Weight)
+			entry.totalWeight += uint64(share.Weight)
 		}
-		routes[r.Addr] = summed
+		routes[r.Addr] = entry
 		delete(s.dropped, r.Addr)
 	}
 	for addr := range s.routes {
@@ -46,25 +46,25 @@
 	return s.document.Version()
 }
 
-// forgetDropped forgets routes that were dropped so long ago that no flow of
+// purgeDroppedRoutes forgets routes that were dropped so long ago that no flow of
 // theirs can be left.
-func (s *Steerer) forgetDropped(now time.Time) {
+func (s *Steerer) purgeDroppedRoutes(now time.Time) {
 	for addr, at := range s.dropped {
 		if now.Sub(at) >= s.config.MaxFlow {
 			delete(s.dropped, addr)
-			delete(s.sizes, addr)
+			delete(s.sizeStats, addr)
 		}
 	}
 }
 
 // service returns the service of a route that a draw falls on.
-func (r *route) service(draw uint64) string {
-	at := draw % r.weights
+func (r *route) service(hash uint64) string {
+	offset := hash % r.totalWeight
 	for _, share := range r.Shares {
-		if at < uint64(share.Weight) {
+		if offset < uint64(share.Weight) {
 			return share.Service
 		}
-		at -= uint64(share.Weight)
+		offset -= uint64(share.Weight)
 	}
 	return r.Shares[len(r.Shares)-1].Service
 }
--- a/internal/steer/steer.go
+++ b/internal/steer/steer.go
@@ -17,17 +17,17 @@
 )
 
 const (
-	// sweepEvery is how often unanswered and resting flows are looked for.
-	sweepEvery = 20 * time.Millisecond
-	// forgetEvery is how often incarnations that ended, and routes that were
+	// sweepInterval is how often unanswered and resting flows are looked for.
+	sweepInterval = 20 * time.Millisecond
+	// purgeInterval is how often incarnations that ended, and routes that were
 	// dropped, long ago are looked for.
-	forgetEvery = time.Second
-	// goneFor is how long ago an endpoint must have ended before packets of
+	purgeInterval = time.Second
+	// goneGracePeriod is how long ago an endpoint must have ended before packets of
 	// its flows are answered by a reset: until then it may still answer.
-	goneFor = 500 * time.Millisecond
-	// lastCopy is the repetition of an opening packet that goes elsewhere
+	goneGracePeriod = 500 * time.Millisecond
+	// reassignAttempt is the repetition of an opening packet that goes elsewhere
 	// even though nothing else speaks against the first endpoint.
-	lastCopy = 2
+	reassignAttempt = 2
 )
 
 type (
@@ -68,55 +68,55 @@
 		byAddr    map[netip.AddrPort][]*backend // the incarnations that claim each address
 		pools     map[string]*pool              // by service
 		reporters map[string]*reporter          // by control instance
-		whole     bool                          // a control instance has reported every endpoint
+		synced    bool                          // a control instance has reported every endpoint
 		digest    registry.Digest               // of byID
 
-		flows    map[flowKey]*flow
-		resting  *list.List                // flows, the longest at rest first
-		opening  *list.List                // flows not answered yet, the oldest first
-		awaiting []awaited                 // requests, the oldest first
-		answers  map[string]*answers       // by service
-		sizes    map[netip.AddrPort]*sizes // of answers, by address of the route
-		sweepAt  time.Time                 // of the next sweep
-		forgetAt time.Time                 // of the next forgetEnded and forgetDropped
-		lost     map[*backend]bool         // those out of reach
-		outages  map[string]*outage        // by failure domain of endpoints
-		ledAt    time.Time                 // when a control instance last said that it leads
-		trips    map[string]*roundTrip     // by failure domain of endpoints
-		lifeAt   time.Time                 // when any endpoint was last seen to answer
-		source   *rand.PCG                 // of random; seeded for each flow that is placed
-		random   *rand.Rand
+		flows           map[flowKey]*flow
+		idleOrder       *list.List                    // flows, the longest at rest first
+		pendingOpens    *list.List                    // flows not answered yet, the oldest first
+		pendingRequests []pendingRequest              // requests, the oldest first
+		responses       map[string]*responseCounts    // by service
+		sizeStats       map[netip.AddrPort]*sizeStats // of answers, by address of the route
+		nextSweep       time.Time                     // of the next sweep
+		nextPurge       time.Time                     // of the next forgetEnded and forgetDropped
+		lost            map[*backend]bool             // those out of reach
+		outages         map[string]*outage            // by failure domain of endpoints
+		leaderSeenAt    time.Time                     // when a control instance last said that it leads
+		roundTrips      map[string]*roundTrip         // by failure domain of endpoints
+		lastResponseAt  time.Time                     // when any endpoint was last seen to answer
+		randSource      *rand.PCG                     // of random; seeded for each flow that is placed
+		random          *rand.Rand
 	}
 )
 
 // New returns a Steerer that knows nothing yet.
 func New(c Config) *Steerer {
-	source, random := newDraws()
+	source, random := newRandom()
 	return &Steerer{
-		config:    c,
-		dropped:   map[netip.AddrPort]time.Time{},
-		byID:      map[string]*backend{},
-		byTag:     map[uint32]*backend{},
-		byAddr:    map[netip.AddrPort][]*backend{},
-		pools:     map[string]*pool{},
-		reporters: map[string]*reporter{},
-		flows:     map[flowKey]*flow{},
-		resting:   list.New(),
-		opening:   list.New(),
-		answers:   map[string]*answers{},
-		sizes:     map[netip.AddrPort]*sizes{},
-		lost:      map[*backend]bool{},
-		outages:   map[string]*outage{},
-		trips:     map[string]*roundTrip{},
-		source:    source,
-		random:    random,
+		config:       c,
+		dropped:      map[netip.AddrPort]time.Time{},
+		byID:         map[string]*backend{},
+		byTag:        map[uint32]*backend{},
+		byAddr:       map[netip.AddrPort][]*backend{},
+		pools:        map[string]*pool{},
+		reporters:    map[string]*reporter{},
+		flows:        map[flowKey]*flow{},
+		idleOrder:    list.New(),
+		pendingOpens: list.New(),
+		responses:    map[string]*responseCounts{},
+		sizeStats:    map[netip.AddrPort]*sizeStats{},
+		lost:         map[*backend]bool{},
+		outages:      map[string]*outage{},
+		roundTrips:   map[string]*roundTrip{},
+		randSource:   source,
+		random:       random,
 	}
 }
 
 // Decide says what to do with a caller's packet.
 func (s *Steerer) Decide(now time.Time, p Packet) Decision {
-	if !now.Before(s.sweepAt) {
-		s.sweepAt = now.Add(sweepEvery)
+	if !now.Before(s.nextSweep) {
+		s.nextSweep = now.Add(sweepInterval)
 		s.sweep(now)
 	}
 	if p.Flags.Has(Syn) {
@@ -127,35 +127,35 @@
 		d.Version = s.Version()
 		return d
 	}
-	return s.steer(now, p)
+	return s.steerByTag(now, p)
 }
 
-// steer sends a packet of an open flow by its tag.
-func (s *Steerer) steer(now time.Time, p Packet) Decision {
+// steerByTag sends a packet of an open flow by its tag.
+func (s *Steerer) steerByTag(now time.Time, p Packet) Decision {
 	f := s.flows[flowKey{p.Src, p.Dst}]
 	if _, dropped := s.dropped[p.Dst]; dropped {
-		s.end(f)
+		s.removeFlow(f)
 		return Decision{Action: Reset, Reason: RouteDropped, Seq: p.Ack}
 	}
 	b, reason := s.byTag[p.Tag], Steered
 	if f == nil && b != nil && p.Len > 0 {
-		f = s.adopt(now, p, b)
+		f = s.trackEstablished(now, p, b)
 	}
 	if f != nil {
-		if f.moved && f.open {
+		if f.reassigned && f.established {
 			b, reason = f.backend, Corrected
 		}
-		s.note(now, f, b, p)
+		s.observe(now, f, b, p)
 	}
 	if b == nil {
 		return Decision{Reason: UnknownTag}
 	}
-	if b.Gone && now.Sub(b.goneAt) > goneFor && !p.Flags.Has(Rst) {
-		s.end(f)
+	if b.Gone && now.Sub(b.goneAt) > goneGracePeriod && !p.Flags.Has(Rst) {
+		s.removeFlow(f)
 		return Decision{Action: Reset, Reason: EndpointGone, Seq: p.Ack, ID: b.ID}
 	}
 	if b.reach.lost && !b.Gone {
-		return s.steerLost(now, b, p)
+		return s.decideUnreachable(now, b, p)
 	}
 	return b.forward(reason)
 }
@@ -169,8 +169,8 @@
 	if r == nil {
 		return Decision{Action: Reset, Reason: NoRoute, Seq: p.Ack}
 	}
-	f := s.opened(p)
-	if f != nil && !s.abandon(now, f, p) {
+	f := s.existingFlow(p)
+	if f != nil && !s.shouldReassign(now, f, p) {
 		return f.backend.forward(Repeated)
 	}
 	var avoid *backend
@@ -179,38 +179,38 @@
 	}
 	b := s.choose(now, r, p, avoid, nil)
 	switch {
-	case b == nil && f != nil && s.barred(now, f.backend):
+	case b == nil && f != nil && s.isExcluded(now, f.backend):
 		// Not reset: its endpoint may have answered the first packet, and the flow be open.
-		return Decision{Reason: s.noEndpoint(r), ID: f.backend.ID}
+		return Decision{Reason: s.noEndpointReason(r), ID: f.backend.ID}
 	case b == nil && f != nil:
 		return f.backend.forward(Repeated)
-	case b == nil && !s.whole:
+	case b == nil && !s.synced:
 		return Decision{Reason: NoTable}
 	case b == nil:
-		return Decision{Action: Reset, Reason: s.noEndpoint(r)}
+		return Decision{Action: Reset, Reason: s.noEndpointReason(r)}
 	case f != nil:
-		s.noteTrial(now, b)
-		s.move(now, f, b)
+		s.noteProbeFlow(now, b)
+		s.reassign(now, f, b)
 		return b.forward(Replaced)
 	}
-	s.noteTrial(now, b)
-	s.remember(now, p, b)
+	s.noteProbeFlow(now, b)
+	s.trackOpening(now, p, b)
 	return b.forward(Placed)
 }
 
-// opened returns the flow that an opening packet is a copy for, nil where it is
+// existingFlow returns the flow that an opening packet is a copy for, nil where it is
 // the first one; a flow between the same addresses that began otherwise ends.
-func (s *Steerer) opened(p Packet) *flow {
+func (s *Steerer) existingFlow(p Packet) *flow {
 	f := s.flows[flowKey{p.Src, p.Dst}]
-	if f != nil && f.first != p.Seq {
-		s.end(f)
+	if f != nil && f.initialSeq != p.Seq {
+		s.removeFlow(f)
 		return nil
 	}
 	return f
 }
 
-// abandon reports whether a copy goes to another endpoint: there is evidence
+// shouldReassign reports whether a copy goes to another endpoint: there is evidence
 // that the first one is silent, or it is the last copy.
-func (s *Steerer) abandon(now time.Time, f *flow, p Packet) bool {
-	return !f.open && (p.Copy >= lastCopy || !s.takesNew(now, f.backend) || s.avoids(now, f.backend))
+func (s *Steerer) shouldReassign(now time.Time, f *flow, p Packet) bool {
+	return !f.established && (p.Copy >= reassignAttempt || !s.isEligible(now, f.backend) || s.isAvoided(now, f.backend))
 }
--- a/internal/steer/tag.go
+++ b/internal/steer/tag.go
@@ -5,61 +5,61 @@
 const (
 	// The keys of the hash of tags and of opening packets; they are part of the
 	// protocol between entries.
-	tagKey0 = 0x6f78626f77736164
-	tagKey1 = 0x646c652074616773
+	hashKey0 = 0x6f78626f77736164
+	hashKey1 = 0x646c652074616773
 
-	// unsureBeats is how many heartbeat periods apart two starts must be for
+	// startToleranceBeats is how many heartbeat periods apart two starts must be for
 	// every entry to see the same one first: entries learn of an endpoint within
 	// a few.
-	unsureBeats = 10
+	startToleranceBeats = 10
 )
 
 // Tag returns the tag of an incarnation of an endpoint; it is the same on
 // every entry, and never 0.
 func Tag(id string) uint32 {
-	h := siphash.Hash(tagKey0, tagKey1, []byte(id))
+	h := siphash.Hash(hashKey0, hashKey1, []byte(id))
 	return max(1, uint32(h^h>>32))
 }
 
-// settleTag gives the tag to one of the incarnations that hash to it, so that
+// assignTag gives the tag to one of the incarnations that hash to it, so that
 // all entries decide alike. The others get no flows.
-func (s *Steerer) settleTag(b *backend) {
-	first := s.byTag[b.tag]
+func (s *Steerer) assignTag(b *backend) {
+	holder := s.byTag[b.tag]
 	switch {
-	case first == nil:
+	case holder == nil:
 		s.byTag[b.tag] = b
-	case s.before(first, b):
-		b.shadowed = true
+	case s.tagPrecedes(holder, b):
+		b.tagConflict = true
 	default:
-		first.shadowed = true
-		s.list(first)
+		holder.tagConflict = true
+		s.updatePool(holder)
 		s.byTag[b.tag] = b
 	}
-	s.list(b)
+	s.updatePool(b)
 }
 
-// before reports whether a has a tag before b: the older one, since flows of its
+// tagPrecedes reports whether a has a tag tagPrecedes b: the older one, since flows of its
 // own are open; where they are about as old, the one whose id comes first. An
 // entry that has just started tells their age by their sequences, as others have
 // seen it themselves.
-func (s *Steerer) before(a, b *backend) bool {
-	if unsure := unsureBeats * s.config.Beat; a.startedAt.Sub(b.startedAt).Abs() > unsure {
+func (s *Steerer) tagPrecedes(a, b *backend) bool {
+	if tolerance := startToleranceBeats * s.config.Beat; a.startedAt.Sub(b.startedAt).Abs() > tolerance {
 		return a.startedAt.Before(b.startedAt)
 	}
 	return a.ID < b.ID
 }
 
-// freeTag gives the tag of a forgotten incarnation to another one that hashes to
+// releaseTag gives the tag of a forgotten incarnation to another one that hashes to
 // it, if there is one.
-func (s *Steerer) freeTag(forgotten *backend) {
+func (s *Steerer) releaseTag(forgotten *backend) {
 	if s.byTag[forgotten.tag] != forgotten {
 		return
 	}
 	delete(s.byTag, forgotten.tag)
 	for _, b := range s.byID {
 		if b.tag == forgotten.tag {
-			b.shadowed = false
-			s.settleTag(b)
+			b.tagConflict = false
+			s.assignTag(b)
 		}
 	}
 }
--- a/internal/steer/tag_test.go
+++ b/internal/steer/tag_test.go
@@ -17,11 +17,11 @@
 		for _, b := range []*backend{first, second} {
 			fresh := *b
 			s.byID[b.ID] = &fresh
-			s.settleTag(&fresh)
+			s.assignTag(&fresh)
 		}
 		holder := s.byTag[77]
 		for _, b := range s.byID {
-			Expect(b.open()).To(Equal(b == holder), b.ID)
+			Expect(b.acceptsFlows()).To(Equal(b == holder), b.ID)
 		}
 		return holder.ID
 	}
@@ -48,12 +48,12 @@
 		a, b := incarnation("a", start), incarnation("b", start)
 		for _, x := range []*backend{a, b} {
 			s.byID[x.ID] = x
-			s.settleTag(x)
+			s.assignTag(x)
 		}
 		a.Gone, a.goneAt = true, start
-		s.forgetEnded(start.Add(time.Minute))
+		s.purgeEndedBackends(start.Add(time.Minute))
 		Expect(s.byTag[77]).To(Equal(b))
-		Expect(b.open()).To(BeTrue())
+		Expect(b.acceptsFlows()).To(BeTrue())
 	})
 
 	It("tells their age by how often they were heard, as an entry does that has just started", func() {
