--- a/internal/steer/backend.go
+++ b/internal/steer/backend.go
@@ -7,63 +7,61 @@
 )
 
 const (
-	// suspectThreshold is how many opened flows in a row stay without an
-	// answer before an endpoint is avoided: one may be a lost packet.
+	// suspectThreshold is how many consecutive flows must go unanswered before new flows avoid
+	// an endpoint; a single one may be a lost packet.
 	suspectThreshold = 2
-	// minSuspectPeriod and suspectMost bound how long it is avoided before one
-	// flow tries it again; the span doubles with each failure.
+	// minSuspectPeriod and maxSuspectPeriod bound how long new flows avoid a suspect endpoint.
+	// The period doubles with each failure.
 	minSuspectPeriod = time.Second
 	maxSuspectPeriod = 4 * time.Second
-	// openFlowLoad is what an open flow counts beside a request in progress: a long
-	// flow of a request a second that takes some 20 ms. From 0 to 0.025 it makes no
-	// difference on three deployments; from 0.05 on it outweighs foreignLoad where
-	// flows are long, and more of them cross failure domains.
+	// openFlowLoad is the load of an idle open flow, relative to a request in progress. It must
+	// stay small beside remotePenalty, or long flows would cross failure domains.
 	openFlowLoad = 0.02
-	// coldPenalty is what an endpoint that is still slow counts in addition.
+	// coldPenalty is the additional load of an endpoint that is still warming up.
 	coldPenalty = 0.3
-	// remotePenalty is what an endpoint of another failure domain counts in
-	// addition, and foreignBulkLoad where the answers are large.
+	// remotePenalty is the additional load of an endpoint in another failure domain, and
+	// remoteBulkPenalty that on routes with large responses.
 	remotePenalty     = 0.4
 	remoteBulkPenalty = 1.0
 )
 
-// backend is an incarnation of an endpoint with what this entry saw of it.
+// backend is an incarnation of an endpoint and what this entry has observed of it.
 type backend struct {
 	registry.Endpoint
 	tag         uint32
 	digestPart  uint64    // bit of its part of the digest
-	sum         uint64    // as the digest has it, 0 before that
-	startedAt   time.Time // about when it started, by how often it was heard since
+	sum         uint64    // checksum that the digest includes, 0 before the first
+	startedAt   time.Time // estimated from the heartbeat sequence
 	warmUntil   time.Time
-	learnedAt   time.Time // when this entry learned of it
+	learnedAt   time.Time // when this entry first heard of it
 	goneAt      time.Time
-	leavingAt   time.Time // when this entry learned that it leaves
-	silent      bool      // by every control instance that knows it
-	silentAt    time.Time // since when
-	tagConflict bool      // another one has the same tag and comes first
+	leavingAt   time.Time // when this entry heard that it is leaving
+	silent      bool      // to every control instance that knows it
+	silentAt    time.Time // since when it is silent
+	tagConflict bool      // another incarnation holds the same tag
 
-	flows           int // remembered by this entry
-	pendingRequests int // requests of theirs that wait for the first byte of the answer
-	failedOpens     int // flows in a row that were not answered
+	flows           int // tracked by this entry
+	pendingRequests int // requests on these flows without a response
+	failedOpens     int // consecutive flows without an answer
 	suspectPeriod   time.Duration
 	suspectUntil    time.Time
 
 	reach     reachability
 	ejection  ejection
-	responses *responseCounts // of its service
-	position  *poolPosition   // nil while new flows may not go to it
+	responses *responseCounts // counts of its service
+	position  *poolPosition   // nil while it gets no new flows
 }
 
-// clearFailures takes the evidence that the endpoint answers; it reports whether
-// the endpoint was under suspicion for flows that it had not clearFailures.
+// clearFailures records that the endpoint answers. It reports whether the endpoint was suspect
+// because of unanswered flows.
 func (b *backend) clearFailures() bool {
 	was := b.failedOpens >= suspectThreshold
 	b.failedOpens, b.suspectPeriod, b.suspectUntil = 0, 0, time.Time{}
 	return was
 }
 
-// recordFailedOpen takes the evidence that it did not answer a flow; it reports
-// whether the endpoint is avoided from now on.
+// recordFailedOpen records a flow that the endpoint did not answer. It reports whether new
+// flows avoid the endpoint from now on.
 func (b *backend) recordFailedOpen(now time.Time) bool {
 	b.failedOpens++
 	if b.failedOpens < suspectThreshold || now.Before(b.suspectUntil) {
@@ -74,19 +72,18 @@
 	return true
 }
 
-// isSuspect reports whether flows avoid it, as long as there are others.
+// isSuspect reports whether new flows avoid the endpoint while others are available.
 func (b *backend) isSuspect(now time.Time) bool {
 	return b.silent || b.reach.lost || now.Before(b.suspectUntil)
 }
 
-// isCold reports whether it is still slow, as far as it said.
+// isCold reports whether the endpoint is still warming up, according to its last report.
 func (b *backend) isCold(now time.Time) bool { return now.Before(b.warmUntil) }
 
-// acceptsFlows reports whether new flows may go to it at all.
+// acceptsFlows reports whether the endpoint can get new flows.
 func (b *backend) acceptsFlows() bool { return !b.Leaving && !b.Gone && !b.tagConflict }
 
-// load returns the share of its slots that is taken, as far as this entry
-// sees it, with what speaks against it.
+// load returns the share of the slots in use, as seen by this entry, plus penalties.
 func (b *backend) load(now time.Time, domain string, bulk bool) float64 {
 	load := (float64(b.pendingRequests) + openFlowLoad*float64(b.flows)) / float64(max(1, b.Slots))
 	if b.isCold(now) {
@@ -98,8 +95,7 @@
 	return load
 }
 
-// remotePenaltyFor returns what an endpoint of another failure domain counts in
-// addition.
+// remotePenaltyFor returns the penalty of an endpoint in another failure domain.
 func remotePenaltyFor(bulk bool) float64 {
 	if bulk {
 		return remoteBulkPenalty
@@ -107,7 +103,7 @@
 	return remotePenalty
 }
 
-// forward returns the decision that sends a packet to the endpoint.
+// forward returns the decision to forward a packet to the endpoint.
 func (b *backend) forward(reason Reason) Decision {
 	return Decision{Action: Forward, Reason: reason, To: b.Addr, Number: b.Number, Tag: b.tag, ID: b.ID}
 }
--- a/internal/steer/bench_test.go
+++ b/internal/steer/bench_test.go
@@ -10,8 +10,8 @@
 
 func BenchmarkSteer(b *testing.B) {
 	s := benchmarkSteerer()
-	d := s.Decide(start, openingPacket(1000, 7, 0))
-	p := establishedPacket(1000, d.Tag, 8, 1, 10)
+	d := s.Decide(start, synPacket(1000, 7, 0))
+	p := flowPacket(1000, d.Tag, 8, 1, 10)
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Seq += 10
@@ -26,7 +26,7 @@
 	var port uint16
 	for b.Loop() {
 		port++
-		s.Decide(start, openingPacket(port, uint32(b.N), 0))
+		s.Decide(start, synPacket(port, uint32(b.N), 0))
 	}
 }
 
@@ -52,7 +52,7 @@
 			r := s.routes[bookingAddr]
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				s.choose(start, r, fleetOpeningPacket(n), nil, nil)
+				s.choose(start, r, fleetSynPacket(n), nil, nil)
 			}
 		})
 	}
--- a/internal/steer/cold_test.go
+++ b/internal/steer/cold_test.go
@@ -43,7 +43,7 @@
 			s := fleet(4)
 			for n := range flows {
 				at := start.Add(time.Duration(rand.New(rand.NewPCG(uint64(n), 1)).Int64N(int64(coldFor))))
-				d := s.Decide(at, fleetOpeningPacket(n))
+				d := s.Decide(at, fleetSynPacket(n))
 				Expect(d.Action).To(Equal(Forward))
 				got[d.ID]++
 			}
@@ -61,7 +61,7 @@
 			}
 			got := 0
 			for n := range 4000 {
-				if d := s.Decide(at, fleetOpeningPacket(n)); d.Number >= 200 {
+				if d := s.Decide(at, fleetSynPacket(n)); d.Number >= 200 {
 					got++
 				}
 			}
@@ -73,24 +73,24 @@
 		s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10_000})
 		bounded(s, 1, 4)
 		s.Learn(start, "c1", reports(coldReport(1, "plateau"), coldReport(2, "plateau"), fleetReport(3, "almadies")))
-		d := s.Decide(start, fleetOpeningPacket(1))
+		d := s.Decide(start, fleetSynPacket(1))
 		Expect(d.Number).To(Equal(uint64(3)))
 		s.Learn(start, "c1", reports(func() *wire.EndpointReport {
 			m := fleetReport(3, "almadies")
 			m.Sequence, m.Leaving = 2, true
 			return m
 		}()))
-		d = s.Decide(start, fleetOpeningPacket(2))
+		d = s.Decide(start, fleetSynPacket(2))
 		Expect(d.Action).To(Equal(Reset))
 		Expect(d.Reason).To(Equal(Cold))
-		Expect(s.Explain(start, fleetOpeningPacket(2).Src, bookingAddr).Candidates[0].Verdict).To(ContainSubstring("warm in 2s"))
+		Expect(s.Explain(start, fleetSynPacket(2).Src, bookingAddr).Candidates[0].Verdict).To(ContainSubstring("warm in 2s"))
 	})
 
 	It("get no copy of an opening packet that was sent before they became cold again", func() {
 		s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10_000})
 		bounded(s, 1, 4)
 		s.Learn(start, "c1", reports(fleetReport(1, "plateau")))
-		p := fleetOpeningPacket(1)
+		p := fleetSynPacket(1)
 		Expect(s.Decide(start, p).Number).To(Equal(uint64(1)))
 		again := coldReport(1, "plateau")
 		again.Sequence = 2
--- a/internal/steer/convergence_test.go
+++ b/internal/steer/convergence_test.go
@@ -38,8 +38,8 @@
 	return t
 }
 
-// hear has a control instance hear an endpoint, or that it leaves.
-func (t *convergenceTest) hear(at, n int, leaving bool) {
+// heartbeat has a control instance heartbeat an endpoint, or that it leaves.
+func (t *convergenceTest) heartbeat(at, n int, leaving bool) {
 	id := fmt.Sprint("i-", n)
 	t.sequences[id]++
 	t.leaving[id] = t.leaving[id] || leaving
@@ -86,7 +86,7 @@
 	at, n := rapid.IntRange(0, 1).Draw(r, "at"), rapid.IntRange(0, 3).Draw(r, "endpoint")
 	switch rapid.IntRange(0, 7).Draw(r, "step") {
 	case 0, 1:
-		t.hear(at, n, rapid.IntRange(0, 9).Draw(r, "leaving") == 0)
+		t.heartbeat(at, n, rapid.IntRange(0, 9).Draw(r, "leaving") == 0)
 	case 2:
 		if rapid.IntRange(0, 4).Draw(r, "ends") == 0 {
 			t.registries[at].Leave(t.now, fmt.Sprint("i-", n))
--- a/internal/steer/counts.go
+++ b/internal/steer/counts.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Counts tells what a Steerer holds.
+// Counts holds the sizes of a Steerer's tables and its document version.
 type Counts struct {
 	Flows, Endpoints, Silent, Suspect, Lost, Hung int
 	Version                                       uint64
 }
 
-// Counts returns what the Steerer holds.
+// Counts returns the current counts.
 func (s *Steerer) Counts(now time.Time) Counts {
 	c := Counts{Flows: len(s.flows), Endpoints: len(s.byID), Version: s.Version()}
 	for _, b := range s.byID {
--- a/internal/steer/decision.go
+++ b/internal/steer/decision.go
@@ -2,32 +2,32 @@
 
 import "net/netip"
 
-// What to do with a packet.
+// Actions on a packet.
 const (
 	Drop Action = iota
 	Forward
 	Reset
 )
 
-// Why it is done: the closed list.
+// Reasons for a decision.
 const (
-	Placed       Reason = iota // a new flow, on the endpoint chosen for it
-	Repeated                   // a copy, to the endpoint that was chosen before
-	Replaced                   // a copy, to another one: the first is silent
-	Steered                    // by its tag
-	Corrected                  // by the tag that the flow settled on
-	NoTable                    // nothing is known yet
-	NoRoute                    // no route leads from that address
-	RouteDropped               // the configuration in force dropped the route
-	NoEndpoint                 // no endpoint may take the flow
-	UnknownTag                 // no endpoint is known by the tag
-	EndpointGone               // the flow's endpoint has ended
-	EndpointLost               // the flow's endpoint cannot be reached from here
-	Evacuated                  // the failure domains of all endpoints that could take the flow are evacuated
-	Cold                       // all endpoints that could take the flow are cold, and carry few requests a second
-	Malformed                  // the packet cannot be read, or no caller sends such
+	Placed       Reason = iota // new flow, placed on a chosen endpoint
+	Repeated                   // retransmitted SYN, to the endpoint chosen before
+	Replaced                   // retransmitted SYN, to another endpoint, as the first does not answer
+	Steered                    // forwarded by tag
+	Corrected                  // forwarded by the tag of the endpoint that the flow was established with
+	NoTable                    // no document, or not all endpoints, known yet
+	NoRoute                    // no route for the address
+	RouteDropped               // the document in force dropped the route
+	NoEndpoint                 // no endpoint accepts the flow
+	UnknownTag                 // no known endpoint has the tag
+	EndpointGone               // the endpoint of the flow has ended
+	EndpointLost               // the endpoint of the flow cannot be reached from this entry
+	Evacuated                  // all endpoints that could take the flow are in evacuated failure domains
+	Cold                       // all endpoints that could take the flow are cold and limited in rate
+	Malformed                  // cannot be parsed, or not valid from a client
 
-	// ReasonCount is how many there are.
+	// ReasonCount is the number of reasons.
 	ReasonCount
 )
 
@@ -35,18 +35,18 @@
 	// Action is what to do with a packet.
 	Action int
 
-	// Reason is why.
+	// Reason is why a decision was made.
 	Reason int
 
-	// Decision is what to do with one packet.
+	// Decision says what to do with one packet.
 	Decision struct {
 		Action Action
 		Reason Reason
-		To     netip.AddrPort // of the endpoint
-		Number uint64         // what names the endpoint's incarnation in front of the packet
-		Tag    uint32         // to be written into the packet
-		Seq    uint32         // of a reset: what the caller expects next
-		// For the log: the endpoint's id, and the document that decided.
+		To     netip.AddrPort // address of the endpoint
+		Number uint64         // identifies the endpoint's incarnation in the header put before the packet
+		Tag    uint32         // tag to write into the packet
+		Seq    uint32         // sequence number of a reset
+		// ID of the endpoint and version of the document, for logs.
 		ID      string
 		Version uint64
 	}
@@ -60,13 +60,11 @@
 	}
 )
 
-// String returns the action's name.
 func (a Action) String() string { return actionNames[a] }
 
-// String returns the reason's name.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reasons returns the closed list.
+// Reasons returns all reasons.
 func Reasons() []Reason {
 	all := make([]Reason, ReasonCount)
 	for i := range all {
--- a/internal/steer/evacuation.go
+++ b/internal/steer/evacuation.go
@@ -8,10 +8,9 @@
 	"oxbowsaddle/internal/evacuation"
 )
 
-// SetEvacuations has no new flow go to the failure domains of a set; a set that is
-// not newer than the one in force changes nothing, so that an entry never goes back
-// behind what it was told, whoever tells it. Open flows stay: their packets go by
-// the tag. It reports whether the set is in force now for the first time.
+// SetEvacuations stops new flows to the failure domains of a set. Established flows stay, as
+// their packets are forwarded by tag. A set that is not newer than the current one is ignored,
+// whoever sends it. It reports whether the set was applied.
 func (s *Steerer) SetEvacuations(set *evacuation.Set) bool {
 	if set.Revision() <= s.evacuations.Revision() {
 		return false
@@ -23,26 +22,26 @@
 	return true
 }
 
-// Evacuations returns the set in force, that of revision 0 before the first.
+// Evacuations returns the current set, which has revision 0 at first.
 func (s *Steerer) Evacuations() *evacuation.Set { return s.evacuations }
 
-// isEvacuated reports whether no new flow goes to an endpoint since its failure
-// domain is isEvacuated.
+// isEvacuated reports whether the endpoint's failure domain is evacuated.
 func (s *Steerer) isEvacuated(b *backend) bool { return s.tierOf(b) == evacuatedTier }
 
-// isEligible reports whether new flows may go to an endpoint now.
+// isEligible reports whether new flows may go to the endpoint now.
 func (s *Steerer) isEligible(now time.Time, b *backend) bool {
 	return b.acceptsFlows() && !s.isExcluded(now, b)
 }
 
-// isExcluded reports whether no new flow may go to an endpoint, whatever it says of itself.
+// isExcluded reports whether new flows must not go to the endpoint, whatever state it reports
+// itself.
 func (s *Steerer) isExcluded(now time.Time, b *backend) bool {
 	return s.isEvacuated(b) || s.excludedWhileCold(now, b)
 }
 
-// noEndpointReason returns why no endpoint may take a new flow of a route. Where only
-// evacuated ones could, the flow is reset at once all the same: the operator's order
-// goes before serving, and the caller learns that nothing has run.
+// noEndpointReason returns why no endpoint accepts a new flow of a route. If all candidates are
+// evacuated, the evacuation takes precedence over serving, and the reset tells the client that
+// nothing was executed.
 func (s *Steerer) noEndpointReason(r *route) Reason {
 	for _, share := range r.Shares {
 		if p := s.pools[share.Service]; p != nil && len(p[evacuatedTier]) > 0 {
@@ -55,8 +54,8 @@
 	return NoEndpoint
 }
 
-// hasColdLimited reports whether a route has endpoints that would take new flows if they
-// were warm.
+// hasColdLimited reports whether a route has endpoints that are excluded only while they are
+// cold.
 func (s *Steerer) hasColdLimited(r *route) bool {
 	return slices.ContainsFunc(r.Shares, func(share document.Share) bool {
 		p := s.pools[share.Service]
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -35,7 +35,7 @@
 	placedIn := func(flows int) map[string]int {
 		given := map[string]int{}
 		for n := range flows {
-			p := fleetOpeningPacket(n)
+			p := fleetSynPacket(n)
 			if d := s.Decide(start, p); d.Action == Forward {
 				given[domainOf(d)]++
 			}
@@ -58,7 +58,7 @@
 	})
 
 	It("keeps the flows that are open, and gets new ones once it is taken back", func() {
-		opening := fleetOpeningPacket(1)
+		opening := fleetSynPacket(1)
 		d := s.Decide(start, opening)
 		s.SetEvacuations(setOf(4, "plateau"))
 		later := s.Decide(start.Add(time.Second), Packet{Src: opening.Src, Dst: opening.Dst, Flags: Ack, Seq: 8, Ack: 2, Tag: d.Tag, Len: 10})
@@ -82,7 +82,7 @@
 	})
 
 	It("gets no copy of an opening packet either", func() {
-		opening := fleetOpeningPacket(1)
+		opening := fleetSynPacket(1)
 		s.Decide(start, opening)
 		s.SetEvacuations(setOf(4, "plateau"))
 		opening.Copy = 1
@@ -90,7 +90,7 @@
 	})
 
 	It("gets none where no other endpoint takes it, and the flow, which may be open, is not reset", func() {
-		opening := fleetOpeningPacket(1)
+		opening := fleetSynPacket(1)
 		s.Decide(start, opening)
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
 		opening.Copy = 1
@@ -101,7 +101,7 @@
 
 	It("has new flows reset at once where every one is evacuated, and says why", func() {
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
-		opening := fleetOpeningPacket(1)
+		opening := fleetSynPacket(1)
 		d := s.Decide(start, opening)
 		Expect(d.Action).To(Equal(Reset))
 		Expect(d.Reason).To(Equal(Evacuated))
--- a/internal/steer/explain.go
+++ b/internal/steer/explain.go
@@ -10,7 +10,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// nextSteps tells an operator what to do about a decision.
+// nextSteps holds the advice to operators for each reason.
 var nextSteps = [ReasonCount]string{
 	Placed:       "nothing: this is where a new flow goes",
 	Repeated:     "nothing, if it is rare: the first packet or its answer was lost; else look at the endpoint",
@@ -29,10 +29,9 @@
 	EndpointLost: "look at the endpoint, and at the network to its failure domain",
 }
 
-// Explain tells what the Steerer remembers of a flow, or, where it remembers
-// nothing, what it would do with its opening packet now; and of every endpoint
-// that the route leads to why it was chosen or passed over. The entry and the
-// time of day are left to the caller.
+// Explain describes a tracked flow, or the decision that the SYN of an untracked flow would get
+// now, and why each endpoint of the route was chosen or passed over. The caller fills in the
+// entry and the time.
 func (s *Steerer) Explain(now time.Time, src, dst netip.AddrPort) *wire.Decision {
 	d := &wire.Decision{Subject: Subject(src, dst), Index: s.Version(), Active: s.Version()}
 	r := s.routes[dst]
@@ -48,8 +47,8 @@
 	return d
 }
 
-// explainFlow fills in the action and the endpoint, and returns why; looked takes
-// the endpoints that are looked at for a flow that is not remembered.
+// explainFlow fills in the action and the endpoint, and returns the reason. The endpoints
+// considered for an untracked flow are added to considered.
 func (s *Steerer) explainFlow(now time.Time, d *wire.Decision, r *route, p Packet, considered map[*backend]bool) Reason {
 	d.Action = Forward.String()
 	f := s.flows[flowKey{p.Src, p.Dst}]
@@ -72,12 +71,11 @@
 		}
 		return Steered
 	}
-	return s.explainOpening(now, d, r, p, considered)
+	return s.explainPlacement(now, d, r, p, considered)
 }
 
-// explainOpening fills in what would be done with an opening packet now, and
-// returns why.
-func (s *Steerer) explainOpening(now time.Time, d *wire.Decision, r *route, p Packet, considered map[*backend]bool) Reason {
+// explainPlacement fills in the decision that a SYN would get now, and returns the reason.
+func (s *Steerer) explainPlacement(now time.Time, d *wire.Decision, r *route, p Packet, considered map[*backend]bool) Reason {
 	d.Recomputed = true
 	b := s.choose(now, r, p, nil, func(b *backend) { considered[b] = true })
 	switch {
@@ -92,7 +90,7 @@
 	return Placed
 }
 
-// describe names a route with the weights of its services.
+// describe returns the route with the weights of its services.
 func (r *route) describe() string {
 	var shares []string
 	for _, share := range r.Shares {
@@ -101,11 +99,11 @@
 	return fmt.Sprintf("route %s: services by weight: %s; priority %d, bulk %t", r.Name, strings.Join(shares, ", "), r.Priority, r.Bulk)
 }
 
-// describe tells what is remembered of a flow.
+// describe returns the state of the flow.
 func (f *flow) describe(now time.Time) string {
 	state := "its caller has not gone on yet"
 	switch {
-	case f.awaitingResponse:
+	case f.awaiting:
 		state = "a request waits for its answer"
 	case f.established:
 		state = "open"
@@ -114,8 +112,8 @@
 		now.Sub(f.lastSeen).Round(time.Millisecond), state)
 }
 
-// candidates tells of each endpoint of a route's services why it is chosen or
-// passed over, by id.
+// candidates returns why each endpoint of a route's services is chosen or passed over, ordered
+// by ID.
 func (s *Steerer) candidates(now time.Time, r *route, d *wire.Decision, considered map[*backend]bool) []*wire.Candidate {
 	var list []*wire.Candidate
 	for _, b := range s.byID {
@@ -135,7 +133,8 @@
 	return list
 }
 
-// verdict tells what speaks for and against an endpoint here.
+// verdict returns what counts for and against an endpoint, including the exclusions of this
+// entry.
 func (s *Steerer) verdict(now time.Time, b *backend, bulk bool) string {
 	verdict := b.verdict(now, s.config.Domain, bulk)
 	if now.Before(b.ejection.until) {
@@ -150,7 +149,7 @@
 	return verdict
 }
 
-// verdict tells what speaks for and against an endpoint.
+// verdict returns what counts for and against the endpoint by its own state.
 func (b *backend) verdict(now time.Time, domain string, bulk bool) string {
 	switch {
 	case b.Gone:
@@ -179,8 +178,7 @@
 	return verdict
 }
 
-// Drains returns the endpoints that leave, by id, with the flows of theirs that
-// this entry remembers.
+// Drains returns the leaving endpoints and their number of tracked flows, ordered by ID.
 func (s *Steerer) Drains(now time.Time) []*wire.DrainStatus {
 	var all []*wire.DrainStatus
 	for _, b := range s.byID {
--- a/internal/steer/explain_test.go
+++ b/internal/steer/explain_test.go
@@ -18,7 +18,7 @@
 		s.Learn(start, "c1", reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
 	})
 	explain := func(now time.Time, port uint16) *wire.Decision {
-		p := openingPacket(port, 7, 0)
+		p := synPacket(port, 7, 0)
 		return s.Explain(now, p.Src, p.Dst)
 	}
 	verdict := func(d *wire.Decision, id string) string {
@@ -31,8 +31,8 @@
 	}
 
 	It("tells where a flow is and since when, without changing anything", func() {
-		placed := s.Decide(start, openingPacket(1000, 7, 0))
-		s.Decide(start, establishedPacket(1000, placed.Tag, 8, 1, 10))
+		placed := s.Decide(start, synPacket(1000, 7, 0))
+		s.Decide(start, flowPacket(1000, placed.Tag, 8, 1, 10))
 		before := s.Counts(start)
 		d := explain(start.Add(time.Second), 1000)
 		Expect(s.Counts(start)).To(Equal(before))
@@ -51,7 +51,7 @@
 		Expect(d.Reason).To(Equal(Placed.String()))
 		Expect(d.Parameter).To(ContainSubstring("booking 1"))
 		Expect(s.Counts(start).Flows).To(BeZero())
-		Expect(s.Decide(start, openingPacket(1000, 0, 0)).ID).To(Equal(d.Endpoint))
+		Expect(s.Decide(start, synPacket(1000, 0, 0)).ID).To(Equal(d.Endpoint))
 	})
 
 	It("tells why each endpoint is passed over", func() {
@@ -71,12 +71,12 @@
 	})
 
 	It("names what is missing", func() {
-		d := s.Explain(start, openingPacket(1000, 7, 0).Src, netip.MustParseAddrPort("198.18.0.9:1"))
+		d := s.Explain(start, synPacket(1000, 7, 0).Src, netip.MustParseAddrPort("198.18.0.9:1"))
 		Expect(d.Reason).To(Equal(NoRoute.String()))
 		Expect(d.Action).To(Equal(Reset.String()))
 		Expect(d.NextStep).NotTo(BeEmpty())
 		s.SetDocument(start, testDocument(5))
 		Expect(explain(start, 1000).Reason).To(Equal(RouteDropped.String()))
-		Expect(New(Config{}).Explain(start, openingPacket(1000, 7, 0).Src, bookingAddr).Reason).To(Equal(NoTable.String()))
+		Expect(New(Config{}).Explain(start, synPacket(1000, 7, 0).Src, bookingAddr).Reason).To(Equal(NoTable.String()))
 	})
 })
--- a/internal/steer/flow.go
+++ b/internal/steer/flow.go
@@ -6,50 +6,50 @@
 )
 
 const (
-	// openTimeout is how long an opened flow may stay without a further
-	// packet of its caller before that counts against the endpoint: several
-	// round trips, and less than the 200 ms after which callers repeat.
+	// openTimeout is how long a SYN may go without a further packet of the client before it
+	// counts as unanswered: several round trips, and less than the 200 ms after which clients
+	// retransmit.
 	openTimeout = 80 * time.Millisecond
-	// defaultIdleTimeout is how long a flow is remembered where no document says.
+	// defaultIdleTimeout is the idle timeout of flows while no document sets one.
 	defaultIdleTimeout = 15 * time.Second
 )
 
-// flow is what an entry remembers of a flow for balance and for copies of
-// its opening packet; steering needs no record.
+// flow is the state kept for load estimates and for retransmitted SYNs; forwarding by tag does
+// not need it.
 type flow struct {
 	key                flowKey
 	backend            *backend
-	initialSeq         uint32 // seq of the opening packet
+	initialSeq         uint32 // sequence number of the SYN
 	openedAt           time.Time
 	lastSeen           time.Time
-	established        bool          // the caller went on
-	reassigned         bool          // copies went to two endpoints
-	awaitingResponse   bool          // a request waits for its answer
-	requestEnd         uint32        // seq after the last request
-	requestAt          time.Time     // when its last packet came first
-	lastAck            uint32        // ack of the last packet
-	responseStart      uint32        // ack when the last request went in
-	idleElement        *list.Element // of Steerer.resting
-	sawRetransmitFirst bool          // this entry saw no copy before a later one
-	pendingElement     *list.Element // of Steerer.opening, nil once the flow is answered or counted
+	established        bool          // the client has sent a further packet
+	reassigned         bool          // SYNs went to two endpoints
+	awaiting           bool          // a request waits for its response
+	requestEnd         uint32        // sequence number after the last request
+	requestAt          time.Time     // when the end of the last request was first seen
+	lastAck            uint32        // acknowledgement number of the last packet
+	responseStart      uint32        // acknowledgement number at the last request
+	idleElement        *list.Element // in Steerer.idleOrder
+	sawRetransmitFirst bool          // the first SYN seen here was a retransmission
+	pendingElement     *list.Element // in Steerer.pendingOpens, nil once answered or counted
 }
 
-// trackOpening begins the record of a flow that was placed.
+// trackOpening starts tracking a flow that was placed.
 func (s *Steerer) trackOpening(now time.Time, p Packet, b *backend) {
 	f := s.addFlow(now, p, b)
 	f.requestEnd, f.sawRetransmitFirst = p.Seq+1, p.Copy > 0
 	f.pendingElement = s.pendingOpens.PushBack(f)
 }
 
-// trackEstablished begins the record of an open flow that another entry carried so far, or
-// this one before its restart.
+// trackEstablished starts tracking an established flow that came through another entry, or was
+// placed before this one restarted.
 func (s *Steerer) trackEstablished(now time.Time, p Packet, b *backend) *flow {
 	f := s.addFlow(now, p, b)
 	f.established, f.requestEnd, f.lastAck = true, p.Seq, p.Ack
 	return f
 }
 
-// addFlow begins a addFlow; the one that has rested longest makes room.
+// addFlow adds a flow, evicting the least recently used one if the table is full.
 func (s *Steerer) addFlow(now time.Time, p Packet, b *backend) *flow {
 	if len(s.flows) >= s.config.MaxFlows {
 		s.removeFlow(s.idleOrder.Front().Value.(*flow))
@@ -61,7 +61,7 @@
 	return f
 }
 
-// reassign notes that a copy went to another endpoint.
+// reassign moves the flow to another endpoint after a retransmitted SYN.
 func (s *Steerer) reassign(now time.Time, f *flow, b *backend) {
 	f.bind(b)
 	f.reassigned, f.openedAt = true, now
@@ -69,8 +69,8 @@
 	f.pendingElement = s.pendingOpens.PushBack(f)
 }
 
-// observe takes what a later packet shows: that the endpoint answered, that a
-// request went in, that an answer came out, or that the flow ended.
+// observe updates a flow from a packet after the SYN: whether the endpoint answered, a request
+// was sent, a response arrived, or the flow ended.
 func (s *Steerer) observe(now time.Time, f *flow, b *backend, p Packet) {
 	f.lastSeen = now
 	s.idleOrder.MoveToBack(f.idleElement)
@@ -87,7 +87,7 @@
 	if int32(p.Ack-f.lastAck) > 0 {
 		s.markResponsive(now, f.backend)
 		s.countResponse(now, f)
-		f.setAwaitingResponse(false)
+		f.setAwaiting(false)
 	}
 	f.lastAck = p.Ack
 	if p.Len == 0 {
@@ -96,32 +96,31 @@
 	if end := p.Seq + uint32(p.Len); int32(end-f.requestEnd) > 0 {
 		s.noteResponseSize(now, f, p.Ack)
 		f.requestEnd, f.requestAt, f.responseStart = end, now, p.Ack
-		f.setAwaitingResponse(true)
+		f.setAwaiting(true)
 		s.trackRequest(f)
-	} else if f.awaitingResponse && now.Sub(f.requestAt) >= openTimeout { // sooner, packets have only overtaken each other
+	} else if f.awaiting && now.Sub(f.requestAt) >= openTimeout { // earlier, the packets may just be reordered
 		s.probe(now, f.backend, Unacked)
 	}
 }
 
-// bind counts the flow, and the request that it waits for, for another endpoint.
+// bind moves the flow and its pending request to another endpoint.
 func (f *flow) bind(b *backend) {
-	awaiting := f.awaitingResponse
-	f.setAwaitingResponse(false)
+	awaiting := f.awaiting
+	f.setAwaiting(false)
 	f.backend.flows--
 	f.backend = b
 	b.flows++
-	f.setAwaitingResponse(awaiting)
+	f.setAwaiting(awaiting)
 }
 
-// notifySuspect tells whoever listens that an endpoint is avoided from now on, or
-// no longer.
+// notifySuspect reports that new flows start or stop avoiding an endpoint.
 func (s *Steerer) notifySuspect(b *backend, suspect bool) {
 	if s.config.Suspected != nil {
 		s.config.Suspected(b.ID, suspect)
 	}
 }
 
-// establish binds the flow to the endpoint whose answer the caller took.
+// establish binds the flow to the endpoint whose SYN-ACK the client accepted.
 func (s *Steerer) establish(now time.Time, f *flow, b *backend) {
 	s.markResponsive(now, b)
 	f.bind(b)
@@ -138,8 +137,7 @@
 	}
 }
 
-// clearPending takes a flow off the list of those that wait for their first
-// answer.
+// clearPending removes a flow from the list of those without a first answer.
 func (s *Steerer) clearPending(f *flow) {
 	if f.pendingElement != nil {
 		s.pendingOpens.Remove(f.pendingElement)
@@ -147,31 +145,30 @@
 	}
 }
 
-// setAwaitingResponse notes whether a request of the flow waits for its answer.
-func (f *flow) setAwaitingResponse(awaiting bool) {
+// setAwaiting sets whether a request of the flow waits for its response.
+func (f *flow) setAwaiting(awaiting bool) {
 	switch {
-	case awaiting && !f.awaitingResponse:
+	case awaiting && !f.awaiting:
 		f.backend.pendingRequests++
-	case !awaiting && f.awaitingResponse:
+	case !awaiting && f.awaiting:
 		f.backend.pendingRequests--
 	}
-	f.awaitingResponse = awaiting
+	f.awaiting = awaiting
 }
 
-// removeFlow forgets a flow; nil is none.
+// removeFlow stops tracking a flow; nil is ignored.
 func (s *Steerer) removeFlow(f *flow) {
 	if f == nil {
 		return
 	}
-	f.setAwaitingResponse(false)
+	f.setAwaiting(false)
 	s.clearPending(f)
 	s.idleOrder.Remove(f.idleElement)
 	f.backend.flows--
 	delete(s.flows, f.key)
 }
 
-// sweep counts unanswered flows against their endpoints, forgets flows that
-// rested too long, and now and then what ended or was dropped long ago.
+// sweep runs the periodic checks.
 func (s *Steerer) sweep(now time.Time) {
 	s.countFailedOpens(now)
 	s.expireIdleFlows(now)
@@ -184,8 +181,7 @@
 	}
 }
 
-// countFailedOpens counts flows that got no answer in time against their
-// endpoints.
+// countFailedOpens counts flows that were not answered in time against their endpoints.
 func (s *Steerer) countFailedOpens(now time.Time) {
 	for e := s.pendingOpens.Front(); e != nil; e = s.pendingOpens.Front() {
 		f := e.Value.(*flow)
@@ -201,7 +197,7 @@
 	}
 }
 
-// expireIdleFlows forgets flows that rested for longer than the document allows.
+// expireIdleFlows removes flows that exceed the idle timeout.
 func (s *Steerer) expireIdleFlows(now time.Time) {
 	idle := defaultIdleTimeout
 	if s.document != nil && s.document.Idle() > 0 {
--- a/internal/steer/flow_test.go
+++ b/internal/steer/flow_test.go
@@ -15,25 +15,25 @@
 
 	It("carries a waiting request along when the flow turns out to be on another endpoint", func() {
 		s.Learn(start, "c1", reports(report("booking", 2, func(m *wire.EndpointReport) { m.Sequence, m.Leaving = 2, true })))
-		Expect(s.Decide(start, openingPacket(1000, 7, 0)).ID).To(Equal("booking-1"))
+		Expect(s.Decide(start, synPacket(1000, 7, 0)).ID).To(Equal("booking-1"))
 		tag := Tag("booking-5") // another entry knows it, this one not yet
-		Expect(s.Decide(start, establishedPacket(1000, tag, 8, 1, 10)).Reason).To(Equal(UnknownTag))
+		Expect(s.Decide(start, flowPacket(1000, tag, 8, 1, 10)).Reason).To(Equal(UnknownTag))
 		s.Learn(start, "c1", reports(report("booking", 5, nil)))
-		Expect(s.Decide(start, establishedPacket(1000, tag, 8, 1, 10)).Reason).To(Equal(Steered))
+		Expect(s.Decide(start, flowPacket(1000, tag, 8, 1, 10)).Reason).To(Equal(Steered))
 		Expect(s.byID["booking-1"].pendingRequests).To(BeZero())
 		Expect(s.byID["booking-5"].pendingRequests).To(Equal(1))
-		s.Decide(start, establishedPacket(1000, tag, 18, 99, 0))
+		s.Decide(start, flowPacket(1000, tag, 18, 99, 0))
 		Expect(s.byID["booking-5"].pendingRequests).To(BeZero())
 	})
 
 	It("bounds its records, and forgets flows that ended or rested", func() {
 		for port := range uint16(150) {
-			s.Decide(start, openingPacket(1000+port, 7, 0))
+			s.Decide(start, synPacket(1000+port, 7, 0))
 		}
 		Expect(s.Counts(start).Flows).To(Equal(100))
-		s.Decide(start.Add(defaultIdleTimeout+time.Second), openingPacket(9000, 7, 0))
+		s.Decide(start.Add(defaultIdleTimeout+time.Second), synPacket(9000, 7, 0))
 		Expect(s.Counts(start).Flows).To(Equal(1))
-		p := establishedPacket(9000, Tag("booking-1"), 8, 1, 0)
+		p := flowPacket(9000, Tag("booking-1"), 8, 1, 0)
 		p.Flags |= Fin
 		s.Decide(start.Add(defaultIdleTimeout+time.Second), p)
 		Expect(s.Counts(start).Flows).To(BeZero())
--- a/internal/steer/fuzz_test.go
+++ b/internal/steer/fuzz_test.go
@@ -38,8 +38,8 @@
 			s.Learn(now, "c1", r.ChangesBriefly(now, 0))
 			s.Learn(now, "c1", r.Lacking(now, s.Digest()))
 			s.Learn(now, "c2", m)
-			s.Decide(now, openingPacket(1000, 7, 0))
-			s.Decide(now, establishedPacket(1000, Tag("booking-1"), 8, 1, 10))
+			s.Decide(now, synPacket(1000, 7, 0))
+			s.Decide(now, flowPacket(1000, Tag("booking-1"), 8, 1, 10))
 		}
 		var digest registry.Digest
 		for _, b := range s.byID {
--- a/internal/steer/learn.go
+++ b/internal/steer/learn.go
@@ -8,8 +8,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Learn takes what a control instance, source, reports of endpoints. It returns
-// the ids of those of which that one knows something else.
+// Learn applies the endpoint reports of a control instance, source. It returns the IDs of the
+// endpoints whose records differ there and must be requested.
 func (s *Steerer) Learn(now time.Time, source string, reports *wire.Reports) (lacking []string) {
 	if reports.Whole {
 		s.Vouch(now, source)
@@ -35,7 +35,7 @@
 	return lacking
 }
 
-// learnSilence takes whether a control instance calls an endpoint silent.
+// learnSilence records whether a control instance calls an endpoint silent.
 func (s *Steerer) learnSilence(now time.Time, r *reporter, id string, silent bool) {
 	b := s.byID[id]
 	if b == nil {
@@ -49,15 +49,15 @@
 	}
 }
 
-// learnSum takes what a control instance knows of an endpoint by its sum; it
-// reports false where this entry must ask for more.
+// learnSum compares the checksum of a control instance's record of an endpoint. It returns
+// false if the full record must be requested.
 func (s *Steerer) learnSum(now time.Time, r *reporter, m *wire.RecordSum) bool {
 	b := s.byID[m.Id]
 	switch {
 	case b == nil:
 		return false
 	case b.Gone:
-		return true // for good, whatever others know
+		return true // an ended endpoint never changes again
 	case b.sum != m.Sum:
 		return false
 	}
@@ -67,8 +67,8 @@
 	return true
 }
 
-// learnMatchingParts takes that a control instance knows just what this entry knows of
-// some parts of the endpoints: those that it has not called silent it hears.
+// learnMatchingParts handles the parts of the digest that match a control instance's. It hears
+// all endpoints of these parts that it has not called silent.
 func (s *Steerer) learnMatchingParts(now time.Time, r *reporter, parts uint64) {
 	if parts == 0 {
 		return
@@ -80,8 +80,8 @@
 	}
 }
 
-// Vouch takes that a control instance, source, has had the time to hear every
-// endpoint: those that it has not called silent it hears.
+// Vouch records that a control instance, source, has been up long enough to hear every
+// endpoint. It hears all endpoints that it has not called silent.
 func (s *Steerer) Vouch(now time.Time, source string) {
 	for _, id := range s.reporterOf(source).markReady() {
 		if b := s.byID[id]; b != nil {
@@ -90,11 +90,11 @@
 	}
 }
 
-// Digest sums up what is known of endpoints, so that a control instance can
-// leave out what need not be told.
+// Digest returns the digest of all known endpoints, which lets a control instance leave out
+// what this entry knows.
 func (s *Steerer) Digest() registry.Digest { return s.digest }
 
-// Forget drops what a control instance said about silence: it is out of reach.
+// Forget drops what a control instance that is out of reach said about silence.
 func (s *Steerer) Forget(now time.Time, source string) {
 	delete(s.reporters, source)
 	for _, b := range s.byID {
@@ -102,7 +102,7 @@
 	}
 }
 
-// learnEndpoint takes what is reported of one endpoint, and keeps the digest.
+// learnEndpoint applies the report of one endpoint and updates the digest.
 func (s *Steerer) learnEndpoint(now time.Time, e registry.Endpoint) {
 	s.applyReport(now, e)
 	b := s.byID[e.ID]
@@ -111,8 +111,8 @@
 	s.digest.Toggle(b.ID, b.sum)
 }
 
-// applyReport takes what is reported of one endpoint. A report that it has ended
-// stands; otherwise the highest sequence does.
+// applyReport applies the report of one endpoint. That an endpoint has ended is final;
+// otherwise the highest sequence wins.
 func (s *Steerer) applyReport(now time.Time, e registry.Endpoint) {
 	b := s.byID[e.ID]
 	switch {
@@ -133,13 +133,13 @@
 	}
 	if b.Leaving && b.leavingAt.IsZero() {
 		b.leavingAt = now
-		s.markReachable(b) // it said so a moment ago, and may accept no connection from now on
+		s.markReachable(b) // it was heard just now, and may refuse connections from now on
 	}
 	b.warmUntil = now.Add(e.Warm)
 	s.updatePool(b)
 }
 
-// addBackend begins what is known of an incarnation.
+// addBackend adds an incarnation.
 func (s *Steerer) addBackend(now time.Time, e registry.Endpoint) *backend {
 	b := &backend{
 		Endpoint: e, tag: Tag(e.ID), digestPart: registry.PartBit(e.ID), learnedAt: now,
@@ -147,14 +147,15 @@
 	}
 	s.byID[e.ID] = b
 	if !e.Addr.IsValid() {
-		return b // only known to have ended: remembered so that nobody revives it
+		return b // known only as ended, and kept so that older reports do not revive it
 	}
 	s.byAddr[e.Addr] = append(s.byAddr[e.Addr], b)
 	s.assignTag(b)
 	return b
 }
 
-// updateSilence works out whether an endpoint is silent to all that know it.
+// updateSilence recomputes whether an endpoint is silent to every control instance that knows
+// it.
 func (s *Steerer) updateSilence(now time.Time, b *backend) {
 	known, silent := 0, 0
 	for _, r := range s.reporters {
@@ -172,9 +173,9 @@
 	}
 }
 
-// purgeEndedBackends forgets incarnations that ended so long ago that no flow of theirs
-// can be left. Of one that crashed nobody says that it has ended: it counts as ended
-// once it has been silent, and has answered no caller, for as long as a flow may live.
+// purgeEndedBackends removes incarnations that ended longer ago than a flow can live. A crashed
+// endpoint is never reported as ended; it is removed once it has been silent, and answered no
+// client, for that long.
 func (s *Steerer) purgeEndedBackends(now time.Time) {
 	for _, b := range s.byID {
 		if b.Gone && now.Sub(b.goneAt) >= s.config.MaxFlow || !b.Gone && s.presumedCrashed(now, b) {
@@ -183,12 +184,13 @@
 	}
 }
 
-// presumedCrashed reports whether an incarnation that did not say so has ended long ago.
+// presumedCrashed reports whether an incarnation that was never reported as ended has certainly
+// ended.
 func (s *Steerer) presumedCrashed(now time.Time, b *backend) bool {
 	return b.silent && b.flows == 0 && now.Sub(b.silentAt) >= s.config.MaxFlow && now.Sub(b.reach.lastResponseAt) >= s.config.MaxFlow
 }
 
-// removeBackend drops what is known of an incarnation.
+// removeBackend removes an incarnation.
 func (s *Steerer) removeBackend(b *backend) {
 	delete(s.byID, b.ID)
 	delete(s.lost, b)
@@ -206,10 +208,9 @@
 	}
 }
 
-// LearnDigest takes what a control instance that tells this entry briefly knows of all
-// endpoints, in sum. It reports whether this entry must ask for what differs: for a part
-// that has not changed there since the last digest, and that differed then too. While
-// many change, no part is ever the same at two of them.
+// LearnDigest compares the digest of a control instance that sends only checksums. It reports
+// whether this entry must request what differs: a part that differed last time too and has not
+// changed there since. Parts that change all the time do not count.
 func (s *Steerer) LearnDigest(now time.Time, source string, digest registry.Digest) (behind bool) {
 	r := s.reporterOf(source)
 	for i, sum := range digest {
--- a/internal/steer/learn_test.go
+++ b/internal/steer/learn_test.go
@@ -27,7 +27,7 @@
 		s.Learn(start, "c1", reports(&wire.EndpointReport{Id: "booking-9", Gone: true}))
 		s.Learn(start, "c2", reports(report("booking", 9, nil)))
 		Expect(s.byID["booking-9"].acceptsFlows()).To(BeFalse())
-		Expect(s.Decide(start, establishedPacket(1000, Tag("booking-9"), 8, 1, 10)).Reason).To(Equal(UnknownTag))
+		Expect(s.Decide(start, flowPacket(1000, Tag("booking-9"), 8, 1, 10)).Reason).To(Equal(UnknownTag))
 		Expect(s.pools["booking"][localTier]).To(HaveLen(2))
 		Expect(s.pools["booking"][remoteTier]).To(BeEmpty())
 	})
@@ -157,7 +157,7 @@
 
 	It("forgets an incarnation that ended a flow's longest life ago", func() {
 		s.Learn(start, "c1", reports(report("booking", 1, func(m *wire.EndpointReport) { m.Gone = true })))
-		s.Decide(start.Add(time.Minute+time.Second), openingPacket(1000, 7, 0))
+		s.Decide(start.Add(time.Minute+time.Second), synPacket(1000, 7, 0))
 		Expect(s.byID).NotTo(HaveKey("booking-1"))
 		Expect(s.byTag).NotTo(HaveKey(Tag("booking-1")))
 		Expect(s.pools["booking"][localTier]).To(HaveLen(1))
--- a/internal/steer/message.go
+++ b/internal/steer/message.go
@@ -6,11 +6,11 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Subject names a flow as operators ask for it.
+// Subject returns the name of a flow in queries of operators.
 func Subject(src, dst netip.AddrPort) string { return src.String() + " " + dst.String() }
 
-// Message returns a decision as it travels to operators; whoever kept it adds
-// when and where it was taken, and on which flow.
+// Message returns the decision as a wire message. The caller fills in the time, the entry and
+// the flow.
 func (d Decision) Message() *wire.Decision {
 	return &wire.Decision{
 		Action: d.Action.String(), Reason: d.Reason.String(), Endpoint: d.ID, Index: d.Version, Active: d.Version,
--- a/internal/steer/outage_test.go
+++ b/internal/steer/outage_test.go
@@ -17,12 +17,12 @@
 			answered, atOnce = append(answered, 0), append(atOnce, 0)
 			for i := range perSecond {
 				now := begin.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
-				p := fleetOpeningPacket(second*perSecond + i)
+				p := fleetSynPacket(second*perSecond + i)
 				for copies, after := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
 					p.Copy = copies
 					d := s.Decide(now.Add(after), p)
 					if d.Action != Forward || cut(s.byID[d.ID].Domain) {
-						s.Decide(now.Add(after+openTimeout+sweepInterval), fleetOpeningPacket(10_000)) // time passes
+						s.Decide(now.Add(after+openTimeout+sweepInterval), fleetSynPacket(10_000)) // time passes
 						continue
 					}
 					answered[second]++
@@ -76,7 +76,7 @@
 		healed := start.Add(10 * time.Second)
 		s.NoteLeader(healed)
 		for n := range 60 {
-			d := s.Decide(healed, fleetOpeningPacket(1000+n))
+			d := s.Decide(healed, fleetSynPacket(1000+n))
 			Expect(s.byID[d.ID].Domain).NotTo(Equal("plateau"))
 		}
 	})
@@ -84,7 +84,7 @@
 	It("gets nothing while every failure domain is evacuated, though this entry is cut off", func() {
 		s := fleetSteerer(threeDomains(40))
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
-		d := s.Decide(start.Add(time.Minute), fleetOpeningPacket(1))
+		d := s.Decide(start.Add(time.Minute), fleetSynPacket(1))
 		Expect(d.Action).To(Equal(Reset))
 		Expect(d.Reason).To(Equal(Evacuated))
 	})
--- a/internal/steer/outlier.go
+++ b/internal/steer/outlier.go
@@ -3,72 +3,65 @@
 import "time"
 
 const (
-	// hangTargetMultiple and hungLeast say when a request counts as hung: once it has waited
-	// for so many times the time after which its route calls an answer late, and for
-	// hungLeast. A queue of eight before two slots of 55 ms is 0.3 s.
+	// A request counts as hung after hangTargetMultiple times the target latency of its route,
+	// but not before minHangTime.
 	hangTargetMultiple = 2
 	minHangTime        = 500 * time.Millisecond
-	// minPeerResponses is how many other requests of the same service must have been
-	// answered here in time meanwhile, and peersPart how many for each that was not: a
-	// service that is slow as a whole has no outliers, and neither has an entry that cannot
-	// hear. A third of a small service's answers are late in the second after a loss of
-	// power; without peersPart nine endpoints of 18 were judged then, and callers that came
-	// again found fewer.
+	// An endpoint with a hung request is an outlier only if its service has since answered at
+	// least minPeerResponses other requests in time, and minPeerRatio for each late one. This
+	// excludes services that are slow as a whole and entries that receive no responses.
 	minPeerResponses = 3
 	minPeerRatio     = 3
-	// maxPendingRequests bounds the requests that are watched: 20 times as many as an entry of
-	// 6,800 is sent in hungLeast. Those beyond it are not judged.
+	// maxPendingRequests bounds the requests that are checked for hanging; those beyond it are
+	// not checked.
 	maxPendingRequests = 4000
-	// outlierReportInterval bounds how often this entry reports an endpoint.
+	// outlierReportInterval is the minimum time between two reports of an endpoint.
 	outlierReportInterval = 500 * time.Millisecond
-	// minEjection and hungMost bound how long new flows avoid an endpoint that several
-	// entries wait for; the span doubles while it is judged again, and flows try it
-	// between.
+	// minEjection and maxEjection bound how long new flows avoid an outlier. The period doubles
+	// on repeated ejections.
 	minEjection = 3 * time.Second
 	maxEjection = 12 * time.Second
-	// endpointsPerEjection is the part of a service, one in so many, that is avoided for this at
-	// most: the others must take their load.
+	// endpointsPerEjection is how many endpoints a service must have for each one that is
+	// ejected, so that the others can take the load.
 	endpointsPerEjection = 3
 )
 
-// ejection is what an entry knows of an endpoint that takes requests and does not answer, or
-// answers errors.
+// ejection is the state of an endpoint as an outlier: one that leaves requests without an
+// answer, or answers them by errors.
 type ejection struct {
-	nextReport time.Time // no report before
-	until      time.Time // new flows avoid it
+	nextReport time.Time // earliest time of the next report
+	until      time.Time // new flows avoid the endpoint until then
 	period     time.Duration
 }
 
 type (
-	// responseCounts counts the requests of a service at this entry, as callers see them.
+	// responseCounts counts the responses of a service at this entry.
 	responseCounts struct {
-		inTime, late uint64 // late, or hung
+		inTime, late uint64 // late includes hung requests
 	}
 
-	// pendingRequest is a request that went in on a flow at a time, and may have been answered.
+	// pendingRequest is a request that may still wait for its response.
 	pendingRequest struct {
 		flow     *flow
 		sentAt   time.Time
-		baseline responseCounts // of its service by then
+		baseline responseCounts // counts of its service when it was sent
 	}
 )
 
-// pending reports whether the request pending still.
-func (a pendingRequest) pending() bool {
-	return a.flow.awaitingResponse && a.flow.requestAt.Equal(a.sentAt)
-}
+// pending reports whether the request still waits for its response.
+func (a pendingRequest) pending() bool { return a.flow.awaiting && a.flow.requestAt.Equal(a.sentAt) }
 
-// trackRequest notes that a request of a flow went in.
+// trackRequest records a request that was sent on a flow.
 func (s *Steerer) trackRequest(f *flow) {
 	if len(s.pendingRequests) < maxPendingRequests {
 		s.pendingRequests = append(s.pendingRequests, pendingRequest{f, f.requestAt, *s.responseCountsOf(f.backend)})
 	}
 }
 
-// countResponse notes that the answer of a flow's request begins, if one waits.
+// countResponse counts the start of a response, if the flow waits for one.
 func (s *Steerer) countResponse(now time.Time, f *flow) {
 	switch {
-	case !f.awaitingResponse:
+	case !f.awaiting:
 	case now.Sub(f.requestAt) <= s.hangTimeout(f)/hangTargetMultiple:
 		s.responseCountsOf(f.backend).inTime++
 	default:
@@ -76,8 +69,8 @@
 	}
 }
 
-// responseCountsOf returns the counts of an endpoint's service, which the endpoint keeps at
-// hand: a look into a map takes as long as all else that a packet costs.
+// responseCountsOf returns the counts of the endpoint's service. The endpoint caches them,
+// since a map lookup per packet would be costly.
 func (s *Steerer) responseCountsOf(b *backend) *responseCounts {
 	if b.responses != nil {
 		return b.responses
@@ -89,15 +82,15 @@
 	return b.responses
 }
 
-// peersResponsive reports whether the rest of the service answered well since a request went in.
+// peersResponsive reports whether the rest of the service has responded well since baseline.
 func (c *responseCounts) peersResponsive(baseline responseCounts) bool {
 	inTime, late := c.inTime-baseline.inTime, c.late-baseline.late
 	return inTime >= minPeerResponses && inTime >= minPeerRatio*late
 }
 
-// reportHungRequests reports the endpoints of requests that hang while their service answers
-// others. Requests wait in the order in which they came; those that are answered, or
-// reported, are dropped once they have waited for hungLeast.
+// reportHungRequests reports the endpoints whose requests hang while their service responds to
+// others. Requests are kept in the order they were sent, and dropped after minHangTime once
+// they are answered or checked.
 func (s *Steerer) reportHungRequests(now time.Time) {
 	expired := 0
 	var kept []pendingRequest
@@ -113,13 +106,13 @@
 	if expired == 0 {
 		return
 	}
-	rest := s.pendingRequests[expired-len(kept):] // the places of those that are kept, and what follows
+	rest := s.pendingRequests[expired-len(kept):] // reuses the backing array
 	copy(rest, kept)
 	s.pendingRequests = rest
 }
 
-// checkHung reports the endpoint of a request if it hangs; it returns whether the
-// request has been judged.
+// checkHung reports the endpoint of a hung request if it is an outlier. It returns whether the
+// request has hung and needs no further check.
 func (s *Steerer) checkHung(now time.Time, a pendingRequest) bool {
 	if now.Sub(a.sentAt) < s.hangTimeout(a.flow) {
 		return false
@@ -134,7 +127,7 @@
 	return true
 }
 
-// reportOutlier reports an endpoint, unless that was done a moment ago.
+// reportOutlier reports an endpoint, at most once per outlierReportInterval.
 func (s *Steerer) reportOutlier(now time.Time, b *backend) {
 	if s.config.Hung == nil || now.Before(b.ejection.nextReport) {
 		return
@@ -143,7 +136,7 @@
 	s.config.Hung(b.ID)
 }
 
-// hangTimeout returns how long a request of a flow waits before it counts as hung.
+// hangTimeout returns how long a request of a flow may wait before it counts as hung.
 func (s *Steerer) hangTimeout(f *flow) time.Duration {
 	if r := s.routes[f.key.dst]; r != nil {
 		return max(minHangTime, hangTargetMultiple*r.Target)
@@ -151,22 +144,22 @@
 	return minHangTime
 }
 
-// TakeHung takes that several entries say that an endpoint fails requests that it took:
-// new flows avoid it for a while. Flows that are open stay. It reports whether they do from now on.
+// TakeHung ejects an endpoint that several entries reported as an outlier: new flows avoid it
+// for a while, and open flows stay. It reports whether the endpoint was ejected.
 func (s *Steerer) TakeHung(now time.Time, id string) bool {
 	b := s.byID[id]
 	if b == nil || now.Before(b.ejection.until) || !s.canEject(now, b) {
 		return false
 	}
 	if now.Sub(b.ejection.until) > b.ejection.period {
-		b.ejection.period = 0 // it went well for long
+		b.ejection.period = 0 // healthy for long enough
 	}
 	b.ejection.period = min(max(minEjection, 2*b.ejection.period), maxEjection)
 	b.ejection.until = now.Add(b.ejection.period)
 	return true
 }
 
-// canEject reports whether the rest of an endpoint's service can take its load.
+// canEject reports whether the rest of the service can take the endpoint's load.
 func (s *Steerer) canEject(now time.Time, b *backend) bool {
 	p := s.pools[b.Service]
 	if p == nil {
--- a/internal/steer/outlier_test.go
+++ b/internal/steer/outlier_test.go
@@ -203,7 +203,7 @@
 	It("keep the flows that are open", func() {
 		f := newOutlierFleet(2, 30)
 		s := f.entries[0]
-		p := fleetOpeningPacket(1)
+		p := fleetSynPacket(1)
 		d := s.Decide(start, p)
 		Expect(s.TakeHung(start, d.ID)).To(BeTrue())
 		later := s.Decide(start.Add(time.Millisecond), Packet{Src: p.Src, Dst: p.Dst, Flags: Ack, Seq: 8, Ack: 1, Tag: d.Tag, Len: 10})
@@ -213,7 +213,7 @@
 
 	It("are watched up to a bound, and none is kept for longer than it counts", func() {
 		s := fleetSteerer(threeDomains(4))
-		f := &flow{key: flowKey{dst: bookingAddr}, backend: s.byID[fleetReport(0, "").Id], requestAt: start, awaitingResponse: true}
+		f := &flow{key: flowKey{dst: bookingAddr}, backend: s.byID[fleetReport(0, "").Id], requestAt: start, awaiting: true}
 		for range 2 * maxPendingRequests {
 			s.trackRequest(f)
 		}
--- a/internal/steer/packet.go
+++ b/internal/steer/packet.go
@@ -6,7 +6,7 @@
 	"github.com/dchest/siphash"
 )
 
-// The flags of a packet.
+// TCP flags that decisions depend on.
 const (
 	Syn Flags = 1 << iota
 	Ack
@@ -15,20 +15,20 @@
 )
 
 type (
-	// Flags is a set of flags.
+	// Flags is a set of TCP flags.
 	Flags uint8
 
-	// Packet is what the head of a caller's packet says.
+	// Packet holds the header fields of a client's packet.
 	Packet struct {
 		Src, Dst netip.AddrPort
 		Flags    Flags
-		Tag      uint32 // 0 on an opening packet
+		Tag      uint32 // 0 on a SYN
 		Seq, Ack uint32
-		Copy     int // which repetition of an opening packet it is, 0 for the first
-		Len      int // bytes of data
+		Copy     int // number of the SYN retransmission, 0 for the first SYN
+		Len      int // payload bytes
 	}
 
-	// flowKey identifies a flow.
+	// flowKey identifies a flow by its addresses.
 	flowKey struct {
 		src, dst netip.AddrPort
 	}
@@ -37,10 +37,10 @@
 // Has reports whether all the given flags are set.
 func (f Flags) Has(flags Flags) bool { return f&flags == flags }
 
-// Opens reports whether the packet asks for a new flow.
+// Opens reports whether the packet is a SYN that opens a flow.
 func (p Packet) Opens() bool { return p.Flags == Syn }
 
-// hash returns a number that is the same for all copies of an opening packet.
+// hash returns a hash that is the same for all retransmissions of a SYN.
 func (p Packet) hash() uint64 {
 	var b [40]byte
 	src, dst := p.Src.Addr().As16(), p.Dst.Addr().As16()
--- a/internal/steer/pool.go
+++ b/internal/steer/pool.go
@@ -6,53 +6,49 @@
 )
 
 const (
-	// fullScanLimit is the longest list of endpoints of which every one is looked at
-	// for a new flow. An entry of a small fleet remembers many flows of each
-	// endpoint, so that there is one least loaded; the cost is 0.6 µs.
+	// fullScanLimit is the longest list of endpoints that is scanned whole for a new flow.
 	fullScanLimit = 32
-	// sampleSize is how many of a longer list are drawn. An entry of a large fleet
-	// remembers a flow of few endpoints (a fleet of 295 opens 4 flows a second at
-	// each of its entries, over 120 endpoints of the own failure domain), so that
-	// most are equal, and a least loaded one is drawn where a fifth are, with 97%.
+	// sampleSize is how many endpoints of a longer list are sampled. In a large fleet an entry
+	// tracks few flows per endpoint, so most loads are equal and a small sample holds one of
+	// the least loaded.
 	sampleSize = 16
-	// maxSampleSize bounds how many are drawn where all that were are under suspicion:
-	// while 95% of a service are, one that is not is missed by a flow in 700.
+	// maxSampleSize bounds the sample while all endpoints in it are suspect.
 	maxSampleSize = 128
-	// placementSeed is the second seed of a flow's draws.
+	// placementSeed is the second seed word of the random choices for a flow.
 	placementSeed = 0x706c6163696e6700
 )
 
-// The sides of a pool.
+// Tiers of a pool.
 const (
-	localTier     poolTier = iota // of the entry's own failure domain
-	remoteTier                    // of other ones
-	evacuatedTier                 // of evacuated ones: no new flow goes there
+	localTier     poolTier = iota // in the entry's own failure domain
+	remoteTier                    // in other failure domains
+	evacuatedTier                 // in evacuated failure domains, which get no new flows
 
 	tierCount
 )
 
 type (
-	// poolTier is one of the lists of a pool.
+	// poolTier is the index of a list in a pool.
 	poolTier int
 
-	// pool holds the endpoints of a service that would take new flows, by side.
+	// pool holds the endpoints of a service that accept new flows, by tier.
 	pool [tierCount][]*backend
 
-	// poolPosition is where a backend stands in a pool.
+	// poolPosition is the place of a backend in a pool.
 	poolPosition struct {
 		service string
 		tier    poolTier
 		index   int
 	}
 
-	// selection is the best endpoint for a new flow of those looked at so far. Of
-	// equals each has the same chance, whatever stands before or behind it.
+	// selection is the best endpoint found so far for a new flow. Ties are broken at random
+	// with equal chances.
 	selection struct {
 		steerer    *Steerer
 		now        time.Time
 		route      *route
-		avoid      *backend       // nil where any will do
-		onConsider func(*backend) // nil where nobody asks
+		avoid      *backend       // not selected; nil if any endpoint will do
+		onConsider func(*backend) // called for each endpoint considered; may be nil
 
 		best    *backend
 		load    float64
@@ -61,7 +57,7 @@
 	}
 )
 
-// tierOf returns the side that an endpoint stands on.
+// tierOf returns the tier of an endpoint.
 func (s *Steerer) tierOf(b *backend) poolTier {
 	switch {
 	case s.evacuations.Has(b.Domain):
@@ -73,8 +69,8 @@
 	}
 }
 
-// updatePool has an endpoint stand in the pool of its service as long as it would take
-// new flows.
+// updatePool adds the endpoint to the pool of its service, moves it, or removes it, according
+// to its state.
 func (s *Steerer) updatePool(b *backend) {
 	wanted, tier := b.acceptsFlows() && b.Addr.IsValid(), s.tierOf(b)
 	if at := b.position; at != nil && (!wanted || at.service != b.Service || at.tier != tier) {
@@ -92,8 +88,7 @@
 	p[tier] = append(p[tier], b)
 }
 
-// removeFromPool takes an endpoint out of its pool; the last one takes its place, so that
-// the cost does not grow with the pool.
+// removeFromPool removes an endpoint in constant time by moving the last one into its place.
 func (s *Steerer) removeFromPool(b *backend) {
 	list := &s.pools[b.position.service][b.position.tier]
 	last := len(*list) - 1
@@ -104,13 +99,11 @@
 	b.position = nil
 }
 
-// choose returns the endpoint for a new flow: of the service that the route's
-// weights draw, the least loaded one that is not under suspicion; or, where
-// all are, the least loaded of these. Long lists are not looked through: some
-// are drawn, the same for all copies of an opening packet, so that the cost does
-// not grow with the service. At 480 endpoints in five failure domains the busiest
-// gets 1.76 times the mean on a calm day (one run), and 3.21 times where the first of
-// equals after a random place is taken. Looked is told of each that is looked at; nil is nobody.
+// choose returns the endpoint for a new flow. The service is drawn by the route's weights. Of
+// its endpoints the least loaded one that is not avoided is taken, or the least loaded one if
+// all are avoided. Long lists are sampled, identically for all retransmissions of a SYN, so
+// that the cost does not grow with the service. onConsider, if not nil, is called for each
+// endpoint considered.
 func (s *Steerer) choose(now time.Time, r *route, p Packet, avoid *backend, onConsider func(*backend)) *backend {
 	hash := p.hash()
 	pool := s.pools[r.service(hash)]
@@ -129,7 +122,7 @@
 	return c.best
 }
 
-// scan looks at all endpoints of a short list, and at some of a long one.
+// scan considers all endpoints of a short list, or a sample of a long one.
 func (c *selection) scan(list []*backend) {
 	if len(list) <= fullScanLimit {
 		for _, b := range list {
@@ -142,7 +135,7 @@
 	}
 }
 
-// consider takes an endpoint if it is better than the best so far.
+// consider selects the endpoint if it is better than the best so far.
 func (c *selection) consider(b *backend) {
 	if b == c.avoid || c.steerer.excludedWhileCold(c.now, b) {
 		return
@@ -162,8 +155,7 @@
 	}
 }
 
-// newRandom returns the source of a Steerer's draws, seeded for each flow, and
-// what reads it.
+// newRandom returns a random generator and its source, which is reseeded for each flow.
 func newRandom() (*rand.PCG, *rand.Rand) {
 	source := rand.NewPCG(0, placementSeed)
 	return source, rand.New(source)
--- a/internal/steer/pool_test.go
+++ b/internal/steer/pool_test.go
@@ -44,8 +44,8 @@
 	return s
 }
 
-// fleetOpeningPacket is the opening packet of the n-th of many flows.
-func fleetOpeningPacket(n int) Packet {
+// fleetSynPacket is the opening packet of the n-th of many flows.
+func fleetSynPacket(n int) Packet {
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 16), byte(n >> 8)}), uint16(1000+n&255))
 	return Packet{Src: caller, Dst: bookingAddr, Flags: Syn, Seq: 7}
 }
@@ -56,7 +56,7 @@
 	shares := func(s *Steerer, flows int) map[string]int {
 		given := map[string]int{}
 		for n := range flows {
-			p := fleetOpeningPacket(n)
+			p := fleetSynPacket(n)
 			d := s.Decide(start, p)
 			ExpectWithOffset(1, d.Reason).To(Equal(Placed))
 			given[d.ID]++
@@ -96,7 +96,7 @@
 		s := fleetSteerer(irregularFleet(480))
 		busy, idle := 0, 0
 		for n := range 60 { // of about 96 in the own failure domain
-			d := s.Decide(start, fleetOpeningPacket(n))
+			d := s.Decide(start, fleetSynPacket(n))
 			if s.byID[d.ID].flows > 1 {
 				busy++
 			} else {
@@ -118,7 +118,7 @@
 			}
 		}
 		for n := range 500 {
-			d := s.Decide(start, fleetOpeningPacket(n))
+			d := s.Decide(start, fleetSynPacket(n))
 			Expect(silent[d.ID]).To(BeFalse())
 		}
 	})
@@ -129,12 +129,12 @@
 		for _, id := range near(fleet) {
 			s.byID[id].silent, s.byID[id].silentAt = true, start
 		}
-		d := s.Decide(start, fleetOpeningPacket(1))
+		d := s.Decide(start, fleetSynPacket(1))
 		Expect(s.byID[d.ID].Domain).NotTo(Equal("plateau"))
 		for _, id := range near(fleet) {
 			s.byID[id].silent = false
 		}
-		d = s.Decide(start, fleetOpeningPacket(2))
+		d = s.Decide(start, fleetSynPacket(2))
 		Expect(s.byID[d.ID].Domain).To(Equal("plateau"))
 	})
 
@@ -157,7 +157,7 @@
 		Expect(s.pools["booking"][remoteTier]).To(BeEmpty())
 		Expect(s.pools["documents"][localTier]).To(HaveLen(120))
 		for n := range 500 {
-			b := s.byID[s.Decide(start, fleetOpeningPacket(n)).ID]
+			b := s.byID[s.Decide(start, fleetSynPacket(n)).ID]
 			Expect(b.acceptsFlows()).To(BeTrue())
 			Expect(b.Service).To(Equal("booking"))
 		}
@@ -167,10 +167,10 @@
 		fleet := irregularFleet(480)
 		one, other := fleetSteerer(fleet), fleetSteerer(fleet)
 		for n := range 50 {
-			first, second := one.Decide(start, fleetOpeningPacket(n)), other.Decide(start, fleetOpeningPacket(n))
+			first, second := one.Decide(start, fleetSynPacket(n)), other.Decide(start, fleetSynPacket(n))
 			Expect(first.ID).To(Equal(second.ID))
 			for _, s := range []*Steerer{one, other} {
-				p := fleetOpeningPacket(n)
+				p := fleetSynPacket(n)
 				p.Flags, p.Tag, p.Seq = Rst, first.Tag, 8
 				s.Decide(start, p)
 			}
@@ -179,7 +179,7 @@
 
 	It("is explained as it is done, and says which endpoints were not looked at", func() {
 		s := fleetSteerer(irregularFleet(480))
-		p := fleetOpeningPacket(5)
+		p := fleetSynPacket(5)
 		p.Seq = 0 // as Explain takes it
 		d := s.Explain(start, p.Src, p.Dst)
 		Expect(s.Decide(start, p).ID).To(Equal(d.Endpoint))
@@ -195,7 +195,7 @@
 
 	It("allocates nothing to choose", func() {
 		s := fleetSteerer(irregularFleet(480))
-		r, p := s.routes[bookingAddr], fleetOpeningPacket(1)
+		r, p := s.routes[bookingAddr], fleetSynPacket(1)
 		Expect(testingAllocs(func() { s.choose(start, r, p, nil, nil) })).To(BeZero())
 	})
 })
--- a/internal/steer/reachability.go
+++ b/internal/steer/reachability.go
@@ -7,48 +7,47 @@
 )
 
 const (
-	// unreachableThreshold is how many questions in a row an endpoint leaves without an
-	// answer before it counts as out of reach: one may be a lost packet.
+	// unreachableThreshold is how many consecutive probes an endpoint must miss before it
+	// counts as out of reach; a single one may be a lost packet.
 	unreachableThreshold = 2
-	// probeInterval is how soon an endpoint that has answered is asked again: a
-	// question is a new connection, and evidence may come with every packet.
+	// probeInterval is the minimum time between probes of an endpoint that accepts connections,
+	// as each probe is a new connection.
 	probeInterval = 500 * time.Millisecond
-	// maxInconclusive is how many questions without an outcome are followed by another
-	// one before new evidence must come.
+	// maxInconclusive is how many inconclusive probes are retried before new evidence is
+	// required.
 	maxInconclusive = 5
-	// minReprobeDelay and lostMost bound how long after it was lost an endpoint is
-	// asked whether it is back; the span doubles with each miss, since every entry
-	// asks. One whose heartbeats are heard again is asked at once.
+	// minReprobeDelay and maxReprobeDelay bound the time between probes of an endpoint that is
+	// out of reach. The delay doubles with each miss, as every entry probes. An endpoint whose
+	// heartbeats resume is probed at once.
 	minReprobeDelay = time.Second
 	maxReprobeDelay = 16 * time.Second
-	// missNoticeInterval bounds what other entries are told of an endpoint.
+	// missNoticeInterval limits how often other entries are notified of an endpoint's misses.
 	missNoticeInterval = 2 * time.Second
-	// missValidity is how long a miss is proof enough to reset a flow: within it an
-	// endpoint may come back, but no flow on it has lived through that unharmed.
+	// missValidity is how long after a miss a flow may be reset without another probe. The
+	// endpoint may recover within it, but its flows have then been disrupted already.
 	missValidity = 1200 * time.Millisecond
-	// stallThreshold is how many times callers must repeat data to a superseded endpoint,
-	// each time while its address accepts a connection and with no answer of it in
-	// between, before it counts as ended: a packet of a living one may be lost. Questions
-	// are at least askAgainAfter apart.
+	// stallThreshold is how many probes after retransmitted data a superseded endpoint's
+	// address must accept, without an answer of the endpoint in between, before the endpoint
+	// counts as ended; a packet of a live one may be lost.
 	stallThreshold = 2
 )
 
-// Why an endpoint is asked: the closed list.
+// Evidence for which an endpoint is probed.
 const (
-	Unopened Evidence = iota // an opening packet was not answered
-	Unacked                  // a caller repeats data on an open flow
-	Again                    // the last question was not answered
-	Lost                     // it was out of reach, and may be back
-	Told                     // another entry missed an answer
+	Unopened Evidence = iota // a SYN was not answered
+	Unacked                  // a client retransmits data on an established flow
+	Again                    // the previous probe was missed or inconclusive
+	Lost                     // the endpoint is out of reach and may have recovered
+	Told                     // another entry reported a miss
 )
 
-// What came of a question.
+// Outcomes of a probe.
 const (
-	Reached Outcome = iota // a connection was accepted
-	Missed                 // none was, in time
+	Reached Outcome = iota // the connection was accepted
+	Missed                 // the connection was not accepted in time
 	Unsure                 // this entry was too slow to tell
 
-	// OutcomeCount is how many there are.
+	// OutcomeCount is the number of outcomes.
 	OutcomeCount
 )
 
@@ -58,53 +57,50 @@
 )
 
 type (
-	// Evidence is why an endpoint is asked.
+	// Evidence is why an endpoint is probed.
 	Evidence int
 
-	// Outcome is what came of a question.
+	// Outcome is the result of a probe.
 	Outcome int
 
-	// Question asks whether an endpoint can be reached: whether a connection to
-	// its address is accepted, which takes none of its slots.
+	// Question is a probe of whether an endpoint accepts a connection at its address. It uses
+	// none of the endpoint's slots.
 	Question struct {
 		ID   string
 		Addr netip.AddrPort
 		Why  Evidence
-		// Within is how long the answer may take.
+		// Within is the timeout of the probe.
 		Within    time.Duration
 		startedAt time.Time
 	}
 
-	// Ended is a flow whose endpoint is out of reach; its caller is to be sent a
-	// reset.
+	// Ended is a flow whose endpoint is out of reach; its client must be sent a reset.
 	Ended struct {
 		Src, Dst netip.AddrPort
-		Seq      uint32 // what the caller expects next
+		Seq      uint32 // sequence number that the client expects next
 	}
 
-	// reachability is what an entry knows of whether an endpoint can be reached.
+	// reachability is what an entry knows of whether it can reach an endpoint.
 	reachability struct {
-		probing        bool      // a question is under way
-		misses         int       // questions in a row without an answer
-		inconclusive   int       // questions in a row without an outcome
-		lost           bool      // it cannot be reached
-		lastMissAt     time.Time // when a question was missed last
-		nextProbeAt    time.Time // no question before
-		lastResponseAt time.Time // when it was last seen to answer
-		nextNoticeAt   time.Time // other entries are not told before
-		replaced       bool      // another incarnation lives at its address: it has ended
-		stalls         int       // times in a row that callers repeated data though the address answers
+		probing        bool      // a probe is in progress
+		misses         int       // consecutive missed probes
+		inconclusive   int       // consecutive inconclusive probes
+		lost           bool      // the endpoint is out of reach
+		lastMissAt     time.Time // time of the last miss
+		nextProbeAt    time.Time // earliest time of the next probe
+		lastResponseAt time.Time // when the endpoint last answered a client
+		nextNoticeAt   time.Time // earliest time of the next notice to other entries
+		replaced       bool      // ended: another incarnation is live at its address
+		stalls         int       // consecutive stalls, see recordStall
 	}
 )
 
-// String returns the outcome's name.
 func (o Outcome) String() string { return outcomeNames[o] }
 
-// String returns the name of the evidence.
 func (e Evidence) String() string { return evidenceNames[e] }
 
-// probe takes evidence that an endpoint may be out of reach, and asks it. One
-// that leaves is not asked: it may accept no connection and serve its flows.
+// probe starts a probe of an endpoint that may be out of reach. A leaving endpoint is not
+// probed, as it may refuse connections while it still serves its flows.
 func (s *Steerer) probe(now time.Time, b *backend, why Evidence) {
 	ending := b.Gone || b.Leaving || b.reach.replaced || !b.Addr.IsValid()
 	if s.config.Ask == nil || ending || b.reach.probing || now.Before(b.reach.nextProbeAt) {
@@ -113,7 +109,7 @@
 	b.reach.probing = s.config.Ask(Question{ID: b.ID, Addr: b.Addr, Why: why, Within: s.roundTrips[b.Domain].probeTimeout(), startedAt: now})
 }
 
-// markResponsive takes evidence that an endpoint answers callers.
+// markResponsive records that the endpoint answered a client.
 func (s *Steerer) markResponsive(now time.Time, b *backend) {
 	b.reach.lastResponseAt, s.lastResponseAt = now, now
 	b.reach.stalls = 0
@@ -121,7 +117,7 @@
 	s.markReachable(b)
 }
 
-// markReachable notes that an endpoint can be reached.
+// markReachable records that the endpoint can be reached.
 func (s *Steerer) markReachable(b *backend) {
 	b.reach.misses = 0
 	if b.reach.lost && !b.reach.replaced {
@@ -131,9 +127,9 @@
 	}
 }
 
-// markReplaced takes that an endpoint answered an opening packet that was sent once the
-// others at its address were known: these have ended, since an address is given
-// away only then. Control instances must wait for their heartbeats to stay away.
+// markReplaced records that b answered a SYN, sent at a time when other incarnations at its
+// address were already known. Those have ended, since an address is reused only after that.
+// This is noticed before their heartbeats time out.
 func (s *Steerer) markReplaced(b *backend, sent time.Time) {
 	for _, other := range s.byAddr[b.Addr] {
 		if other == b || other.Gone || other.reach.replaced || !sent.After(other.learnedAt) {
@@ -145,16 +141,16 @@
 	}
 }
 
-// isAddressContested reports whether another endpoint may live at the address, and be the
-// one that accepts connections.
+// isAddressContested reports whether another live endpoint may be accepting connections at b's
+// address.
 func (s *Steerer) isAddressContested(b *backend) bool {
 	return slices.ContainsFunc(s.byAddr[b.Addr], func(other *backend) bool {
 		return other != b && !other.Gone && !other.reach.replaced
 	})
 }
 
-// probeLost asks endpoints that were out of reach whether they are back, so that
-// new flows may go to them again; those that are to get none are left alone.
+// probeLost probes the endpoints that are out of reach, except evacuated ones, to find those
+// that recovered.
 func (s *Steerer) probeLost(now time.Time) {
 	for b := range s.lost {
 		if !s.isEvacuated(b) {
@@ -163,8 +159,8 @@
 	}
 }
 
-// decideUnreachable decides about a packet of a flow whose endpoint is out of reach. What
-// was found too long ago is found out again first.
+// decideUnreachable decides on a packet of a flow whose endpoint is out of reach. If the last
+// miss is too old, the endpoint is probed again before the flow is reset.
 func (s *Steerer) decideUnreachable(now time.Time, b *backend, p Packet) Decision {
 	if !b.reach.replaced && now.Sub(b.reach.lastMissAt) > missValidity || p.Flags.Has(Rst) {
 		b.reach.nextProbeAt = time.Time{}
@@ -175,9 +171,9 @@
 	return Decision{Action: Reset, Reason: EndpointLost, Seq: p.Ack, ID: b.ID}
 }
 
-// Answered takes the outcome of a question, and returns the flows that end by
-// it. A miss says nothing where this entry may be to blame: where no other
-// endpoint has answered anybody since the question was asked.
+// Answered processes the outcome of a probe and returns the flows that it ends. A miss is
+// ignored unless another endpoint has answered since the probe began, because the fault may be
+// at this entry.
 func (s *Steerer) Answered(now time.Time, q Question, outcome Outcome) []Ended {
 	b := s.byID[q.ID]
 	if b == nil || b.Gone {
@@ -206,18 +202,17 @@
 	return s.recordMiss(now, b, q.Why)
 }
 
-// isSuperseded reports whether heartbeats speak for an endpoint having ended, and for
-// another one at its address living. That alone ends no flow.
+// isSuperseded reports whether, by heartbeats, the endpoint has ended and another one is live
+// at its address. This alone ends no flow.
 func (s *Steerer) isSuperseded(b *backend) bool {
 	return b.silent && slices.ContainsFunc(s.byAddr[b.Addr], func(other *backend) bool {
 		return other != b && !other.Gone && !other.silent && !other.reach.replaced
 	})
 }
 
-// recordStall takes that an address accepted a connection while a caller repeated data to
-// an endpoint there. Where heartbeats say that another one lives at the address by now,
-// the path works and the flow's endpoint is not there: its flows end, rather than
-// wait for their deadlines.
+// recordStall handles a probe that was accepted at a contested address after a client
+// retransmitted data. If the endpoint is superseded, its flows are ended after stallThreshold
+// such probes rather than left to time out.
 func (s *Steerer) recordStall(b *backend, q Question) []Ended {
 	if q.Why != Unacked || b.reach.lastResponseAt.After(q.startedAt) || !s.isSuperseded(b) {
 		return nil
@@ -231,10 +226,10 @@
 	return s.endFlows(b)
 }
 
-// recordMiss counts a question that was not answered.
+// recordMiss counts a missed probe.
 func (s *Steerer) recordMiss(now time.Time, b *backend, why Evidence) []Ended {
 	if !b.reach.lost && now.Sub(b.reach.lastMissAt) > missValidity {
-		b.reach.misses = 0 // the one before was long ago
+		b.reach.misses = 0 // the previous miss is too old to count
 	}
 	b.reach.inconclusive, b.reach.lastMissAt = 0, now
 	b.reach.misses++
@@ -252,7 +247,7 @@
 	return s.endFlows(b)
 }
 
-// notifyMiss has other entries told of a miss, unless they know by another one.
+// notifyMiss notifies other entries of a miss, unless one of them reported it.
 func (s *Steerer) notifyMiss(now time.Time, b *backend, why Evidence) {
 	if s.config.Tell == nil || now.Before(b.reach.nextNoticeAt) {
 		return
@@ -263,9 +258,9 @@
 	}
 }
 
-// Doubted takes that another entry missed an answer of an endpoint. It is asked
-// where flows on it are known here; else new flows avoid it for a moment, so that
-// a large fleet does not ask as one.
+// Doubted handles a notice that another entry missed a probe of the endpoint. The endpoint is
+// probed if it has flows here; otherwise new flows avoid it for a while, so that the entries of
+// a large fleet do not all probe at once.
 func (s *Steerer) Doubted(now time.Time, id string) {
 	b := s.byID[id]
 	switch {
@@ -277,7 +272,7 @@
 	}
 }
 
-// probeOnHeartbeat has an endpoint out of reach asked whose heartbeats are heard again.
+// probeOnHeartbeat probes an endpoint that is out of reach once its heartbeats resume.
 func (s *Steerer) probeOnHeartbeat(now time.Time, b *backend) {
 	if b.reach.lost {
 		b.reach.nextProbeAt = now
@@ -285,7 +280,7 @@
 	}
 }
 
-// endFlows ends the flows that are remembered of an endpoint.
+// endFlows removes and returns the tracked established flows of an endpoint.
 func (s *Steerer) endFlows(b *backend) []Ended {
 	if b.flows == 0 {
 		return nil
--- a/internal/steer/reachability_test.go
+++ b/internal/steer/reachability_test.go
@@ -43,14 +43,12 @@
 	var dead, other uint32 // tags of two flows
 
 	// request sends a request on a flow, or again the one before.
-	request := func(port uint16, tag, seq uint32) Decision {
-		return s.Decide(now, establishedPacket(port, tag, seq, 1, 10))
-	}
+	request := func(port uint16, tag, seq uint32) Decision { return s.Decide(now, flowPacket(port, tag, seq, 1, 10)) }
 	// otherLives has another endpoint answer a caller.
 	seq, ack := uint32(100), uint32(1)
 	otherLives := func() {
 		seq, ack = seq+10, ack+10
-		s.Decide(now, establishedPacket(2000, other, seq, ack, 10))
+		s.Decide(now, flowPacket(2000, other, seq, ack, 10))
 	}
 	// miss lets the oldest question go without an answer.
 	miss := func() []Ended {
@@ -65,8 +63,8 @@
 		s = New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: a.ask, Tell: a.notify})
 		s.SetDocument(now, testDocument(1, routeTo(bookingAddr, "booking"), routeTo(documentsAddr, "documents")))
 		s.Learn(now, "c1", reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
-		first := s.Decide(now, openingPacket(1000, 7, 0))
-		second := s.Decide(now, openingPacket(2000, 7, 0))
+		first := s.Decide(now, synPacket(1000, 7, 0))
+		second := s.Decide(now, synPacket(2000, 7, 0))
 		dead, other = first.Tag, second.Tag
 		Expect(dead).NotTo(Equal(other))
 		now = now.Add(time.Millisecond)
@@ -88,9 +86,9 @@
 	})
 
 	It("are asked when an opening packet is not answered", func() {
-		s.Decide(now, openingPacket(3000, 7, 0))
+		s.Decide(now, synPacket(3000, 7, 0))
 		now = now.Add(2 * openTimeout)
-		s.Decide(now, establishedPacket(2000, other, 18, 11, 0))
+		s.Decide(now, flowPacket(2000, other, 18, 11, 0))
 		Expect(a.take().Why).To(Equal(Unopened))
 	})
 
@@ -110,17 +108,17 @@
 	})
 
 	It("end their flows after two misses in a row: at once those that are known, others at their next packet", func() {
-		s.Decide(now, establishedPacket(4000, dead, 50, 3, 0)) // carried by another entry until now, and idle
+		s.Decide(now, flowPacket(4000, dead, 50, 3, 0)) // carried by another entry until now, and idle
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		Expect(miss()).To(BeEmpty())
 		Expect(a.questions).To(HaveLen(1))
 		Expect(a.questions[0].Why).To(Equal(Again))
-		Expect(miss()).To(Equal([]Ended{{Src: openingPacket(1000, 0, 0).Src, Dst: bookingAddr, Seq: 1}}))
+		Expect(miss()).To(Equal([]Ended{{Src: synPacket(1000, 0, 0).Src, Dst: bookingAddr, Seq: 1}}))
 
-		d := s.Decide(now, establishedPacket(4000, dead, 50, 3, 10))
+		d := s.Decide(now, flowPacket(4000, dead, 50, 3, 10))
 		Expect(d).To(Equal(Decision{Action: Reset, Reason: EndpointLost, Seq: 3, ID: s.byTag[dead].ID}))
-		Expect(s.Decide(now, openingPacket(5000, 7, 0)).Tag).To(Equal(other), "new flows avoid it")
+		Expect(s.Decide(now, synPacket(5000, 7, 0)).Tag).To(Equal(other), "new flows avoid it")
 		Expect(s.byTag[dead].flows).To(BeZero())
 	})
 
@@ -158,7 +156,7 @@
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		q := a.take()
-		s.Decide(now.Add(took/2), establishedPacket(1000, dead, 18, 9, 0))
+		s.Decide(now.Add(took/2), flowPacket(1000, dead, 18, 9, 0))
 		now = now.Add(took)
 		otherLives()
 		Expect(s.Answered(now, q, Missed)).To(BeEmpty())
@@ -217,17 +215,17 @@
 			first.Copy = copies
 			s.trackOpening(now, first, next)
 			now = now.Add(time.Millisecond)
-			s.Decide(now, establishedPacket(first.Src.Port(), next.tag, first.Seq+1, 1, 0))
+			s.Decide(now, flowPacket(first.Src.Port(), next.tag, first.Seq+1, 1, 0))
 		}
 		b.learnedAt = now
-		answered(openingPacket(7000, 7, 0), 0) // sent at the moment that it became known
+		answered(synPacket(7000, 7, 0), 0) // sent at the moment that it became known
 		Expect(b.reach.replaced).To(BeFalse())
-		answered(openingPacket(7001, 7, 0), 1) // an earlier copy may have been answered
+		answered(synPacket(7001, 7, 0), 1) // an earlier copy may have been answered
 		Expect(b.reach.replaced).To(BeFalse())
-		answered(openingPacket(7002, 7, 0), 0)
+		answered(synPacket(7002, 7, 0), 0)
 		Expect(b.reach.replaced).To(BeTrue())
 		now = now.Add(time.Minute)
-		Expect(s.Decide(now, establishedPacket(1000, dead, 8, 1, 10)).Reason).To(Equal(EndpointLost))
+		Expect(s.Decide(now, flowPacket(1000, dead, 8, 1, 10)).Reason).To(Equal(EndpointLost))
 		s.markReachable(b)
 		Expect(b.reach.lost).To(BeTrue(), "for good")
 		Expect(next.reach.lost).To(BeFalse())
@@ -240,7 +238,7 @@
 			return s.Answered(now, Question{ID: b.ID, Why: why, startedAt: now.Add(-time.Millisecond)}, Reached)
 		}
 		open := func() {
-			p := openingPacket(7100, 7, 0)
+			p := synPacket(7100, 7, 0)
 			s.trackOpening(now, p, b)
 			s.flows[flowKey{p.Src, p.Dst}].established = true
 		}
@@ -258,7 +256,7 @@
 		s.markResponsive(now, b)
 		Expect(stall(Unacked)).To(BeEmpty(), "it has answered a caller meanwhile")
 		Expect(stall(Unacked)).NotTo(BeEmpty())
-		Expect(s.Decide(now, establishedPacket(1000, dead, 8, 1, 10)).Reason).To(Equal(EndpointLost))
+		Expect(s.Decide(now, flowPacket(1000, dead, 8, 1, 10)).Reason).To(Equal(EndpointLost))
 	})
 
 	It("are told of to other entries, once and only by who found out itself", func() {
@@ -293,10 +291,10 @@
 		}
 		lose()
 		b := s.byTag[dead]
-		s.Decide(now, openingPacket(6000, 7, 0))
+		s.Decide(now, synPacket(6000, 7, 0))
 		now = now.Add(minReprobeDelay)
 		otherLives()
-		s.Decide(now.Add(sweepInterval), openingPacket(6001, 7, 0))
+		s.Decide(now.Add(sweepInterval), synPacket(6001, 7, 0))
 		Expect(a.questions).To(ContainElement(And(HaveField("ID", b.ID), HaveField("Why", Lost))))
 		s.Answered(now, Question{ID: b.ID}, Reached)
 		a.questions = nil
@@ -315,13 +313,13 @@
 		miss()
 		miss()
 		now = now.Add(missValidity + time.Millisecond)
-		d := s.Decide(now, establishedPacket(4000, dead, 50, 3, 10))
+		d := s.Decide(now, flowPacket(4000, dead, 50, 3, 10))
 		Expect(d.Action).To(Equal(Forward))
 		q := a.take()
 		Expect(q.Why).To(Equal(Lost))
 		now = now.Add(took)
 		otherLives()
-		Expect(s.Answered(now, q, Missed)).To(ConsistOf(HaveField("Src", openingPacket(4000, 0, 0).Src)))
+		Expect(s.Answered(now, q, Missed)).To(ConsistOf(HaveField("Src", synPacket(4000, 0, 0).Src)))
 	})
 
 	It("end only the flows that come through the entry out of whose reach they are", func() {
@@ -329,7 +327,7 @@
 		beside := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: b.ask, Tell: b.notify})
 		beside.SetDocument(now, testDocument(1, routeTo(bookingAddr, "booking")))
 		beside.Learn(now, "c1", reports(report("booking", 1, nil), report("booking", 2, nil)))
-		beside.Decide(now, establishedPacket(1500, dead, 8, 1, 10)) // a flow of the endpoint that comes through the other entry
+		beside.Decide(now, flowPacket(1500, dead, 8, 1, 10)) // a flow of the endpoint that comes through the other entry
 
 		now = now.Add(time.Second)
 		request(1000, dead, 8)
@@ -341,8 +339,8 @@
 		q := b.take()
 		Expect(q.Why).To(Equal(Told))
 		Expect(beside.Answered(now, q, Reached)).To(BeEmpty())
-		Expect(beside.Decide(now, establishedPacket(1500, dead, 18, 2, 10)).Reason).To(Equal(Steered))
-		Expect(beside.Decide(now, establishedPacket(1000, dead, 18, 2, 10)).Reason).To(Equal(Steered), "routers may hand it over meanwhile")
+		Expect(beside.Decide(now, flowPacket(1500, dead, 18, 2, 10)).Reason).To(Equal(Steered))
+		Expect(beside.Decide(now, flowPacket(1000, dead, 18, 2, 10)).Reason).To(Equal(Steered), "routers may hand it over meanwhile")
 		Expect(beside.Counts(now).Lost).To(BeZero())
 	})
 
@@ -359,9 +357,9 @@
 				var d Decision
 				switch random.IntN(3) {
 				case 0:
-					d = s.Decide(now, establishedPacket(port, tag, 8+uint32(random.IntN(3)), uint32(random.IntN(30)), 10))
+					d = s.Decide(now, flowPacket(port, tag, 8+uint32(random.IntN(3)), uint32(random.IntN(30)), 10))
 				case 1:
-					d = s.Decide(now, openingPacket(uint16(3000+random.IntN(50)), 7, random.IntN(3)))
+					d = s.Decide(now, synPacket(uint16(3000+random.IntN(50)), 7, random.IntN(3)))
 				default:
 					if len(a.questions) == 0 {
 						continue
--- a/internal/steer/reporter.go
+++ b/internal/steer/reporter.go
@@ -2,20 +2,20 @@
 
 import "oxbowsaddle/internal/registry"
 
-// reporter is what one control instance says of who is silent. One that has just started
-// knows endpoints from before, and cannot say yet which of them it hears: until it has
-// had the time, it has a say only in who is silent. After a loss of power in a failure
-// domain its own control instances would otherwise vouch for endpoints that are gone.
+// reporter is what one control instance has said about silent endpoints. One that has just
+// started knows endpoints from its peers without having heard them itself. Until it is ready
+// only its reports of silence count, so that after a power loss it does not report endpoints
+// that are down as heard.
 type reporter struct {
 	ready       bool
-	silent      map[string]bool // by endpoint, of those that it has a say in
-	unconfirmed map[string]bool // endpoints that it knows and may hear
-	digest      registry.Digest // the last that it told
-	// differed is in which parts of it this entry knew something else.
+	silent      map[string]bool // by endpoint ID, where its view counts
+	unconfirmed map[string]bool // IDs of endpoints that it knows but may not have heard
+	digest      registry.Digest // its last digest
+	// differed holds which parts of the last digest differed from this entry's.
 	differed [len(registry.Digest{})]bool
 }
 
-// reporterOf returns what a control instance says.
+// reporterOf returns the reporter of a control instance, creating it if needed.
 func (s *Steerer) reporterOf(source string) *reporter {
 	r := s.reporters[source]
 	if r == nil {
@@ -25,7 +25,7 @@
 	return r
 }
 
-// setSilent takes whether it calls an endpoint silent.
+// setSilent records whether it calls an endpoint silent.
 func (r *reporter) setSilent(id string, silent bool) {
 	delete(r.unconfirmed, id)
 	switch {
@@ -37,8 +37,8 @@
 	}
 }
 
-// markKnown takes that it knows an endpoint; it reports whether that says more than
-// what it said before.
+// markKnown records that it knows an endpoint. It reports whether this changes its view of the
+// endpoint's silence.
 func (r *reporter) markKnown(id string) bool {
 	if _, said := r.silent[id]; said || r.unconfirmed[id] {
 		return false
@@ -47,8 +47,8 @@
 	return r.ready
 }
 
-// markReady takes that it has had the time to hear every endpoint, and returns those that
-// it has a say in from now on.
+// markReady records that it has had time to hear every endpoint. It returns the endpoints whose
+// view counts from now on.
 func (r *reporter) markReady() (ids []string) {
 	r.ready = true
 	for id := range r.unconfirmed {
@@ -59,7 +59,7 @@
 	return ids
 }
 
-// remove drops an endpoint.
+// remove removes an endpoint.
 func (r *reporter) remove(id string) {
 	delete(r.silent, id)
 	delete(r.unconfirmed, id)
--- a/internal/steer/response_size.go
+++ b/internal/steer/response_size.go
@@ -7,39 +7,37 @@
 )
 
 const (
-	// shortDeviations is how far below the usual size of a route's answers, in standard
-	// deviations of its logarithm, an answer counts as short: one of 700 by chance.
-	// Answers that are errors had 177 to 183 bytes where others had 804 (a flow each) or
-	// 2,700 (long flows).
+	// shortDeviations is how many standard deviations of the logarithm of the size a response
+	// must lie below the mean to count as short.
 	shortDeviations = 3
-	// minDeviation is the least deviation, since answers of a route may be all alike.
+	// minDeviation is the least standard deviation assumed, as all responses of a route may
+	// have the same size.
 	minDeviation = 0.2
-	// minSizeSamples answers of a route must have been seen before any counts as short.
+	// minSizeSamples is how many responses of a route must be seen before any counts as short.
 	minSizeSamples = 30
-	// sizeWindow is about how many answers the usual size is taken over.
+	// sizeWindow is the number of responses that the moving averages cover.
 	sizeWindow = 64
-	// maxShortFraction is the part of a route's answers that may be short before that is no
-	// outlier's doing: 14% of endpoints that fail are well below, a service that answers
-	// otherwise as a whole above.
+	// maxShortFraction is the fraction of short responses above which they are taken for a
+	// change of the whole service rather than for outliers.
 	maxShortFraction = 0.3
 )
 
-// sizeStats is the usual size of a route's answers, by logarithm: it spreads evenly. It is
-// learned while most are well: an entry that starts beside endpoints that fail takes
-// their errors for usual, and leaves judging them to the others.
+// sizeStats holds the mean and variance of the logarithm of a route's response sizes. It
+// assumes that most responses are successful; an entry that starts while many endpoints fail
+// learns the size of their errors and leaves detection to others.
 type sizeStats struct {
 	count          int
 	mean, variance float64
-	shortFraction  float64 // of the last answers
+	shortFraction  float64 // moving average
 }
 
-// isShort reports whether an answer is shorter than any that is well.
+// isShort reports whether a response is shorter than the usual ones.
 func (st *sizeStats) isShort(bytes float64) bool {
 	deviation := max(minDeviation, math.Sqrt(st.variance))
 	return st.count >= minSizeSamples && math.Log(bytes) < st.mean-shortDeviations*deviation
 }
 
-// add takes an answer into the usual size.
+// add adds a response to the averages.
 func (st *sizeStats) add(bytes float64) {
 	st.count++
 	gain := 1 / float64(min(st.count, sizeWindow))
@@ -48,7 +46,7 @@
 	st.variance = (1 - gain) * (st.variance + gain*offset*offset)
 }
 
-// sizeStatsOf returns the usual size of the answers to requests to an address.
+// sizeStatsOf returns the response sizes of the route at an address.
 func (s *Steerer) sizeStatsOf(addr netip.AddrPort) *sizeStats {
 	st := s.sizeStats[addr]
 	if st == nil {
@@ -58,10 +56,10 @@
 	return st
 }
 
-// noteResponseSize takes that the answer to a flow's last request has ended, at an
-// acknowledgement of its caller. One that is short for its route, as an error is, is
-// reported like a request that hangs; where many are, the route's answers have
-// changed, and the usual size follows.
+// noteResponseSize handles the end of the response to a flow's last request, at the client's
+// acknowledgement number ack. A response that is short for its route is probably an error, and
+// its endpoint is reported as an outlier. If many are short, the responses of the route have
+// changed and the averages follow.
 func (s *Steerer) noteResponseSize(now time.Time, f *flow, ack uint32) {
 	bytes := float64(int32(ack - f.responseStart))
 	if f.requestAt.IsZero() || f.reassigned || bytes <= 1 {
@@ -77,7 +75,7 @@
 	s.reportOutlier(now, f.backend)
 }
 
-// recordShort takes whether an answer is short into the part of those that are.
+// recordShort updates the fraction of short responses.
 func (st *sizeStats) recordShort(short bool) {
 	sample := 0.0
 	if short {
--- a/internal/steer/response_size_test.go
+++ b/internal/steer/response_size_test.go
@@ -28,7 +28,7 @@
 	request := func(bytes func(id string) uint32) {
 		n++
 		now = now.Add(100 * time.Millisecond)
-		p := fleetOpeningPacket(n)
+		p := fleetSynPacket(n)
 		d := s.Decide(now, p)
 		p = Packet{Src: p.Src, Dst: p.Dst, Flags: Ack, Seq: 8, Ack: 5001, Tag: d.Tag, Len: 100}
 		s.Decide(now.Add(time.Millisecond), p)
--- a/internal/steer/roundtrip.go
+++ b/internal/steer/roundtrip.go
@@ -3,31 +3,29 @@
 import "time"
 
 const (
-	// minProbeTimeout and withinMost bound how long an endpoint has to accept a
-	// connection. The least is for machines that are busy for a moment: hosts
-	// accept connections on their own, in a fraction of it. The most stays below
-	// the 200 ms after which callers repeat.
+	// minProbeTimeout and maxProbeTimeout bound how long an endpoint has to accept a
+	// connection. The minimum allows for hosts that are briefly busy; the maximum stays below
+	// the 200 ms after which clients retransmit.
 	minProbeTimeout = 50 * time.Millisecond
 	maxProbeTimeout = 180 * time.Millisecond
-	// defaultProbeTimeout holds until a round trip was seen.
+	// defaultProbeTimeout applies until a round trip has been measured.
 	defaultProbeTimeout = 100 * time.Millisecond
-	// meanGain and spreadWeight are the parts by which a round trip moves the
-	// mean and the spread, and spreads how many spreads above the mean it may
-	// take: as TCP estimates its time-out (RFC 6298). withinTrips is how many
-	// such round trips an endpoint has.
+	// The round-trip time is estimated like TCP's retransmission timeout (RFC 6298): meanGain
+	// and deviationGain are the weights of a new sample, and deviationFactor deviations are
+	// added to the mean. A probe may take timeoutRoundTrips of these estimates.
 	meanGain          = 0.125
 	deviationGain     = 0.25
 	deviationFactor   = 4
 	timeoutRoundTrips = 4
 )
 
-// roundTrip estimates the time from an opening packet to its caller's next one:
-// by an endpoint and a caller, so above that to the endpoint and back.
+// roundTrip estimates the time from a SYN to the client's next packet. It includes the client's
+// round trip, so it is an upper bound for that to the endpoint.
 type roundTrip struct {
 	mean, deviation time.Duration
 }
 
-// add takes the time of one.
+// add adds a sample to the estimate.
 func (r *roundTrip) add(sample time.Duration) {
 	if r.mean == 0 {
 		r.mean, r.deviation = sample, sample/2
@@ -38,7 +36,7 @@
 	r.mean += time.Duration(meanGain * float64(off))
 }
 
-// probeTimeout returns how long a question may take; nil has seen nothing.
+// probeTimeout returns the timeout of a probe; a nil receiver has no samples.
 func (r *roundTrip) probeTimeout() time.Duration {
 	if r == nil {
 		return defaultProbeTimeout
@@ -46,7 +44,7 @@
 	return min(max(minProbeTimeout, timeoutRoundTrips*(r.mean+deviationFactor*r.deviation)), maxProbeTimeout)
 }
 
-// noteRoundTrip takes how long the opening of a flow took.
+// noteRoundTrip adds a sample for the endpoint's failure domain.
 func (s *Steerer) noteRoundTrip(b *backend, sample time.Duration) {
 	estimate := s.roundTrips[b.Domain]
 	if estimate == nil {
--- a/internal/steer/roundtrip_test.go
+++ b/internal/steer/roundtrip_test.go
@@ -33,8 +33,8 @@
 
 	It("is learned from flows that open at once, by the failure domain of the endpoint", func() {
 		s := testSteerer()
-		d := s.Decide(start, openingPacket(1000, 7, 0))
-		s.Decide(start.Add(30*time.Millisecond), establishedPacket(1000, d.Tag, 8, 1, 10))
+		d := s.Decide(start, synPacket(1000, 7, 0))
+		s.Decide(start.Add(30*time.Millisecond), flowPacket(1000, d.Tag, 8, 1, 10))
 		Expect(s.roundTrips).To(HaveKey("plateau"))
 		Expect(s.roundTrips["plateau"].mean).To(Equal(30 * time.Millisecond))
 	})
--- a/internal/steer/routes.go
+++ b/internal/steer/routes.go
@@ -11,11 +11,11 @@
 // route is a route of the document with the sum of its weights.
 type route struct {
 	document.Route
-	totalWeight uint64 // sum over the shares
+	totalWeight uint64
 }
 
-// SetDocument puts a document in force; an older one than that in force
-// changes nothing. It reports whether it is in force now for the first time.
+// SetDocument applies a document unless it is older than, or the same as, the current one. It
+// reports whether it was applied.
 func (s *Steerer) SetDocument(now time.Time, d *document.Document) bool {
 	if s.document != nil && d.Version() <= s.document.Version() {
 		return false
@@ -38,7 +38,7 @@
 	return true
 }
 
-// Version returns the version in force, 0 before the first.
+// Version returns the current document version, 0 before the first.
 func (s *Steerer) Version() uint64 {
 	if s.document == nil {
 		return 0
@@ -46,8 +46,7 @@
 	return s.document.Version()
 }
 
-// purgeDroppedRoutes forgets routes that were dropped so long ago that no flow of
-// theirs can be left.
+// purgeDroppedRoutes removes routes that were dropped longer ago than a flow can live.
 func (s *Steerer) purgeDroppedRoutes(now time.Time) {
 	for addr, at := range s.dropped {
 		if now.Sub(at) >= s.config.MaxFlow {
@@ -57,7 +56,7 @@
 	}
 }
 
-// service returns the service of a route that a draw falls on.
+// service returns the service that a hash selects by weight.
 func (r *route) service(hash uint64) string {
 	offset := hash % r.totalWeight
 	for _, share := range r.Shares {
@@ -69,7 +68,7 @@
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// leadsTo reports whether a route may send flows to a service.
+// leadsTo reports whether a route sends flows to a service.
 func (r *route) leadsTo(service string) bool {
 	return slices.ContainsFunc(r.Shares, func(share document.Share) bool { return share.Service == service })
 }
--- a/internal/steer/routes_test.go
+++ b/internal/steer/routes_test.go
@@ -14,21 +14,21 @@
 	BeforeEach(func() { s = testSteerer() })
 
 	It("resets flows of a route that the document in force dropped, and takes them when it is back", func() {
-		d := s.Decide(start, openingPacket(1000, 7, 0))
+		d := s.Decide(start, synPacket(1000, 7, 0))
 		s.SetDocument(start, testDocument(2, routeTo(documentsAddr, "documents")))
-		e := s.Decide(start, establishedPacket(1000, d.Tag, 8, 55, 10))
+		e := s.Decide(start, flowPacket(1000, d.Tag, 8, 55, 10))
 		Expect(e.Reason).To(Equal(RouteDropped))
 		Expect(e.Action).To(Equal(Reset))
 		Expect(e.Seq).To(Equal(uint32(55)), "what the caller expects next")
 		s.SetDocument(start, testDocument(3, routeTo(bookingAddr, "booking")))
-		Expect(s.Decide(start, openingPacket(1001, 7, 0)).Reason).To(Equal(Placed))
+		Expect(s.Decide(start, synPacket(1001, 7, 0)).Reason).To(Equal(Placed))
 	})
 
 	It("forgets a dropped route once no flow of it can be left", func() {
-		d := s.Decide(start, openingPacket(1000, 7, 0))
+		d := s.Decide(start, synPacket(1000, 7, 0))
 		s.SetDocument(start, testDocument(2, routeTo(documentsAddr, "documents")))
-		Expect(s.Decide(start.Add(time.Minute-time.Second), establishedPacket(1000, d.Tag, 8, 55, 10)).Reason).To(Equal(RouteDropped))
-		s.Decide(start.Add(time.Minute), establishedPacket(1000, d.Tag, 8, 55, 10))
+		Expect(s.Decide(start.Add(time.Minute-time.Second), flowPacket(1000, d.Tag, 8, 55, 10)).Reason).To(Equal(RouteDropped))
+		s.Decide(start.Add(time.Minute), flowPacket(1000, d.Tag, 8, 55, 10))
 		Expect(s.dropped).To(BeEmpty())
 	})
 
@@ -44,7 +44,7 @@
 		s.SetDocument(start, testDocument(2, r))
 		booking := 0
 		for port := range uint16(1000) {
-			if s.Decide(start, openingPacket(1000+port, 7, 0)).ID != "documents-3" {
+			if s.Decide(start, synPacket(1000+port, 7, 0)).ID != "documents-3" {
 				booking++
 			}
 		}
--- a/internal/steer/steer.go
+++ b/internal/steer/steer.go
@@ -1,8 +1,9 @@
-// Package steer decides where an entry sends the packets of a fabric that
-// carries a tag with each flow: the opening packet of a flow is placed once by
-// what is known of the endpoints, and every later packet goes by its tag
-// alone, at any entry, with no record and no message. The package has no I/O,
-// and now is an argument. One goroutine at a time uses a Steerer.
+// Package steer decides how an entry, the load-balancer instance that receives packets of
+// clients, forwards them. The SYN of a flow is placed on an endpoint by what is known of the
+// endpoints. Every later packet carries a tag that names the endpoint, so any entry can forward
+// it without per-flow state.
+// The package does no I/O, and takes the current time as an argument. A Steerer is not safe for
+// concurrent use.
 package steer
 
 import (
@@ -17,79 +18,75 @@
 )
 
 const (
-	// sweepInterval is how often unanswered and resting flows are looked for.
+	// sweepInterval is how often unanswered and idle flows are checked.
 	sweepInterval = 20 * time.Millisecond
-	// purgeInterval is how often incarnations that ended, and routes that were
-	// dropped, long ago are looked for.
+	// purgeInterval is how often ended incarnations and dropped routes are purged.
 	purgeInterval = time.Second
-	// goneGracePeriod is how long ago an endpoint must have ended before packets of
-	// its flows are answered by a reset: until then it may still answer.
+	// goneGracePeriod is how long packets are still forwarded to an endpoint that has ended,
+	// since it may answer them. After that they are reset.
 	goneGracePeriod = 500 * time.Millisecond
-	// reassignAttempt is the repetition of an opening packet that goes elsewhere
-	// even though nothing else speaks against the first endpoint.
+	// reassignAttempt is the SYN retransmission that always goes to another endpoint.
 	reassignAttempt = 2
 )
 
 type (
-	// Config sets what a Steerer cannot learn.
+	// Config holds the static settings of a Steerer.
 	Config struct {
 		Domain   string        // failure domain of this entry
-		MaxFlow  time.Duration // no flow is older
-		MaxFlows int           // records of flows that are kept for balance
-		Beat     time.Duration // an endpoint's heartbeat period
-		// Suspected is called when an endpoint is avoided from now on, or no
-		// longer; nil where nobody listens.
+		MaxFlow  time.Duration // maximum lifetime of a flow
+		MaxFlows int           // maximum number of tracked flows
+		Beat     time.Duration // heartbeat period of endpoints
+		// Suspected is called when new flows start or stop avoiding an endpoint; may be nil.
 		Suspected func(id string, suspect bool)
-		// Ask has a question asked, without waiting; its outcome comes to
-		// Answered. It reports false where it is not asked; nil where nobody asks.
+		// Ask starts a probe without blocking and reports whether it was started; the outcome
+		// is passed to Answered. If nil, endpoints are not probed.
 		Ask func(Question) bool
-		// Tell has other entries told that an endpoint left a question without an
-		// answer; it does not wait. Nil where nobody is told.
+		// Tell notifies other entries, without blocking, that an endpoint missed a probe; may
+		// be nil.
 		Tell func(id string)
-		// Hung has it reported that an endpoint does not answer a request that it took,
-		// or by an error, while others of its service answer; it does not wait. Nil
-		// where nobody listens.
+		// Hung reports, without blocking, an endpoint that leaves requests without an answer or
+		// answers them by errors while others of its service respond; may be nil.
 		Hung func(id string)
 	}
 
-	// Steerer decides for one entry.
+	// Steerer makes the forwarding decisions of one entry.
 	Steerer struct {
 		config   Config
 		document *document.Document
-		// evacuations are the failure domains to whose endpoints no new flow goes.
+		// evacuations holds the failure domains whose endpoints get no new flow.
 		evacuations *evacuation.Set
-		// coldRates are, by service, how many requests a second a cold endpoint carries;
-		// services without a bound are not in it.
+		// coldRates holds the requests per second that a cold endpoint may carry, by service;
+		// services without a limit are absent.
 		coldRates map[string]float64
 		routes    map[netip.AddrPort]*route
-		dropped   map[netip.AddrPort]time.Time // when a route that was in force went
+		dropped   map[netip.AddrPort]time.Time // time when each route was dropped
 		byID      map[string]*backend
 		byTag     map[uint32]*backend
-		byAddr    map[netip.AddrPort][]*backend // the incarnations that claim each address
+		byAddr    map[netip.AddrPort][]*backend // incarnations that claim each address
 		pools     map[string]*pool              // by service
-		reporters map[string]*reporter          // by control instance
+		reporters map[string]*reporter          // by name of the control instance
 		synced    bool                          // a control instance has reported every endpoint
-		digest    registry.Digest               // of byID
+		digest    registry.Digest               // digest of byID
 
 		flows           map[flowKey]*flow
-		idleOrder       *list.List                    // flows, the longest at rest first
-		pendingOpens    *list.List                    // flows not answered yet, the oldest first
-		pendingRequests []pendingRequest              // requests, the oldest first
+		idleOrder       *list.List                    // tracked flows, least recently used first
+		pendingOpens    *list.List                    // flows without a first answer, oldest first
+		pendingRequests []pendingRequest              // oldest first
 		responses       map[string]*responseCounts    // by service
-		sizeStats       map[netip.AddrPort]*sizeStats // of answers, by address of the route
-		nextSweep       time.Time                     // of the next sweep
-		nextPurge       time.Time                     // of the next forgetEnded and forgetDropped
-		lost            map[*backend]bool             // those out of reach
-		outages         map[string]*outage            // by failure domain of endpoints
-		leaderSeenAt    time.Time                     // when a control instance last said that it leads
-		roundTrips      map[string]*roundTrip         // by failure domain of endpoints
-		lastResponseAt  time.Time                     // when any endpoint was last seen to answer
-		randSource      *rand.PCG                     // of random; seeded for each flow that is placed
+		sizeStats       map[netip.AddrPort]*sizeStats // by address of the route
+		nextSweep       time.Time                     // time of the next sweep
+		nextPurge       time.Time                     // time of the next purge
+		lost            map[*backend]bool             // backends that are out of reach
+		outages         map[string]*outage            // by failure domain of the endpoint
+		leaderSeenAt    time.Time                     // when the leader was last heard
+		roundTrips      map[string]*roundTrip         // by failure domain of the endpoint
+		lastResponseAt  time.Time                     // when any endpoint last answered
+		randSource      *rand.PCG                     // source of random, reseeded for each flow that is placed
 		random          *rand.Rand
 	}
 )
 
-// New returns a Steerer that knows nothing yet.
+// New returns a Steerer without a document and without endpoints.
 func New(c Config) *Steerer {
 	source, random := newRandom()
 	return &Steerer{
@@ -113,7 +110,7 @@
 	}
 }
 
-// Decide says what to do with a caller's packet.
+// Decide returns what to do with a client's packet.
 func (s *Steerer) Decide(now time.Time, p Packet) Decision {
 	if !now.Before(s.nextSweep) {
 		s.nextSweep = now.Add(sweepInterval)
@@ -130,7 +127,7 @@
 	return s.steerByTag(now, p)
 }
 
-// steerByTag sends a packet of an open flow by its tag.
+// steerByTag forwards a packet of an established flow by its tag.
 func (s *Steerer) steerByTag(now time.Time, p Packet) Decision {
 	f := s.flows[flowKey{p.Src, p.Dst}]
 	if _, dropped := s.dropped[p.Dst]; dropped {
@@ -160,7 +157,7 @@
 	return b.forward(reason)
 }
 
-// openFlow places a new flow, or sends a copy after its first packet.
+// openFlow places a new flow, or forwards a retransmitted SYN.
 func (s *Steerer) openFlow(now time.Time, p Packet) Decision {
 	if s.document == nil {
 		return Decision{Reason: NoTable}
@@ -180,7 +177,7 @@
 	b := s.choose(now, r, p, avoid, nil)
 	switch {
 	case b == nil && f != nil && s.isExcluded(now, f.backend):
-		// Not reset: its endpoint may have answered the first packet, and the flow be open.
+		// Not reset: the endpoint may have answered the first SYN, and the flow be established.
 		return Decision{Reason: s.noEndpointReason(r), ID: f.backend.ID}
 	case b == nil && f != nil:
 		return f.backend.forward(Repeated)
@@ -198,8 +195,8 @@
 	return b.forward(Placed)
 }
 
-// existingFlow returns the flow that an opening packet is a copy for, nil where it is
-// the first one; a flow between the same addresses that began otherwise ends.
+// existingFlow returns the tracked flow that a SYN retransmits, or nil for a new flow. A flow
+// of the same addresses with another initial sequence number is removed.
 func (s *Steerer) existingFlow(p Packet) *flow {
 	f := s.flows[flowKey{p.Src, p.Dst}]
 	if f != nil && f.initialSeq != p.Seq {
@@ -209,8 +206,8 @@
 	return f
 }
 
-// shouldReassign reports whether a copy goes to another endpoint: there is evidence
-// that the first one is silent, or it is the last copy.
+// shouldReassign reports whether a retransmitted SYN goes to another endpoint: new flows
+// exclude or avoid the first one, or enough retransmissions went unanswered.
 func (s *Steerer) shouldReassign(now time.Time, f *flow, p Packet) bool {
 	return !f.established && (p.Copy >= reassignAttempt || !s.isEligible(now, f.backend) || s.isAvoided(now, f.backend))
 }
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -64,15 +64,15 @@
 	return s
 }
 
-// openingPacket is the openingPacket packet of a flow to booking, or a copy of it.
-func openingPacket(port uint16, seq uint32, copies int) Packet {
+// synPacket is the synPacket packet of a flow to booking, or a copy of it.
+func synPacket(port uint16, seq uint32, copies int) Packet {
 	caller := netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port)
 	return Packet{Src: caller, Dst: bookingAddr, Flags: Syn, Seq: seq, Copy: copies}
 }
 
-// establishedPacket is a packet of the flow that opening began.
-func establishedPacket(port uint16, tag uint32, seq, ack uint32, length int) Packet {
-	p := openingPacket(port, seq, 0)
+// flowPacket is a packet of the flow that opening began.
+func flowPacket(port uint16, tag uint32, seq, ack uint32, length int) Packet {
+	p := synPacket(port, seq, 0)
 	p.Flags, p.Tag, p.Ack, p.Len = Ack, tag, ack, length
 	return p
 }
@@ -82,7 +82,7 @@
 	BeforeEach(func() { s = testSteerer() })
 
 	It("places a flow on an endpoint of the route's service and steers the rest by the tag", func() {
-		d := s.Decide(start, openingPacket(1000, 7, 0))
+		d := s.Decide(start, synPacket(1000, 7, 0))
 		Expect(d.Action).To(Equal(Forward))
 		Expect(d.Reason).To(Equal(Placed))
 		Expect(d.ID).To(HavePrefix("booking-"))
@@ -91,47 +91,47 @@
 		other := New(Config{Domain: "almadies", MaxFlow: time.Minute, MaxFlows: 100})
 		other.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking")))
 		other.Learn(start, "c1", reports(report("booking", 1, nil), report("booking", 2, nil)))
-		e := other.Decide(start, establishedPacket(1000, d.Tag, 8, 1, 10))
+		e := other.Decide(start, flowPacket(1000, d.Tag, 8, 1, 10))
 		Expect(e.Reason).To(Equal(Steered), "an entry that saw nothing of the flow")
 		Expect(e.ID).To(Equal(d.ID))
 		Expect(e.Number).To(Equal(d.Number))
 	})
 
 	It("sends a copy of an opening packet to the same endpoint", func() {
-		d := s.Decide(start, openingPacket(1000, 7, 0))
-		e := s.Decide(start.Add(200*time.Millisecond), openingPacket(1000, 7, 1))
+		d := s.Decide(start, synPacket(1000, 7, 0))
+		e := s.Decide(start.Add(200*time.Millisecond), synPacket(1000, 7, 1))
 		Expect(e.Reason).To(Equal(Repeated))
 		Expect(e.ID).To(Equal(d.ID))
 	})
 
 	It("sends the last copy elsewhere, and stays with the endpoint whose answer the caller took", func() {
-		d := s.Decide(start, openingPacket(1000, 7, 0))
-		e := s.Decide(start.Add(600*time.Millisecond), openingPacket(1000, 7, 2))
+		d := s.Decide(start, synPacket(1000, 7, 0))
+		e := s.Decide(start.Add(600*time.Millisecond), synPacket(1000, 7, 2))
 		Expect(e.Reason).To(Equal(Replaced))
 		Expect(e.ID).NotTo(Equal(d.ID))
 
-		f := s.Decide(start.Add(610*time.Millisecond), establishedPacket(1000, d.Tag, 8, 1, 0))
+		f := s.Decide(start.Add(610*time.Millisecond), flowPacket(1000, d.Tag, 8, 1, 0))
 		Expect(f.ID).To(Equal(d.ID), "the first answered late")
-		g := s.Decide(start.Add(620*time.Millisecond), establishedPacket(1000, e.Tag, 8, 1, 10))
+		g := s.Decide(start.Add(620*time.Millisecond), flowPacket(1000, e.Tag, 8, 1, 10))
 		Expect(g.Reason).To(Equal(Corrected), "the tag of the second one arrived meanwhile")
 		Expect(g.ID).To(Equal(d.ID))
 		Expect(g.Tag).To(Equal(d.Tag))
 	})
 
 	It("takes the same tuple with another sequence number for a new flow", func() {
-		s.Decide(start, openingPacket(1000, 7, 0))
-		Expect(s.Decide(start, openingPacket(1000, 8, 0)).Reason).To(Equal(Placed))
+		s.Decide(start, synPacket(1000, 7, 0))
+		Expect(s.Decide(start, synPacket(1000, 8, 0)).Reason).To(Equal(Placed))
 		Expect(s.Counts(start).Flows).To(Equal(1))
 	})
 
 	It("never guesses for a tag that it does not know", func() {
-		d := s.Decide(start, establishedPacket(1000, 12345, 8, 1, 10))
+		d := s.Decide(start, flowPacket(1000, 12345, 8, 1, 10))
 		Expect(d.Action).To(Equal(Drop))
 		Expect(d.Reason).To(Equal(UnknownTag))
 	})
 
 	It("resets what has no route, and is silent while it knows no document", func() {
-		p := openingPacket(1000, 7, 0)
+		p := synPacket(1000, 7, 0)
 		p.Dst = netip.MustParseAddrPort("198.18.0.9:443")
 		Expect(s.Decide(start, p).Action).To(Equal(Reset))
 		Expect(s.Decide(start, p).Reason).To(Equal(NoRoute))
@@ -141,22 +141,22 @@
 	})
 
 	It("forwards a flow of a route that it has not heard of by its tag: it may be behind", func() {
-		p := establishedPacket(1000, Tag("booking-1"), 8, 1, 10)
+		p := flowPacket(1000, Tag("booking-1"), 8, 1, 10)
 		p.Dst = netip.MustParseAddrPort("198.18.0.9:443")
 		Expect(s.Decide(start, p).Reason).To(Equal(Steered))
 	})
 
 	It("drops what no caller sends", func() {
-		p := openingPacket(1000, 7, 0)
+		p := synPacket(1000, 7, 0)
 		p.Flags = Syn | Ack
 		Expect(s.Decide(start, p).Reason).To(Equal(Malformed))
-		p = openingPacket(1000, 7, 0)
+		p = synPacket(1000, 7, 0)
 		p.Len = 5
 		Expect(s.Decide(start, p).Reason).To(Equal(Malformed))
 	})
 
 	It("gives no flow to an endpoint that leaves, and keeps its open ones", func() {
-		d := s.Decide(start, openingPacket(1000, 7, 0))
+		d := s.Decide(start, synPacket(1000, 7, 0))
 		for _, n := range []int{1, 2} {
 			s.Learn(start, "c1", reports(report("booking", n, func(m *wire.EndpointReport) {
 				m.Sequence = 2
@@ -164,30 +164,30 @@
 			})))
 		}
 		for port := range uint16(20) {
-			Expect(s.Decide(start, openingPacket(2000+port, 7, 0)).ID).NotTo(Equal(d.ID))
+			Expect(s.Decide(start, synPacket(2000+port, 7, 0)).ID).NotTo(Equal(d.ID))
 		}
-		Expect(s.Decide(start, establishedPacket(1000, d.Tag, 8, 1, 10)).Reason).To(Equal(Steered))
+		Expect(s.Decide(start, flowPacket(1000, d.Tag, 8, 1, 10)).Reason).To(Equal(Steered))
 	})
 
 	It("refuses at once when no endpoint may take a flow, but not before it knows them all", func() {
 		leave := func(m *wire.EndpointReport) { m.Sequence, m.Leaving = 2, true }
 		s.Learn(start, "c1", reports(report("booking", 1, leave), report("booking", 2, leave)))
-		Expect(s.Decide(start, openingPacket(1000, 7, 0))).To(Equal(Decision{Action: Reset, Reason: NoEndpoint, Version: 1}))
+		Expect(s.Decide(start, synPacket(1000, 7, 0))).To(Equal(Decision{Action: Reset, Reason: NoEndpoint, Version: 1}))
 
 		fresh := New(Config{MaxFlows: 10})
 		fresh.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking")))
 		fresh.Learn(start, "c1", &wire.Reports{})
-		Expect(fresh.Decide(start, openingPacket(1000, 7, 0))).To(Equal(Decision{Reason: NoTable, Version: 1}))
+		Expect(fresh.Decide(start, synPacket(1000, 7, 0))).To(Equal(Decision{Reason: NoTable, Version: 1}))
 	})
 
 	It("resets flows of an endpoint that has ended, once it can answer no more", func() {
-		d := s.Decide(start, openingPacket(1000, 7, 0))
-		s.Decide(start, establishedPacket(1000, d.Tag, 8, 1, 10))
+		d := s.Decide(start, synPacket(1000, 7, 0))
+		s.Decide(start, flowPacket(1000, d.Tag, 8, 1, 10))
 		for _, n := range []int{1, 2} {
 			s.Learn(start, "c1", reports(report("booking", n, func(m *wire.EndpointReport) { m.Gone = true })))
 		}
-		Expect(s.Decide(start.Add(goneGracePeriod/2), establishedPacket(1000, d.Tag, 8, 1, 10)).Action).To(Equal(Forward))
-		e := s.Decide(start.Add(2*goneGracePeriod), establishedPacket(1000, d.Tag, 8, 9, 10))
+		Expect(s.Decide(start.Add(goneGracePeriod/2), flowPacket(1000, d.Tag, 8, 1, 10)).Action).To(Equal(Forward))
+		e := s.Decide(start.Add(2*goneGracePeriod), flowPacket(1000, d.Tag, 8, 9, 10))
 		Expect(e.Action).To(Equal(Reset))
 		Expect(e.Reason).To(Equal(EndpointGone))
 		Expect(e.Seq).To(Equal(uint32(9)))
@@ -200,58 +200,58 @@
 		now, missed := start, 0
 		for port := uint16(1000); missed < 2; port++ {
 			now = now.Add(10 * time.Millisecond)
-			if d := s.Decide(now, openingPacket(port, 7, 0)); d.ID == "booking-1" {
+			if d := s.Decide(now, synPacket(port, 7, 0)); d.ID == "booking-1" {
 				missed++
 			} else {
-				s.Decide(now, establishedPacket(port, d.Tag, 8, 1, 0))
+				s.Decide(now, flowPacket(port, d.Tag, 8, 1, 0))
 			}
 		}
 		now = now.Add(openTimeout + sweepInterval)
 		for port := range uint16(10) {
-			d := s.Decide(now, openingPacket(3000+port, 7, 0))
+			d := s.Decide(now, synPacket(3000+port, 7, 0))
 			Expect(d.ID).To(Equal("booking-2"))
-			s.Decide(now, establishedPacket(3000+port, d.Tag, 8, 1, 0))
+			s.Decide(now, flowPacket(3000+port, d.Tag, 8, 1, 0))
 		}
 		Expect(changes).To(Equal([]string{"booking-1true"}))
 		now = now.Add(minSuspectPeriod)
 		tried := uint16(0)
 		for port := range uint16(30) {
-			if d := s.Decide(now, openingPacket(4000+port, 7, 0)); d.ID == "booking-1" {
+			if d := s.Decide(now, synPacket(4000+port, 7, 0)); d.ID == "booking-1" {
 				tried = 4000 + port
 			}
 		}
 		Expect(tried).NotTo(BeZero())
-		s.Decide(now, establishedPacket(tried, Tag("booking-1"), 8, 1, 0))
+		s.Decide(now, flowPacket(tried, Tag("booking-1"), 8, 1, 0))
 		Expect(changes).To(Equal([]string{"booking-1true", "booking-1false"}))
 	})
 
 	It("does not empty a service because everything speaks against its endpoints", func() {
 		silent := func(m *wire.EndpointReport) { m.Sequence, m.Silent = 2, true }
 		s.Learn(start, "c1", reports(report("booking", 1, silent), report("booking", 2, silent)))
-		Expect(s.Decide(start, openingPacket(1000, 7, 0)).Reason).To(Equal(Placed))
+		Expect(s.Decide(start, synPacket(1000, 7, 0)).Reason).To(Equal(Placed))
 	})
 
 	It("keeps to its own failure domain until its endpoints are clearly busier", func() {
 		away := func(m *wire.EndpointReport) { m.Domain, m.Sequence = "almadies", 2 }
 		s.Learn(start, "c1", reports(report("booking", 2, away)))
-		Expect(s.Decide(start, openingPacket(1000, 7, 0)).ID).To(Equal("booking-1"))
-		s.Decide(start, establishedPacket(1000, Tag("booking-1"), 8, 1, 10)) // a request goes in: half of its slots
-		Expect(s.Decide(start, openingPacket(1001, 7, 0)).ID).To(Equal("booking-2"))
-		s.Decide(start, establishedPacket(1000, Tag("booking-1"), 18, 99, 0)) // its answer comes out
-		Expect(s.Decide(start, openingPacket(1002, 7, 0)).ID).To(Equal("booking-1"))
+		Expect(s.Decide(start, synPacket(1000, 7, 0)).ID).To(Equal("booking-1"))
+		s.Decide(start, flowPacket(1000, Tag("booking-1"), 8, 1, 10)) // a request goes in: half of its slots
+		Expect(s.Decide(start, synPacket(1001, 7, 0)).ID).To(Equal("booking-2"))
+		s.Decide(start, flowPacket(1000, Tag("booking-1"), 18, 99, 0)) // its answer comes out
+		Expect(s.Decide(start, synPacket(1002, 7, 0)).ID).To(Equal("booking-1"))
 	})
 
 	It("spreads flows over the endpoints of its domain", func() {
 		counts := map[string]int{}
 		for port := range uint16(60) {
-			counts[s.Decide(start, openingPacket(1000+port, 7, 0)).ID]++
+			counts[s.Decide(start, synPacket(1000+port, 7, 0)).ID]++
 		}
 		Expect(counts).To(Equal(map[string]int{"booking-1": 30, "booking-2": 30}))
 	})
 
 	It("allocates nothing for a packet of an open flow", func() {
-		d := s.Decide(start, openingPacket(1000, 7, 0))
-		p := establishedPacket(1000, d.Tag, 8, 1, 10)
+		d := s.Decide(start, synPacket(1000, 7, 0))
+		p := flowPacket(1000, d.Tag, 8, 1, 10)
 		now := start
 		Expect(testing.AllocsPerRun(1000, func() {
 			now = now.Add(time.Millisecond)
