--- a/internal/steer/bench_test.go
+++ b/internal/steer/bench_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// benchmarkSteerer knows 120 endpoints, as large deployments have.
+// benchmarkSteerer knows 120 endpoints of one service.
 func benchmarkSteerer() *Steerer {
 	s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10_000})
 	s.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking")))
@@ -42,9 +42,7 @@
 	return s
 }
 
-// BenchmarkChoose is what placing costs by the size of the service, over five
-// failure domains. On one busy machine a scan of the whole service took 2.1, 8.7,
-// 102 and 1,483 µs at the four sizes; draws take 0.6, 0.6, 0.6 and 1.5 µs.
+// BenchmarkChoose measures placement by the size of the service, over five failure domains.
 func BenchmarkChoose(b *testing.B) {
 	for _, count := range []int{120, 480, 4_000, 55_000} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
@@ -58,5 +56,5 @@
 	}
 }
 
-// testingAllocs returns how often f allocates.
+// testingAllocs returns the average number of allocations of f.
 func testingAllocs(f func()) float64 { return testing.AllocsPerRun(100, f) }
--- a/internal/steer/cold_test.go
+++ b/internal/steer/cold_test.go
@@ -11,9 +11,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var _ = Describe("cold endpoints of a service that bounds what they carry", func() {
+var _ = Describe("cold endpoints of a service with a cold rate limit", func() {
 	const coldFor = 2 * time.Second
-	bounded := func(s *Steerer, version uint64, rate float64) {
+	setColdRate := func(s *Steerer, version uint64, rate float64) {
 		d, faults := document.New(document.Config{
 			Version: version, Routes: []document.Route{routeTo(bookingAddr, "booking")},
 			Services: []document.Service{{Name: "booking", ColdRate: rate}},
@@ -21,7 +21,7 @@
 		Expect(faults).To(BeEmpty())
 		s.SetDocument(start, d)
 	}
-	// coldReport is a report of an endpoint that has just started in a failure domain.
+	// coldReport reports an endpoint that has just started in a failure domain.
 	coldReport := func(n int, domain string) *wire.EndpointReport {
 		m := fleetReport(n, domain)
 		m.WarmNanos = int64(coldFor)
@@ -29,7 +29,7 @@
 	}
 	fleet := func(rate float64) *Steerer {
 		s := fleetSteerer(threeDomains(40))
-		bounded(s, 2, rate)
+		setColdRate(s, 2, rate)
 		for n := 200; n < 240; n++ {
 			s.Learn(start, "c1", reports(coldReport(n, "plateau")))
 		}
@@ -37,41 +37,41 @@
 	}
 
 	It("get no new flow from any entry until they are warm, under three times the usual load", func() {
-		const entries, flows = 30, 50 // in a second at each: 12 for each endpoint of the failure domain
-		got := map[string]int{}
+		const entries, flows = 30, 50 // flows per second at each entry: 12 for each endpoint of the failure domain
+		placed := map[string]int{}
 		for range entries {
 			s := fleet(4)
 			for n := range flows {
 				at := start.Add(time.Duration(rand.New(rand.NewPCG(uint64(n), 1)).Int64N(int64(coldFor))))
 				d := s.Decide(at, fleetSynPacket(n))
 				Expect(d.Action).To(Equal(Forward))
-				got[d.ID]++
+				placed[d.ID]++
 			}
 		}
 		for n := 200; n < 240; n++ {
-			Expect(got).NotTo(HaveKey(fleetReport(n, "").Id))
+			Expect(placed).NotTo(HaveKey(fleetReport(n, "").Id))
 		}
 	})
 
-	It("get them as others do once they are warm, and where nothing bounds them", func() {
+	It("get new flows once they are warm, or if there is no limit", func() {
 		for _, s := range []*Steerer{fleet(4), fleet(0)} {
 			at := start
 			if s.coldRates["booking"] > 0 {
 				at = start.Add(coldFor)
 			}
-			got := 0
+			placed := 0
 			for n := range 4000 {
 				if d := s.Decide(at, fleetSynPacket(n)); d.Number >= 200 {
-					got++
+					placed++
 				}
 			}
-			Expect(got).To(BeNumerically(">", 0))
+			Expect(placed).To(BeNumerically(">", 0))
 		}
 	})
 
-	It("leave new flows to another failure domain, and have them reset at once where none is warm", func() {
+	It("leave new flows to another failure domain, and have them reset if no endpoint is warm", func() {
 		s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10_000})
-		bounded(s, 1, 4)
+		setColdRate(s, 1, 4)
 		s.Learn(start, "c1", reports(coldReport(1, "plateau"), coldReport(2, "plateau"), fleetReport(3, "almadies")))
 		d := s.Decide(start, fleetSynPacket(1))
 		Expect(d.Number).To(Equal(uint64(3)))
@@ -86,9 +86,9 @@
 		Expect(s.Explain(start, fleetSynPacket(2).Src, bookingAddr).Candidates[0].Verdict).To(ContainSubstring("warm in 2s"))
 	})
 
-	It("get no copy of an opening packet that was sent before they became cold again", func() {
+	It("get no retransmission of a SYN that was sent before they became cold again", func() {
 		s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10_000})
-		bounded(s, 1, 4)
+		setColdRate(s, 1, 4)
 		s.Learn(start, "c1", reports(fleetReport(1, "plateau")))
 		p := fleetSynPacket(1)
 		Expect(s.Decide(start, p).Number).To(Equal(uint64(1)))
@@ -96,7 +96,7 @@
 		again.Sequence = 2
 		s.Learn(start, "c1", reports(again))
 		p.Copy = 1
-		Expect(s.Decide(start.Add(200*time.Millisecond), p).Action).To(Equal(Drop), "not reset: the flow may be open")
+		Expect(s.Decide(start.Add(200*time.Millisecond), p).Action).To(Equal(Drop), "not reset: the flow may be established")
 		Expect(s.Decide(start.Add(coldFor), p).Number).To(Equal(uint64(1)))
 	})
 })
--- a/internal/steer/convergence_test.go
+++ b/internal/steer/convergence_test.go
@@ -13,18 +13,18 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// convergenceTest is two control instances, what each has told the other, and an entry
-// that one of them tells whole and the other by sums.
+// convergenceTest has two control instances that exchange reports, and an entry that gets full
+// reports from one of them and checksums from the other.
 type convergenceTest struct {
 	now        time.Time
 	registries [2]*registry.Registry
-	lastSent   [2]uint64 // to the other control instance, by number
+	lastSent   [2]uint64 // last number sent to the other control instance
 	entry      *Steerer
 	connected  [2]bool
-	lastTold   [2]uint64 // to the entry, by number
+	lastTold   [2]uint64 // last number sent to the entry
 	primary    int
 	sequences  map[string]uint64
-	leaving    map[string]bool // an endpoint never takes that back
+	leaving    map[string]bool // once true, always true for an endpoint
 }
 
 func newConvergenceTest() *convergenceTest {
@@ -38,7 +38,8 @@
 	return t
 }
 
-// heartbeat has a control instance heartbeat an endpoint, or that it leaves.
+// heartbeat has a control instance receive a heartbeat of an endpoint, which may say that it
+// leaves.
 func (t *convergenceTest) heartbeat(at, n int, leaving bool) {
 	id := fmt.Sprint("i-", n)
 	t.sequences[id]++
@@ -49,14 +50,14 @@
 	})
 }
 
-// exchange hands what a control instance heard to the other one.
+// exchange sends what a control instance heard to the other one.
 func (t *convergenceTest) exchange(from int) {
 	reports := t.registries[from].Beats(t.now, t.lastSent[from])
 	t.lastSent[from] = reports.Number
 	t.registries[1-from].Merge(t.now, reports)
 }
 
-// sync tells the entry what a control instance has not told it yet.
+// sync sends the entry what a control instance has not sent it yet.
 func (t *convergenceTest) sync(from int) {
 	r, source := t.registries[from], fmt.Sprint("c", from)
 	var reports *wire.Reports
@@ -75,13 +76,13 @@
 	}
 }
 
-// disconnect ends the link of the entry to a control instance.
+// disconnect closes the entry's connection to a control instance.
 func (t *convergenceTest) disconnect(from int) {
 	t.connected[from] = false
 	t.entry.Forget(t.now, fmt.Sprint("c", from))
 }
 
-// step does one thing at random.
+// step takes one random step.
 func (t *convergenceTest) step(r *rapid.T) {
 	at, n := rapid.IntRange(0, 1).Draw(r, "at"), rapid.IntRange(0, 3).Draw(r, "endpoint")
 	switch rapid.IntRange(0, 7).Draw(r, "step") {
@@ -107,9 +108,8 @@
 	}
 }
 
-// Whatever is late on the way, an entry that hears of one control instance alone
-// knows in the end what that one knows, and believes an endpoint silent only if
-// all that it hears of do.
+// Guards against an entry that misses reports: whatever the delays, it must learn all that its
+// control instance knows, and call an endpoint silent only if all its sources do.
 func TestEntryConvergesWithControlInstances(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		g := gomega.NewWithT(r)
@@ -134,7 +134,7 @@
 		for _, b := range c.entry.byID {
 			digest.Toggle(b.ID, registry.Sum(b.Endpoint))
 		}
-		g.Expect(c.entry.Digest()).To(gomega.Equal(digest), "the digest is kept as records change")
+		g.Expect(c.entry.Digest()).To(gomega.Equal(digest), "the digest follows the records")
 	})
 }
 
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -13,12 +13,12 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// setOf is the set at a revision that evacuates some failure domains.
+// setOf returns the evacuation set of a revision and some failure domains.
 func setOf(revision uint64, domains ...string) *evacuation.Set {
 	return evacuation.FromMessage(&wire.Evacuations{Revision: revision, Domains: domains})
 }
 
-// threeDomains is a service with some endpoints in each of three failure domains.
+// threeDomains reports a service with some endpoints in each of three failure domains.
 func threeDomains(each int) []*wire.EndpointReport {
 	var all []*wire.EndpointReport
 	for n := range 3 * each {
@@ -29,59 +29,59 @@
 
 var _ = Describe("an evacuated failure domain", func() {
 	var s *Steerer
-	// domainOf returns the failure domain that a decision leads to.
+	// domainOf returns the failure domain that a decision forwards to.
 	domainOf := func(d Decision) string { return s.byID[d.ID].Domain }
-	// placedIn counts the new flows of many callers by failure domain.
+	// placedIn counts new flows by failure domain.
 	placedIn := func(flows int) map[string]int {
-		given := map[string]int{}
+		counts := map[string]int{}
 		for n := range flows {
 			p := fleetSynPacket(n)
 			if d := s.Decide(start, p); d.Action == Forward {
-				given[domainOf(d)]++
+				counts[domainOf(d)]++
 			}
 			s.removeFlow(s.flows[flowKey{p.Src, p.Dst}])
 		}
-		return given
+		return counts
 	}
 	BeforeEach(func() {
 		s = fleetSteerer(threeDomains(40))
-		s.NoteLeader(start) // in touch with the operator's orders
+		s.NoteLeader(start) // in contact with the leader
 	})
 
-	It("gets no new flow, and the others share what it got", func() {
+	It("gets no new flow, and the others share its load", func() {
 		Expect(placedIn(3000)).To(HaveLen(1))
 		Expect(s.SetEvacuations(setOf(4, "plateau"))).To(BeTrue())
-		given := placedIn(3000)
-		Expect(given).NotTo(HaveKey("plateau"))
-		Expect(given["almadies"]).To(BeNumerically("~", 1500, 150))
-		Expect(given["diamniadio"]).To(BeNumerically("~", 1500, 150))
+		counts := placedIn(3000)
+		Expect(counts).NotTo(HaveKey("plateau"))
+		Expect(counts["almadies"]).To(BeNumerically("~", 1500, 150))
+		Expect(counts["diamniadio"]).To(BeNumerically("~", 1500, 150))
 	})
 
-	It("keeps the flows that are open, and gets new ones once it is taken back", func() {
-		opening := fleetSynPacket(1)
-		d := s.Decide(start, opening)
+	It("keeps its established flows, and gets new ones after the evacuation ends", func() {
+		syn := fleetSynPacket(1)
+		d := s.Decide(start, syn)
 		s.SetEvacuations(setOf(4, "plateau"))
-		later := s.Decide(start.Add(time.Second), Packet{Src: opening.Src, Dst: opening.Dst, Flags: Ack, Seq: 8, Ack: 2, Tag: d.Tag, Len: 10})
+		later := s.Decide(start.Add(time.Second), Packet{Src: syn.Src, Dst: syn.Dst, Flags: Ack, Seq: 8, Ack: 2, Tag: d.Tag, Len: 10})
 		Expect(later.Action).To(Equal(Forward))
 		Expect(later.ID).To(Equal(d.ID))
 		s.SetEvacuations(setOf(6))
 		Expect(placedIn(100)).To(Equal(map[string]int{"plateau": 100}))
 	})
 
-	It("is not opened again by an older order, whoever tells it", func() {
+	It("is not reopened by an older set", func() {
 		s.SetEvacuations(setOf(4, "plateau"))
 		Expect(s.SetEvacuations(setOf(3))).To(BeFalse())
 		Expect(s.SetEvacuations(nil)).To(BeFalse())
 		Expect(placedIn(100)).NotTo(HaveKey("plateau"))
 	})
 
-	It("takes in endpoints that come later, and lets those go that were known before", func() {
+	It("includes endpoints learned before and after the set", func() {
 		s.SetEvacuations(setOf(4, "plateau", "almadies"))
 		s.Learn(start, "c1", reports(fleetReport(900, "plateau")))
 		Expect(placedIn(300)).To(Equal(map[string]int{"diamniadio": 300}))
 	})
 
-	It("gets no copy of an opening packet either", func() {
+	It("gets no retransmitted SYN", func() {
 		opening := fleetSynPacket(1)
 		s.Decide(start, opening)
 		s.SetEvacuations(setOf(4, "plateau"))
@@ -89,7 +89,7 @@
 		Expect(domainOf(s.Decide(start.Add(200*time.Millisecond), opening))).NotTo(Equal("plateau"))
 	})
 
-	It("gets none where no other endpoint takes it, and the flow, which may be open, is not reset", func() {
+	It("gets no retransmitted SYN if all are evacuated, and the flow, which may be established, is not reset", func() {
 		opening := fleetSynPacket(1)
 		s.Decide(start, opening)
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
@@ -99,19 +99,19 @@
 		Expect(d.Reason).To(Equal(Evacuated))
 	})
 
-	It("has new flows reset at once where every one is evacuated, and says why", func() {
+	It("has new flows reset if all are evacuated, and explains why", func() {
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
 		opening := fleetSynPacket(1)
 		d := s.Decide(start, opening)
 		Expect(d.Action).To(Equal(Reset))
 		Expect(d.Reason).To(Equal(Evacuated))
-		told := s.Explain(start, opening.Src, opening.Dst)
-		Expect(told.Reason).To(Equal("evacuated"))
-		Expect(told.NextStep).To(ContainSubstring("--undo"))
-		Expect(told.Candidates[0].Verdict).To(ContainSubstring("is evacuated by revision 4"))
+		explanation := s.Explain(start, opening.Src, opening.Dst)
+		Expect(explanation.Reason).To(Equal("evacuated"))
+		Expect(explanation.NextStep).To(ContainSubstring("--undo"))
+		Expect(explanation.Candidates[0].Verdict).To(ContainSubstring("is evacuated by revision 4"))
 	})
 
-	It("is not asked whether its lost endpoints are back", func() {
+	It("has its unreachable endpoints not probed", func() {
 		asked := 0
 		s.config.Ask = func(Question) bool { asked++; return true }
 		b := s.byID["booking-0"]
@@ -124,7 +124,7 @@
 		Expect(asked).To(Equal(1))
 	})
 
-	It("gets no new flow under any order of reports, sets, silence and suspicion", func() {
+	It("gets no new flow under any sequence of reports, sets, silence and suspicion", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			domains := []string{"plateau", "almadies", "diamniadio"}
 			s := fleetSteerer(nil)
@@ -152,7 +152,7 @@
 					}
 					d := s.Decide(start, p)
 					if d.Action == Forward && slices.Contains(s.Evacuations().Domains(), s.byID[d.ID].Domain) {
-						t.Fatalf("an opening packet goes to %s in %s", d.ID, s.byID[d.ID].Domain)
+						t.Fatalf("a SYN goes to %s in evacuated %s", d.ID, s.byID[d.ID].Domain)
 					}
 				}
 			}
--- a/internal/steer/explain.go
+++ b/internal/steer/explain.go
@@ -12,21 +12,21 @@
 
 // nextSteps holds the advice to operators for each reason.
 var nextSteps = [ReasonCount]string{
-	Placed:       "nothing: this is where a new flow goes",
-	Repeated:     "nothing, if it is rare: the first packet or its answer was lost; else look at the endpoint",
-	UnknownTag:   "nothing: the caller opens another flow; where it lasts, see whether this entry reaches the control instances",
-	Malformed:    "look at who sends it",
+	Placed:       "nothing: new flows are placed like this",
+	Repeated:     "nothing, if it is rare: the first packet or its answer was lost; otherwise check the endpoint",
+	UnknownTag:   "nothing: the client opens another flow; if it persists, check that this entry reaches the control instances",
+	Malformed:    "check the sender",
 	Steered:      "nothing: every packet of the flow names its endpoint",
-	Corrected:    "nothing: two endpoints answered, and the flow stays with the first that its caller took",
-	Replaced:     "look at the endpoint that did not answer",
-	NoTable:      "wait until the entry reaches a control instance; look for its log lines on lost ones",
-	NoRoute:      "give the address a route, or correct the caller",
-	RouteDropped: "bring the route back if the flow should live on",
-	NoEndpoint:   "start endpoints of the service, or keep some from leaving",
-	EndpointGone: "nothing: its caller opens another flow",
+	Corrected:    "nothing: two endpoints answered, and the flow stays with the one whose answer the client accepted",
+	Replaced:     "check the endpoint that did not answer",
+	NoTable:      "wait until the entry reaches a control instance; check its log for \"control instance lost\"",
+	NoRoute:      "add a route for the address, or correct the address that the client uses",
+	RouteDropped: "restore the route if its flows should continue",
+	NoEndpoint:   "start endpoints of the service, or stop some from leaving",
+	EndpointGone: "nothing: the client opens another flow",
 	Cold:         "wait until endpoints are warm, or start more of the service before they are needed",
 	Evacuated:    "end an evacuation with `oxbowsaddle evacuate --undo`, or start endpoints in another failure domain",
-	EndpointLost: "look at the endpoint, and at the network to its failure domain",
+	EndpointLost: "check the endpoint and the network to its failure domain",
 }
 
 // Explain describes a tracked flow, or the decision that the SYN of an untracked flow would get
@@ -101,7 +101,7 @@
 
 // describe returns the state of the flow.
 func (f *flow) describe(now time.Time) string {
-	state := "its caller has not gone on yet"
+	state := "not established yet"
 	switch {
 	case f.awaiting:
 		state = "a request waits for its answer"
@@ -138,10 +138,10 @@
 func (s *Steerer) verdict(now time.Time, b *backend, bulk bool) string {
 	verdict := b.verdict(now, s.config.Domain, bulk)
 	if now.Before(b.ejection.until) {
-		verdict += fmt.Sprintf(", avoided for %s: several entries say that it left requests without an answer, or answered errors", b.ejection.until.Sub(now).Round(time.Millisecond))
+		verdict += fmt.Sprintf(", avoided for %s: several entries report that it leaves requests unanswered or answers with errors", b.ejection.until.Sub(now).Round(time.Millisecond))
 	}
 	if b.acceptsFlows() && s.excludedWhileCold(now, b) {
-		verdict += fmt.Sprintf(", takes no new flow before it is warm in %s: it carries too few a second then", b.warmUntil.Sub(now).Round(time.Millisecond))
+		verdict += fmt.Sprintf(", takes no new flow until it is warm in %s: its request rate is limited while cold", b.warmUntil.Sub(now).Round(time.Millisecond))
 	}
 	if b.acceptsFlows() && s.isEvacuated(b) {
 		verdict += fmt.Sprintf(", takes no new flow: failure domain %s is evacuated by revision %d", b.Domain, s.evacuations.Revision())
@@ -157,7 +157,7 @@
 	case b.Leaving:
 		return "is leaving and takes no new flow"
 	case b.tagConflict:
-		return "has the tag of another endpoint and takes no flow"
+		return "shares the tag of another endpoint and takes no flow"
 	}
 	verdict := fmt.Sprintf("load %.2f: %d flows and %d waiting requests on %d slots", b.load(now, domain, bulk), b.flows, b.pendingRequests, b.Slots)
 	if b.Domain != domain {
--- a/internal/steer/explain_test.go
+++ b/internal/steer/explain_test.go
@@ -30,7 +30,7 @@
 		return ""
 	}
 
-	It("tells where a flow is and since when, without changing anything", func() {
+	It("describes a tracked flow without changing any state", func() {
 		placed := s.Decide(start, synPacket(1000, 7, 0))
 		s.Decide(start, flowPacket(1000, placed.Tag, 8, 1, 10))
 		before := s.Counts(start)
@@ -45,7 +45,7 @@
 		Expect(d.Candidates).To(HaveLen(2), "the endpoints of the route's service")
 	})
 
-	It("works out for a flow that it does not remember what it would do now", func() {
+	It("computes the decision for an untracked flow", func() {
 		d := explain(start, 1000)
 		Expect(d.Recomputed).To(BeTrue())
 		Expect(d.Reason).To(Equal(Placed.String()))
@@ -54,7 +54,7 @@
 		Expect(s.Decide(start, synPacket(1000, 0, 0)).ID).To(Equal(d.Endpoint))
 	})
 
-	It("tells why each endpoint is passed over", func() {
+	It("says why each endpoint is passed over", func() {
 		s.Learn(start, "c1", reports(
 			report("booking", 1, func(m *wire.EndpointReport) { m.Sequence, m.Leaving = 2, true }),
 			report("booking", 2, func(m *wire.EndpointReport) { m.Silent = true }),
@@ -70,7 +70,7 @@
 		Expect(s.Drains(start.Add(time.Second))).To(ConsistOf(&wire.DrainStatus{Service: "booking", Endpoint: "booking-1", SinceNanos: int64(time.Second)}))
 	})
 
-	It("names what is missing", func() {
+	It("says what is missing", func() {
 		d := s.Explain(start, synPacket(1000, 7, 0).Src, netip.MustParseAddrPort("198.18.0.9:1"))
 		Expect(d.Reason).To(Equal(NoRoute.String()))
 		Expect(d.Action).To(Equal(Reset.String()))
--- a/internal/steer/flow.go
+++ b/internal/steer/flow.go
@@ -168,7 +168,8 @@
 	delete(s.flows, f.key)
 }
 
-// sweep runs the periodic checks.
+// sweep counts unanswered flows, expires idle ones, probes lost endpoints, reports hung
+// requests and purges old records.
 func (s *Steerer) sweep(now time.Time) {
 	s.countFailedOpens(now)
 	s.expireIdleFlows(now)
--- a/internal/steer/flow_test.go
+++ b/internal/steer/flow_test.go
@@ -9,14 +9,14 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var _ = Describe("what a Steerer remembers of flows", func() {
+var _ = Describe("the flow table", func() {
 	var s *Steerer
 	BeforeEach(func() { s = testSteerer() })
 
-	It("carries a waiting request along when the flow turns out to be on another endpoint", func() {
+	It("moves a pending request when the flow turns out to be on another endpoint", func() {
 		s.Learn(start, "c1", reports(report("booking", 2, func(m *wire.EndpointReport) { m.Sequence, m.Leaving = 2, true })))
 		Expect(s.Decide(start, synPacket(1000, 7, 0)).ID).To(Equal("booking-1"))
-		tag := Tag("booking-5") // another entry knows it, this one not yet
+		tag := Tag("booking-5") // known to another entry, not yet to this one
 		Expect(s.Decide(start, flowPacket(1000, tag, 8, 1, 10)).Reason).To(Equal(UnknownTag))
 		s.Learn(start, "c1", reports(report("booking", 5, nil)))
 		Expect(s.Decide(start, flowPacket(1000, tag, 8, 1, 10)).Reason).To(Equal(Steered))
@@ -26,7 +26,7 @@
 		Expect(s.byID["booking-5"].pendingRequests).To(BeZero())
 	})
 
-	It("bounds its records, and forgets flows that ended or rested", func() {
+	It("is bounded, and drops flows that ended or idled out", func() {
 		for port := range uint16(150) {
 			s.Decide(start, synPacket(1000+port, 7, 0))
 		}
--- a/internal/steer/fuzz_test.go
+++ b/internal/steer/fuzz_test.go
@@ -10,8 +10,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// FuzzReports hands reports of any content to a control instance and to an
-// entry: nothing that another process sends may end one, or spoil its sums.
+// FuzzReports checks that no report of another process crashes a control instance or an entry,
+// or corrupts its digest.
 func FuzzReports(f *testing.F) {
 	seed := reports(report("booking", 1, nil), report("booking", 2, func(m *wire.EndpointReport) { m.Gone = true }))
 	seed.Sums = []*wire.RecordSum{{Id: "booking-1", Sum: 7}}
@@ -46,7 +46,7 @@
 			digest.Toggle(b.ID, registry.Sum(b.Endpoint))
 		}
 		if digest != s.Digest() {
-			t.Error("the digest is not that of what is known")
+			t.Error("the digest does not match the known endpoints")
 		}
 	})
 }
--- a/internal/steer/learn_test.go
+++ b/internal/steer/learn_test.go
@@ -10,11 +10,11 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var _ = Describe("what a Steerer learns of endpoints", func() {
+var _ = Describe("the endpoint records of a Steerer", func() {
 	var s *Steerer
 	BeforeEach(func() { s = testSteerer() })
 
-	It("does not take an older report for a newer one, and never revives what is gone", func() {
+	It("ignore older reports, and never revive an ended endpoint", func() {
 		s.Learn(start, "c1", reports(report("booking", 1, func(m *wire.EndpointReport) { m.Sequence, m.Leaving = 5, true })))
 		s.Learn(start, "c2", reports(report("booking", 1, func(m *wire.EndpointReport) { m.Sequence = 4 })))
 		Expect(s.byID["booking-1"].Leaving).To(BeTrue())
@@ -23,7 +23,7 @@
 		Expect(s.byID["booking-2"].acceptsFlows()).To(BeFalse())
 	})
 
-	It("does not take for living what it was only told to have ended", func() {
+	It("do not revive an endpoint that was first reported as ended", func() {
 		s.Learn(start, "c1", reports(&wire.EndpointReport{Id: "booking-9", Gone: true}))
 		s.Learn(start, "c2", reports(report("booking", 9, nil)))
 		Expect(s.byID["booking-9"].acceptsFlows()).To(BeFalse())
@@ -32,7 +32,7 @@
 		Expect(s.pools["booking"][remoteTier]).To(BeEmpty())
 	})
 
-	It("takes an endpoint for silent only if every control instance that knows it does", func() {
+	It("call an endpoint silent only if every control instance that knows it does", func() {
 		silent := func(m *wire.EndpointReport) { m.Silent = true }
 		s.Learn(start, "c2", reports(report("booking", 1, silent)))
 		Expect(s.byID["booking-1"].silent).To(BeFalse())
@@ -43,19 +43,19 @@
 		Expect(s.byID["booking-1"].silent).To(BeFalse())
 	})
 
-	It("gives a control instance that has just started no say in who is heard, after a loss of power there", func() {
+	It("do not count an endpoint as heard by a control instance that has just started", func() {
 		silent := func(m *wire.EndpointReport) { m.Silent = true }
 		s.Learn(start, "c1", reports(report("booking", 1, silent)))
 		s.Learn(start, "c2", &wire.Reports{Endpoints: []*wire.EndpointReport{report("booking", 1, nil), report("booking", 2, nil)}})
 		Expect(s.byID["booking-1"].silent).To(BeTrue())
 		Expect(s.byID["booking-2"].silent).To(BeFalse())
 		s.Learn(start, "c2", &wire.Reports{Whole: true, Endpoints: []*wire.EndpointReport{report("booking", 1, silent)}})
-		Expect(s.byID["booking-1"].silent).To(BeTrue(), "it has not heard it since")
+		Expect(s.byID["booking-1"].silent).To(BeTrue(), "c2 has not heard it since its start")
 		s.Learn(start, "c1", reports(report("booking", 2, silent)))
-		Expect(s.byID["booking-2"].silent).To(BeFalse(), "it has had the time and has not called it silent")
+		Expect(s.byID["booking-2"].silent).To(BeFalse(), "c2 is ready and has not called it silent")
 	})
 
-	It("forgets an endpoint that crashed, once no flow of its can be left, and takes it in again", func() {
+	It("drop a crashed endpoint after the maximum flow lifetime, and accept it again", func() {
 		silent := func(m *wire.EndpointReport) { m.Silent = true }
 		s.Learn(start, "c1", reports(report("booking", 1, silent)))
 		s.Learn(start, "c2", reports(report("booking", 1, silent)))
@@ -63,7 +63,7 @@
 		listed := len(s.pools["booking"][localTier])
 		s.purgeEndedBackends(start.Add(s.config.MaxFlow - time.Millisecond))
 		Expect(s.byID).To(HaveKey("booking-1"))
-		s.byID["booking-1"].reach.lastResponseAt = start.Add(time.Second) // it has answered a caller meanwhile
+		s.byID["booking-1"].reach.lastResponseAt = start.Add(time.Second) // has answered a client since
 		s.purgeEndedBackends(start.Add(s.config.MaxFlow))
 		Expect(s.byID).To(HaveKey("booking-1"))
 		s.purgeEndedBackends(start.Add(s.config.MaxFlow + time.Second))
@@ -76,20 +76,20 @@
 		Expect(s.pools["booking"][localTier]).To(HaveLen(listed))
 	})
 
-	It("counts a control instance that knows the same as one that hears the endpoints", func() {
+	It("count the endpoints of a matching digest as heard by a ready control instance", func() {
 		silent := func(m *wire.EndpointReport) { m.Silent = true }
 		s.Learn(start, "c2", reports(report("booking", 1, silent)))
 		s.Learn(start, "c3", &wire.Reports{Same: ^uint64(0), Endpoints: []*wire.EndpointReport{report("booking", 2, silent)}})
 		s.Forget(start, "c1")
-		Expect(s.byID["booking-1"].silent).To(BeTrue(), "c3 has just started and may know it from before")
+		Expect(s.byID["booking-1"].silent).To(BeTrue(), "c3 is not ready and may not have heard it itself")
 		s.Vouch(start, "c3")
 		Expect(s.byID["booking-1"].silent).To(BeFalse(), "c3 hears it")
-		Expect(s.byID["booking-2"].silent).To(BeTrue(), "nobody but c3 knows it now")
+		Expect(s.byID["booking-2"].silent).To(BeTrue(), "only c3 knows it now")
 		s.Forget(start, "c3")
 		Expect(s.byID["booking-1"].silent).To(BeTrue())
 	})
 
-	It("notices by brief reports what it was not told, and takes the rest for heard", func() {
+	It("find missing endpoints by checksums, and count the others as heard", func() {
 		r := registry.New(registry.Config{Beat: time.Second}, start)
 		r.Merge(start, reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
 		before := r.Changed()
@@ -103,21 +103,21 @@
 		s.Learn(start, "c1", reports(report("booking", 4, func(m *wire.EndpointReport) { m.Silent = true })))
 		Expect(s.byID["booking-4"].silent).To(BeTrue())
 		Expect(s.Learn(start, "c2", brief)).To(BeEmpty())
-		Expect(s.byID["booking-4"].silent).To(BeTrue(), "c2 has just started")
+		Expect(s.byID["booking-4"].silent).To(BeTrue(), "c2 is not ready")
 		s.Vouch(start, "c2")
 		Expect(s.byID["booking-4"].silent).To(BeFalse(), "c2 knows it and has not called it silent")
 	})
 
-	It("asks by the digest for what it lacks, once that has rested at whoever tells it", func() {
+	It("are requested when a digest differs in a part that has stopped changing", func() {
 		r := registry.New(registry.Config{Beat: time.Second}, start)
 		r.Merge(start, reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil), report("booking", 7, nil), report("booking", 8, nil)))
-		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse(), "it may be on its way")
+		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse(), "the report may be on its way")
 		r.Merge(start, reports(report("booking", 7, func(m *wire.EndpointReport) { m.Gone = true })))
 		behind := s.LearnDigest(start, "c2", r.Digest())
-		Expect(behind).To(BeTrue(), "the other one is in a part that has rested")
+		Expect(behind).To(BeTrue(), "the other endpoint is in a part that has not changed")
 
 		s.Learn(start, "c1", r.Changes(start, 0))
-		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse(), "it knows all")
+		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse(), "the records are complete")
 		r.Merge(start, reports(report("booking", 1, func(m *wire.EndpointReport) { m.Gone = true })))
 		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse())
 		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeTrue())
@@ -126,7 +126,7 @@
 		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse())
 	})
 
-	It("takes who fell silent, and who is heard again, by their ids", func() {
+	It("apply lists of IDs that became silent or are heard again", func() {
 		s.Vouch(start, "c1")
 		s.Learn(start, "c1", reports(report("booking", 1, nil)))
 		s.Learn(start, "c1", &wire.Reports{Silent: []string{"booking-1", "unknown"}})
@@ -136,26 +136,26 @@
 		Expect(s.byID).NotTo(HaveKey("unknown"))
 	})
 
-	It("asks for nothing that it knows to have ended, and for all that it takes for living", func() {
+	It("are not requested for ended endpoints, only for live ones that differ", func() {
 		ended := &wire.Reports{Sums: []*wire.RecordSum{{Id: "booking-1", Sum: registry.Sum(registry.Endpoint{ID: "booking-1", Gone: true})}}}
 		Expect(s.Learn(start, "c2", ended)).To(ConsistOf("booking-1"))
 		s.Learn(start, "c1", reports(report("booking", 1, func(m *wire.EndpointReport) { m.Gone = true })))
 		Expect(s.Learn(start, "c2", ended)).To(BeEmpty())
 	})
 
-	It("has the digest of the control instance that told it all, also of what has ended", func() {
+	It("have the digest of the control instance that sent them, ended endpoints included", func() {
 		r := registry.New(registry.Config{Beat: time.Second}, start)
 		all := reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil))
 		r.Merge(start, all)
-		told := func() []*wire.EndpointReport { return r.Lacking(start, s.Digest()).Endpoints }
-		Expect(told()).To(BeEmpty())
+		missing := func() []*wire.EndpointReport { return r.Lacking(start, s.Digest()).Endpoints }
+		Expect(missing()).To(BeEmpty())
 		r.Leave(start, "booking-1")
-		Expect(told()).NotTo(BeEmpty())
+		Expect(missing()).NotTo(BeEmpty())
 		s.Learn(start, "c1", r.Changes(start, 0))
-		Expect(told()).To(BeEmpty())
+		Expect(missing()).To(BeEmpty())
 	})
 
-	It("forgets an incarnation that ended a flow's longest life ago", func() {
+	It("drop an ended incarnation after the maximum flow lifetime", func() {
 		s.Learn(start, "c1", reports(report("booking", 1, func(m *wire.EndpointReport) { m.Gone = true })))
 		s.Decide(start.Add(time.Minute+time.Second), synPacket(1000, 7, 0))
 		Expect(s.byID).NotTo(HaveKey("booking-1"))
--- a/internal/steer/outage_test.go
+++ b/internal/steer/outage_test.go
@@ -8,13 +8,13 @@
 )
 
 var _ = Describe("a failure domain out of reach", func() {
-	// play lets callers open flows for a span, 6 a second, and answers those that reach a
-	// failure domain which is not cut off; copies come as callers send them. It returns
-	// how many were answered, and how many of them at once, by second.
-	play := func(s *Steerer, begin time.Time, seconds int, cut func(domain string) bool) (answered, atOnce []int) {
+	// simulate opens 6 flows a second and answers those that reach a failure domain for which
+	// cut is false; SYNs are retransmitted as clients do. It returns, by second, how many flows
+	// were answered, and how many at the first SYN.
+	simulate := func(s *Steerer, begin time.Time, seconds int, cut func(domain string) bool) (answered, firstTry []int) {
 		const perSecond = 6
 		for second := range seconds {
-			answered, atOnce = append(answered, 0), append(atOnce, 0)
+			answered, firstTry = append(answered, 0), append(firstTry, 0)
 			for i := range perSecond {
 				now := begin.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
 				p := fleetSynPacket(second*perSecond + i)
@@ -22,35 +22,35 @@
 					p.Copy = copies
 					d := s.Decide(now.Add(after), p)
 					if d.Action != Forward || cut(s.byID[d.ID].Domain) {
-						s.Decide(now.Add(after+openTimeout+sweepInterval), fleetSynPacket(10_000)) // time passes
+						s.Decide(now.Add(after+openTimeout+sweepInterval), fleetSynPacket(10_000)) // lets the sweep run
 						continue
 					}
 					answered[second]++
 					if copies == 0 {
-						atOnce[second]++
+						firstTry[second]++
 					}
 					s.Decide(now.Add(after+time.Millisecond), Packet{Src: p.Src, Dst: p.Dst, Flags: Ack, Seq: p.Seq + 1, Ack: 2, Tag: d.Tag})
 					break
 				}
 			}
 		}
-		return answered, atOnce
+		return answered, firstTry
 	}
-	others := func(domain string) bool { return domain != "plateau" }
+	isRemote := func(domain string) bool { return domain != "plateau" }
 
-	It("is avoided after three endpoints left callers without an answer, and tried again", func() {
+	It("is avoided after three endpoints left SYNs unanswered, and probed again", func() {
 		s := fleetSteerer(threeDomains(40))
 		s.NoteLeader(start)
-		_, atOnce := play(s, start, 4, func(domain string) bool { return domain == "plateau" })
-		Expect(atOnce[0]).To(BeNumerically(">=", 3), "they go elsewhere within the first second")
+		_, firstTry := simulate(s, start, 4, func(domain string) bool { return domain == "plateau" })
+		Expect(firstTry[0]).To(BeNumerically(">=", 3), "new flows go elsewhere within the first second")
 		total := 0
-		for _, n := range atOnce {
+		for _, n := range firstTry {
 			total += n
 		}
-		Expect(total).To(BeNumerically(">=", 12), "half of the flows: the others try whether it is back")
+		Expect(total).To(BeNumerically(">=", 12), "half of the flows; the others are probes")
 	})
 
-	It("is not avoided for endpoints that crash while others answer", func() {
+	It("is not avoided when endpoints crash while others answer", func() {
 		s := fleetSteerer(threeDomains(40))
 		now := start
 		for n := range 9 {
@@ -63,16 +63,16 @@
 		}
 	})
 
-	It("that is evacuated serves its own callers while it is cut off, and no longer", func() {
+	It("serves its own clients while it is evacuated and cut off, and no longer", func() {
 		s := fleetSteerer(threeDomains(40))
 		s.SetEvacuations(setOf(4, "plateau"))
-		led := start.Add(time.Second)
-		s.NoteLeader(led)
-		answered, _ := play(s, start, 1, others)
-		Expect(answered[0]).To(BeZero(), "it may be in touch with the operator's orders")
-		answered, atOnce := play(s, led.Add(leaderTimeout+time.Millisecond), 4, others)
+		leaderSeen := start.Add(time.Second)
+		s.NoteLeader(leaderSeen)
+		answered, _ := simulate(s, start, 1, isRemote)
+		Expect(answered[0]).To(BeZero(), "the entry may still be in contact with the leader")
+		answered, firstTry := simulate(s, leaderSeen.Add(leaderTimeout+time.Millisecond), 4, isRemote)
 		Expect(answered[0]+answered[1]+answered[2]+answered[3]).To(BeNumerically(">=", 22), "of 24")
-		Expect(atOnce[3]).To(BeNumerically(">=", 3))
+		Expect(firstTry[3]).To(BeNumerically(">=", 3))
 		healed := start.Add(10 * time.Second)
 		s.NoteLeader(healed)
 		for n := range 60 {
@@ -81,7 +81,7 @@
 		}
 	})
 
-	It("gets nothing while every failure domain is evacuated, though this entry is cut off", func() {
+	It("gets no new flow if all are evacuated, even at a cut-off entry", func() {
 		s := fleetSteerer(threeDomains(40))
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
 		d := s.Decide(start.Add(time.Minute), fleetSynPacket(1))
--- a/internal/steer/outlier_test.go
+++ b/internal/steer/outlier_test.go
@@ -12,26 +12,25 @@
 	"oxbowsaddle/internal/outlier"
 )
 
-// outlierFleet is entries before one service, with a control instance that judges what
-// they report.
+// outlierFleet is a set of entries of one service and the tracker that evaluates their reports.
 type outlierFleet struct {
 	entries []*Steerer
 	tracker *outlier.Tracker
 	now     time.Time
 	random  *rand.Rand
 	ports   uint16
-	// responseTime returns after how long an endpoint responseTime a request, 0 for never.
+	// responseTime returns how long an endpoint takes to respond, 0 for never.
 	responseTime    func(at time.Time, id string) time.Duration
 	pending         []pendingResponse
-	hangingRequests []int // requests that an endpoint took which never answers, by second
+	hangingRequests []int // requests taken by endpoints that never respond, by second
 	ejected         map[string]bool
 }
 
-// pendingResponse is an answer on its way to a caller.
+// pendingResponse is a response on its way to a client.
 type pendingResponse struct {
 	at    time.Time
 	entry *Steerer
-	p     Packet // of the caller, which takes it
+	p     Packet // of the client, acknowledging the response
 }
 
 func newOutlierFleet(entries, endpoints int) *outlierFleet {
@@ -58,7 +57,7 @@
 	}
 }
 
-// run plays some seconds of a request each 1/perSecond s at each entry, a flow each.
+// run simulates some seconds with perSecond requests at each entry, each on its own flow.
 func (f *outlierFleet) run(seconds, perSecond int) {
 	const step = 10 * time.Millisecond
 	begin := f.now
@@ -103,15 +102,15 @@
 	f.pending = append(f.pending, pendingResponse{at: f.now.Add(after), entry: s, p: p})
 }
 
-// healthyResponseTime is how long a request takes on an endpoint that is healthyResponseTime.
+// healthyResponseTime draws the response time of a healthy endpoint.
 func (f *outlierFleet) healthyResponseTime() time.Duration {
 	return 30*time.Millisecond + time.Duration(f.random.IntN(150))*time.Millisecond
 }
 
-var _ = Describe("endpoints that take requests and do not answer", func() {
-	const hanging = 2 // of the 14 of the failure domain
+var _ = Describe("outlier detection", func() {
+	const hangingEndpoints = 2 // of the 14 in the failure domain
 	isHanging := func(id string) bool {
-		for n := range hanging {
+		for n := range hangingEndpoints {
 			if id == fleetReport(n*9, "").Id {
 				return true
 			}
@@ -119,7 +118,7 @@
 		return false
 	}
 
-	It("are avoided by all entries after a second, under the usual load of a large fleet", func() {
+	It("ejects hanging endpoints at all entries within two seconds, under the usual load of a large fleet", func() {
 		f := newOutlierFleet(30, 40)
 		f.responseTime = func(_ time.Time, id string) time.Duration {
 			if isHanging(id) {
@@ -137,12 +136,12 @@
 				after += n
 			}
 		}
-		Expect(before/2).To(BeNumerically(">", 15), "a second, before the verdict")
-		Expect(after/8).To(BeNumerically("<", 6), "a second: those that try them again")
-		Expect(len(f.ejected)).To(Equal(hanging), "and nobody else")
+		Expect(before/2).To(BeNumerically(">", 15), "requests a second before the ejection")
+		Expect(after/8).To(BeNumerically("<", 6), "requests a second after it: retries")
+		Expect(len(f.ejected)).To(Equal(hangingEndpoints), "no other endpoint")
 	})
 
-	It("are tried again, and taken back once they answer", func() {
+	It("retries ejected endpoints, and keeps them once they respond", func() {
 		f := newOutlierFleet(30, 40)
 		f.responseTime = func(at time.Time, id string) time.Duration {
 			if isHanging(id) && at.Sub(start) < 5*time.Second {
@@ -156,7 +155,7 @@
 		}
 	})
 
-	It("are not found in a service that is slow as a whole, nor one that hangs as a whole", func() {
+	It("ejects nothing from a service that is slow or hangs as a whole", func() {
 		for _, all := range []time.Duration{3 * time.Second, 0} {
 			f := newOutlierFleet(30, 40)
 			f.responseTime = func(time.Time, string) time.Duration { return all }
@@ -165,7 +164,7 @@
 		}
 	})
 
-	It("are not made of long requests, one in 200 of two seconds", func() {
+	It("ejects nothing for long requests, one in 200 of two seconds", func() {
 		f := newOutlierFleet(30, 40)
 		f.responseTime = func(time.Time, string) time.Duration {
 			if f.random.IntN(200) == 0 {
@@ -177,7 +176,7 @@
 		Expect(f.ejected).To(BeEmpty())
 	})
 
-	It("are not made of what one entry says, even beside a long request of each", func() {
+	It("ejects nothing on the reports of one entry, even with one report of another for each endpoint", func() {
 		f := newOutlierFleet(30, 40)
 		for n := range 40 {
 			f.report("e1", fleetReport(n, "").Id)
@@ -188,7 +187,7 @@
 		Expect(f.ejected).To(BeEmpty())
 	})
 
-	It("are a third of a service at most, however many are reported", func() {
+	It("ejects a third of a service at most", func() {
 		f := newOutlierFleet(2, 30)
 		for n := range 30 {
 			for range 2 {
@@ -200,7 +199,7 @@
 		Expect(len(f.ejected)).To(Equal(10))
 	})
 
-	It("keep the flows that are open", func() {
+	It("keeps established flows on an ejected endpoint", func() {
 		f := newOutlierFleet(2, 30)
 		s := f.entries[0]
 		p := fleetSynPacket(1)
@@ -211,7 +210,7 @@
 		Expect(later.ID).To(Equal(d.ID))
 	})
 
-	It("are watched up to a bound, and none is kept for longer than it counts", func() {
+	It("bounds the tracked requests, and drops them after the hang timeout", func() {
 		s := fleetSteerer(threeDomains(4))
 		f := &flow{key: flowKey{dst: bookingAddr}, backend: s.byID[fleetReport(0, "").Id], requestAt: start, awaiting: true}
 		for range 2 * maxPendingRequests {
@@ -222,7 +221,7 @@
 		Expect(s.pendingRequests).To(BeEmpty())
 	})
 
-	It("wait as long as their route says", func() {
+	It("uses the target latency of the route", func() {
 		s := fleetSteerer(threeDomains(4))
 		route := routeTo(bookingAddr, "booking")
 		route.Target = time.Second
--- a/internal/steer/pool_test.go
+++ b/internal/steer/pool_test.go
@@ -13,8 +13,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// irregularFleet is a service over five failure domains whose endpoints stand in
-// runs of irregular length, as they come to be known.
+// irregularFleet reports a service over five failure domains, whose endpoints alternate in runs
+// of irregular length.
 func irregularFleet(count int) []*wire.EndpointReport {
 	domains := []string{"plateau", "almadies", "diamniadio", "yoff", "pikine"}
 	var all []*wire.EndpointReport
@@ -30,7 +30,7 @@
 	return all
 }
 
-// fleetReport is a report of one of thousands of endpoints.
+// fleetReport reports one of up to thousands of endpoints.
 func fleetReport(n int, domain string) *wire.EndpointReport {
 	return report("booking", n, func(m *wire.EndpointReport) {
 		m.Domain, m.Address = domain, fmt.Sprintf("10.%d.%d.%d:80", n>>16, n>>8&255, n&255)
@@ -44,29 +44,29 @@
 	return s
 }
 
-// fleetSynPacket is the opening packet of the n-th of many flows.
+// fleetSynPacket returns the SYN of the n-th of many flows.
 func fleetSynPacket(n int) Packet {
 	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 16), byte(n >> 8)}), uint16(1000+n&255))
 	return Packet{Src: caller, Dst: bookingAddr, Flags: Syn, Seq: 7}
 }
 
-var _ = Describe("placing over a large service", func() {
-	// shares places flows that end at once, so that all endpoints stay equal, and
-	// returns how many each was given.
-	shares := func(s *Steerer, flows int) map[string]int {
-		given := map[string]int{}
+var _ = Describe("placement over a large service", func() {
+	// placements places flows that end at once, so that all loads stay equal, and counts them
+	// by endpoint.
+	placements := func(s *Steerer, flows int) map[string]int {
+		counts := map[string]int{}
 		for n := range flows {
 			p := fleetSynPacket(n)
 			d := s.Decide(start, p)
 			ExpectWithOffset(1, d.Reason).To(Equal(Placed))
-			given[d.ID]++
+			counts[d.ID]++
 			p.Flags, p.Tag, p.Seq = Rst, d.Tag, 8
 			s.Decide(start, p)
 		}
-		return given
+		return counts
 	}
-	// near returns the endpoints of the entry's own failure domain.
-	near := func(all []*wire.EndpointReport) (ids []string) {
+	// localIDs returns the endpoints in the entry's own failure domain.
+	localIDs := func(all []*wire.EndpointReport) (ids []string) {
 		for _, m := range all {
 			if m.Domain == "plateau" {
 				ids = append(ids, m.Id)
@@ -75,24 +75,24 @@
 		return ids
 	}
 
-	// With n draws of probability p a count lies within five standard deviations
-	// of its mean, but for a millionth.
-	DescribeTable("gives each of equal endpoints the same share, whatever stands before it", func(count int) {
+	// A binomial count deviates by more than five standard deviations with a probability below
+	// one in a million.
+	DescribeTable("gives endpoints of equal load the same share, whatever their order", func(count int) {
 		fleet := irregularFleet(count)
-		equals := near(fleet)
+		equals := localIDs(fleet)
 		const each = 200
-		given := shares(fleetSteerer(fleet), each*len(equals))
-		Expect(given).To(HaveLen(len(equals)), "each of the own failure domain, and no other")
+		counts := placements(fleetSteerer(fleet), each*len(equals))
+		Expect(counts).To(HaveLen(len(equals)), "all endpoints of the own failure domain, and no other")
 		bound := 5 * math.Sqrt(each*(1-1/float64(len(equals))))
 		for _, id := range equals {
-			Expect(given[id]).To(BeNumerically("~", each, bound), id)
+			Expect(counts[id]).To(BeNumerically("~", each, bound), id)
 		}
 	},
-		Entry("all of which are looked at", 70),
-		Entry("of which some are drawn", 480),
+		Entry("full scan", 70),
+		Entry("sample", 480),
 	)
 
-	It("prefers an endpoint that takes nothing to those that do, though only some are drawn", func() {
+	It("prefers idle endpoints, even if only a sample is considered", func() {
 		s := fleetSteerer(irregularFleet(480))
 		busy, idle := 0, 0
 		for n := range 60 { // of about 96 in the own failure domain
@@ -107,11 +107,11 @@
 		Expect(idle).To(BeNumerically(">=", 59))
 	})
 
-	It("finds one that is not under suspicion while nine in ten of the own failure domain are", func() {
+	It("finds an endpoint that is not suspect while nine in ten of the failure domain are", func() {
 		fleet := irregularFleet(480)
 		s := fleetSteerer(fleet)
 		silent := map[string]bool{}
-		for i, id := range near(fleet) {
+		for i, id := range localIDs(fleet) {
 			if i%10 != 0 {
 				silent[id] = true
 				s.byID[id].silent = true
@@ -123,22 +123,22 @@
 		}
 	})
 
-	It("goes to another failure domain once none is left in its own, and back", func() {
+	It("goes to another failure domain if none is left in its own, and back", func() {
 		fleet := irregularFleet(480)
 		s := fleetSteerer(fleet)
-		for _, id := range near(fleet) {
+		for _, id := range localIDs(fleet) {
 			s.byID[id].silent, s.byID[id].silentAt = true, start
 		}
 		d := s.Decide(start, fleetSynPacket(1))
 		Expect(s.byID[d.ID].Domain).NotTo(Equal("plateau"))
-		for _, id := range near(fleet) {
+		for _, id := range localIDs(fleet) {
 			s.byID[id].silent = false
 		}
 		d = s.Decide(start, fleetSynPacket(2))
 		Expect(s.byID[d.ID].Domain).To(Equal("plateau"))
 	})
 
-	It("never places on an endpoint that leaves, has ended, or serves another service by now", func() {
+	It("never uses an endpoint that is leaving, has ended, or changed its service", func() {
 		s := fleetSteerer(irregularFleet(480))
 		for n := range 480 {
 			m := fleetReport(n, "plateau")
@@ -163,7 +163,7 @@
 		}
 	})
 
-	It("decides alike at entries that know the same, and so alike for the copies of an opening packet", func() {
+	It("is the same at entries with the same knowledge, and so for all retransmissions of a SYN", func() {
 		fleet := irregularFleet(480)
 		one, other := fleetSteerer(fleet), fleetSteerer(fleet)
 		for n := range 50 {
@@ -177,23 +177,23 @@
 		}
 	})
 
-	It("is explained as it is done, and says which endpoints were not looked at", func() {
+	It("matches its explanation, which says which endpoints were not looked at", func() {
 		s := fleetSteerer(irregularFleet(480))
 		p := fleetSynPacket(5)
-		p.Seq = 0 // as Explain takes it
+		p.Seq = 0 // as Explain assumes
 		d := s.Explain(start, p.Src, p.Dst)
 		Expect(s.Decide(start, p).ID).To(Equal(d.Endpoint))
-		passed := 0
+		skipped := 0
 		for _, c := range d.Candidates {
 			if strings.HasPrefix(c.Verdict, "not looked at") {
-				passed++
+				skipped++
 			}
 		}
 		Expect(d.Candidates).To(HaveLen(480))
-		Expect(passed).To(BeNumerically(">=", 480-sampleSize))
+		Expect(skipped).To(BeNumerically(">=", 480-sampleSize))
 	})
 
-	It("allocates nothing to choose", func() {
+	It("does not allocate", func() {
 		s := fleetSteerer(irregularFleet(480))
 		r, p := s.routes[bookingAddr], fleetSynPacket(1)
 		Expect(testingAllocs(func() { s.choose(start, r, p, nil, nil) })).To(BeZero())
--- a/internal/steer/reachability_test.go
+++ b/internal/steer/reachability_test.go
@@ -10,57 +10,57 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// probeRecorder keeps the questions that a Steerer has probeRecorder.
+// probeRecorder records the probes and notices of a Steerer.
 type probeRecorder struct {
-	questions []Question
-	full      bool
-	notices   []string // of which other entries were told
+	probes    []Question
+	queueFull bool
+	notices   []string // endpoint IDs of the notices to other entries
 }
 
-func (a *probeRecorder) ask(q Question) bool {
-	if a.full {
+func (a *probeRecorder) probe(q Question) bool {
+	if a.queueFull {
 		return false
 	}
-	a.questions = append(a.questions, q)
+	a.probes = append(a.probes, q)
 	return true
 }
 
 func (a *probeRecorder) notify(id string) { a.notices = append(a.notices, id) }
 
-// take returns the oldest question.
+// take removes and returns the oldest probe.
 func (a *probeRecorder) take() Question {
-	Expect(a.questions).NotTo(BeEmpty())
-	q := a.questions[0]
-	a.questions = a.questions[1:]
+	Expect(a.probes).NotTo(BeEmpty())
+	q := a.probes[0]
+	a.probes = a.probes[1:]
 	return q
 }
 
-var _ = Describe("whether endpoints can be reached", func() {
+var _ = Describe("probing endpoints", func() {
 	const took = 100 * time.Millisecond
 	var s *Steerer
-	var a *probeRecorder
+	var probes *probeRecorder
 	var now time.Time
 	var dead, other uint32 // tags of two flows
 
-	// request sends a request on a flow, or again the one before.
+	// request sends a request on a flow, or retransmits it.
 	request := func(port uint16, tag, seq uint32) Decision { return s.Decide(now, flowPacket(port, tag, seq, 1, 10)) }
-	// otherLives has another endpoint answer a caller.
+	// otherResponds has the other endpoint answer a client.
 	seq, ack := uint32(100), uint32(1)
-	otherLives := func() {
+	otherResponds := func() {
 		seq, ack = seq+10, ack+10
 		s.Decide(now, flowPacket(2000, other, seq, ack, 10))
 	}
-	// miss lets the oldest question go without an answer.
+	// miss has the oldest probe time out.
 	miss := func() []Ended {
-		q := a.take()
+		q := probes.take()
 		now = now.Add(took)
-		otherLives()
+		otherResponds()
 		return s.Answered(now, q, Missed)
 	}
 
 	BeforeEach(func() {
-		a, now, seq, ack = &probeRecorder{}, start, 100, 1
-		s = New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: a.ask, Tell: a.notify})
+		probes, now, seq, ack = &probeRecorder{}, start, 100, 1
+		s = New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: probes.probe, Tell: probes.notify})
 		s.SetDocument(now, testDocument(1, routeTo(bookingAddr, "booking"), routeTo(documentsAddr, "documents")))
 		s.Learn(now, "c1", reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
 		first := s.Decide(now, synPacket(1000, 7, 0))
@@ -72,48 +72,48 @@
 		request(2000, other, 8)
 	})
 
-	It("are asked when a caller repeats data, not when packets only overtake each other", func() {
+	It("starts when a client retransmits data, not when packets are reordered", func() {
 		now = now.Add(time.Millisecond)
 		request(1000, dead, 8)
-		Expect(a.questions).To(BeEmpty())
+		Expect(probes.probes).To(BeEmpty())
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
-		q := a.take()
+		q := probes.take()
 		Expect(q.ID).To(Equal(s.byTag[dead].ID))
 		Expect(q.Why).To(Equal(Unacked))
 		request(1000, dead, 8)
-		Expect(a.questions).To(BeEmpty(), "one question at a time")
+		Expect(probes.probes).To(BeEmpty(), "one probe at a time")
 	})
 
-	It("are asked when an opening packet is not answered", func() {
+	It("starts when a SYN is not answered", func() {
 		s.Decide(now, synPacket(3000, 7, 0))
 		now = now.Add(2 * openTimeout)
 		s.Decide(now, flowPacket(2000, other, 18, 11, 0))
-		Expect(a.take().Why).To(Equal(Unopened))
+		Expect(probes.take().Why).To(Equal(Unopened))
 	})
 
-	It("are asked at once when they were out of reach and their heartbeats are heard again", func() {
+	It("starts at once when the heartbeats of an unreachable endpoint resume", func() {
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		miss()
 		miss()
 		b := s.byTag[dead]
-		beat := func(sequence uint64, silent bool) {
+		heartbeat := func(sequence uint64, silent bool) {
 			s.Learn(now, "c1", reports(report("booking", int(b.Number), func(m *wire.EndpointReport) { m.Sequence, m.Silent = sequence, silent })))
 		}
-		beat(2, true)
-		Expect(a.questions).To(BeEmpty())
-		beat(3, false)
-		Expect(a.take().Why).To(Equal(Lost))
+		heartbeat(2, true)
+		Expect(probes.probes).To(BeEmpty())
+		heartbeat(3, false)
+		Expect(probes.take().Why).To(Equal(Lost))
 	})
 
-	It("end their flows after two misses in a row: at once those that are known, others at their next packet", func() {
+	It("ends flows after two consecutive misses: tracked ones at once, others at their next packet", func() {
 		s.Decide(now, flowPacket(4000, dead, 50, 3, 0)) // carried by another entry until now, and idle
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		Expect(miss()).To(BeEmpty())
-		Expect(a.questions).To(HaveLen(1))
-		Expect(a.questions[0].Why).To(Equal(Again))
+		Expect(probes.probes).To(HaveLen(1))
+		Expect(probes.probes[0].Why).To(Equal(Again))
 		Expect(miss()).To(Equal([]Ended{{Src: synPacket(1000, 0, 0).Src, Dst: bookingAddr, Seq: 1}}))
 
 		d := s.Decide(now, flowPacket(4000, dead, 50, 3, 10))
@@ -122,63 +122,63 @@
 		Expect(s.byTag[dead].flows).To(BeZero())
 	})
 
-	It("keep their flows where this entry may be to blame: nobody else answers either", func() {
+	It("ends no flow while no other endpoint answers, as the fault may be at this entry", func() {
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		for range maxInconclusive {
-			q := a.take()
+			q := probes.take()
 			now = now.Add(took)
 			Expect(s.Answered(now, q, Missed)).To(BeEmpty())
 		}
-		Expect(a.questions).To(BeEmpty(), "until new evidence comes")
+		Expect(probes.probes).To(BeEmpty(), "until there is new evidence")
 		Expect(request(1000, dead, 8).Action).To(Equal(Forward))
 	})
 
-	It("keep them where this entry was too slow to tell, or the queue of questions was full", func() {
+	It("ends no flow if probes are inconclusive, or the probe queue is full", func() {
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		for range maxInconclusive {
-			q := a.take()
+			q := probes.take()
 			now = now.Add(5 * took)
-			otherLives()
+			otherResponds()
 			Expect(s.Answered(now, q, Unsure)).To(BeEmpty())
 		}
-		a.full = true
+		probes.queueFull = true
 		now = now.Add(time.Second)
 		request(1000, dead, 8)
 		Expect(s.byTag[dead].reach.probing).To(BeFalse())
-		a.full = false
+		probes.queueFull = false
 		request(1000, dead, 8)
-		Expect(a.questions).To(HaveLen(1))
+		Expect(probes.probes).To(HaveLen(1))
 	})
 
-	It("keep them where they answer a caller while they are asked, or a question", func() {
+	It("ends no flow if the endpoint answers a client meanwhile, or a probe in between", func() {
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
-		q := a.take()
+		q := probes.take()
 		s.Decide(now.Add(took/2), flowPacket(1000, dead, 18, 9, 0))
 		now = now.Add(took)
-		otherLives()
+		otherResponds()
 		Expect(s.Answered(now, q, Missed)).To(BeEmpty())
-		Expect(a.questions).To(BeEmpty())
+		Expect(probes.probes).To(BeEmpty())
 
 		now = now.Add(time.Second)
 		request(1000, dead, 18)
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 18)
 		Expect(miss()).To(BeEmpty())
-		Expect(s.Answered(now, a.take(), Reached)).To(BeEmpty())
+		Expect(s.Answered(now, probes.take(), Reached)).To(BeEmpty())
 		now = now.Add(probeInterval)
 		request(1000, dead, 18)
-		Expect(miss()).To(BeEmpty(), "misses are counted in a row")
+		Expect(miss()).To(BeEmpty(), "only consecutive misses count")
 	})
 
-	It("count misses in a row, not those of long ago", func() {
+	It("does not count old misses", func() {
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		Expect(miss()).To(BeEmpty())
-		for range maxInconclusive { // nothing comes of the next ones
-			q := a.take()
+		for range maxInconclusive { // the next probes are inconclusive
+			q := probes.take()
 			now = now.Add(missValidity)
 			s.Answered(now, q, Unsure)
 		}
@@ -187,101 +187,101 @@
 		Expect(s.byTag[dead].reach.lost).To(BeFalse())
 	})
 
-	It("are not asked while they leave: they may accept no connection and serve their flows", func() {
+	It("skips leaving endpoints, which may refuse connections while they serve their flows", func() {
 		leaving := func(n int) *wire.EndpointReport {
 			return report("booking", n, func(m *wire.EndpointReport) { m.Sequence, m.Leaving = 2, true })
 		}
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
-		q := a.take()
+		q := probes.take()
 		s.Learn(now, "c1", reports(leaving(1), leaving(2)))
 		now = now.Add(took)
-		otherLives()
+		otherResponds()
 		Expect(s.Answered(now, q, Missed)).To(BeEmpty())
 		request(1000, dead, 8)
-		Expect(a.questions).To(BeEmpty())
+		Expect(probes.probes).To(BeEmpty())
 	})
 
-	It("have ended once another one at their address answers an opening packet that was sent to it", func() {
+	It("marks an endpoint as ended once another one at its address answers a SYN", func() {
 		b := s.byTag[dead]
 		s.Learn(now, "c1", reports(report("booking", 9, func(m *wire.EndpointReport) { m.Address = b.Addr.String() })))
-		next := s.byID["booking-9"]
+		successor := s.byID["booking-9"]
 		q := Question{ID: b.ID, startedAt: now}
 		b.reach.misses = 1
 		s.Answered(now, q, Reached)
-		Expect(b.reach.misses).To(Equal(1), "it may be the other one that accepts connections")
+		Expect(b.reach.misses).To(Equal(1), "the other endpoint may be the one that accepts connections")
 
-		answered := func(first Packet, copies int) {
+		answerSYN := func(first Packet, copies int) {
 			first.Copy = copies
-			s.trackOpening(now, first, next)
+			s.trackOpening(now, first, successor)
 			now = now.Add(time.Millisecond)
-			s.Decide(now, flowPacket(first.Src.Port(), next.tag, first.Seq+1, 1, 0))
+			s.Decide(now, flowPacket(first.Src.Port(), successor.tag, first.Seq+1, 1, 0))
 		}
 		b.learnedAt = now
-		answered(synPacket(7000, 7, 0), 0) // sent at the moment that it became known
+		answerSYN(synPacket(7000, 7, 0), 0) // sent in the moment that it became known
 		Expect(b.reach.replaced).To(BeFalse())
-		answered(synPacket(7001, 7, 0), 1) // an earlier copy may have been answered
+		answerSYN(synPacket(7001, 7, 0), 1) // an earlier SYN may have been answered
 		Expect(b.reach.replaced).To(BeFalse())
-		answered(synPacket(7002, 7, 0), 0)
+		answerSYN(synPacket(7002, 7, 0), 0)
 		Expect(b.reach.replaced).To(BeTrue())
 		now = now.Add(time.Minute)
 		Expect(s.Decide(now, flowPacket(1000, dead, 8, 1, 10)).Reason).To(Equal(EndpointLost))
 		s.markReachable(b)
-		Expect(b.reach.lost).To(BeTrue(), "for good")
-		Expect(next.reach.lost).To(BeFalse())
+		Expect(b.reach.lost).To(BeTrue(), "permanently")
+		Expect(successor.reach.lost).To(BeFalse())
 	})
 
-	It("have ended once callers repeat data to one that heartbeats call superseded, though its address answers", func() {
+	It("ends the flows of a superseded endpoint when clients retransmit, though its address accepts connections", func() {
 		b := s.byTag[dead]
 		stall := func(why Evidence) []Ended {
 			now = now.Add(probeInterval)
 			return s.Answered(now, Question{ID: b.ID, Why: why, startedAt: now.Add(-time.Millisecond)}, Reached)
 		}
-		open := func() {
+		openFlow := func() {
 			p := synPacket(7100, 7, 0)
 			s.trackOpening(now, p, b)
 			s.flows[flowKey{p.Src, p.Dst}].established = true
 		}
-		open()
+		openFlow()
 		s.Learn(now, "c1", reports(report("booking", 9, func(m *wire.EndpointReport) { m.Address = b.Addr.String() })))
-		Expect(append(stall(Unacked), stall(Unacked)...)).To(BeEmpty(), "it is not silent: the other one is the one that may have ended")
+		Expect(append(stall(Unacked), stall(Unacked)...)).To(BeEmpty(), "it is not silent: the other endpoint may have ended")
 
 		for _, t := range s.reporters {
 			t.silent[b.ID] = true
 		}
 		s.updateSilence(now, b)
 		Expect(s.isSuperseded(b)).To(BeTrue())
-		Expect(append(stall(Unopened), stall(Again)...)).To(BeEmpty(), "no caller of an open flow waits")
+		Expect(append(stall(Unopened), stall(Again)...)).To(BeEmpty(), "no client of an established flow waits")
 		Expect(stall(Unacked)).To(BeEmpty(), "one packet may be lost")
 		s.markResponsive(now, b)
-		Expect(stall(Unacked)).To(BeEmpty(), "it has answered a caller meanwhile")
+		Expect(stall(Unacked)).To(BeEmpty(), "it has answered a client meanwhile")
 		Expect(stall(Unacked)).NotTo(BeEmpty())
 		Expect(s.Decide(now, flowPacket(1000, dead, 8, 1, 10)).Reason).To(Equal(EndpointLost))
 	})
 
-	It("are told of to other entries, once and only by who found out itself", func() {
+	It("notifies other entries of own misses, once", func() {
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		miss()
-		Expect(a.notices).To(ConsistOf(s.byTag[dead].ID))
+		Expect(probes.notices).To(ConsistOf(s.byTag[dead].ID))
 		miss()
-		Expect(a.notices).To(HaveLen(1))
+		Expect(probes.notices).To(HaveLen(1))
 
 		s.Doubted(now, s.byTag[dead].ID)
-		Expect(a.questions).To(BeEmpty(), "it is known to be out of reach")
+		Expect(probes.probes).To(BeEmpty(), "already known to be out of reach")
 		s.Doubted(now, "nobody")
 		s.Doubted(now, "documents-3")
-		Expect(a.questions).To(BeEmpty(), "no flow on it is known here")
+		Expect(probes.probes).To(BeEmpty(), "no flow on it is tracked here")
 		Expect(s.byID["documents-3"].isSuspect(now)).To(BeTrue())
 		Expect(s.byID["documents-3"].reach.lost).To(BeFalse())
 		s.Doubted(now, s.byTag[other].ID)
-		Expect(a.take().Why).To(Equal(Told))
-		Expect(request(2000, other, 8).Action).To(Equal(Forward), "what others say ends no flow")
+		Expect(probes.take().Why).To(Equal(Told))
+		Expect(request(2000, other, 8).Action).To(Equal(Forward), "a notice alone ends no flow")
 	})
 
-	It("are found again by a later question, and by a flow that they answer", func() {
-		lose := func() {
-			now = now.Add(5 * time.Second) // less than flows are remembered
+	It("restores an endpoint after an accepted probe or an answered flow", func() {
+		makeUnreachable := func() {
+			now = now.Add(5 * time.Second) // less than the idle timeout
 			request(1000, dead, 8)
 			now = now.Add(200 * time.Millisecond)
 			request(1000, dead, 8)
@@ -289,25 +289,25 @@
 			miss()
 			Expect(s.byTag[dead].reach.lost).To(BeTrue())
 		}
-		lose()
+		makeUnreachable()
 		b := s.byTag[dead]
 		s.Decide(now, synPacket(6000, 7, 0))
 		now = now.Add(minReprobeDelay)
-		otherLives()
+		otherResponds()
 		s.Decide(now.Add(sweepInterval), synPacket(6001, 7, 0))
-		Expect(a.questions).To(ContainElement(And(HaveField("ID", b.ID), HaveField("Why", Lost))))
+		Expect(probes.probes).To(ContainElement(And(HaveField("ID", b.ID), HaveField("Why", Lost))))
 		s.Answered(now, Question{ID: b.ID}, Reached)
-		a.questions = nil
+		probes.probes = nil
 		Expect(b.reach.lost).To(BeFalse())
-		lose()
+		makeUnreachable()
 		s.establish(now, &flow{backend: b}, b)
 		Expect(b.reach.lost).To(BeFalse())
-		lose()
+		makeUnreachable()
 		s.Learn(now, "c1", reports(report("booking", int(b.Number), func(m *wire.EndpointReport) { m.Sequence, m.Leaving = 2, true })))
-		Expect(b.reach.lost).To(BeFalse(), "it was heard to leave")
+		Expect(b.reach.lost).To(BeFalse(), "it reported that it is leaving")
 	})
 
-	It("are asked again before a flow is reset by what was found long ago", func() {
+	It("is repeated before an old miss resets a flow", func() {
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		miss()
@@ -315,39 +315,39 @@
 		now = now.Add(missValidity + time.Millisecond)
 		d := s.Decide(now, flowPacket(4000, dead, 50, 3, 10))
 		Expect(d.Action).To(Equal(Forward))
-		q := a.take()
+		q := probes.take()
 		Expect(q.Why).To(Equal(Lost))
 		now = now.Add(took)
-		otherLives()
+		otherResponds()
 		Expect(s.Answered(now, q, Missed)).To(ConsistOf(HaveField("Src", synPacket(4000, 0, 0).Src)))
 	})
 
-	It("end only the flows that come through the entry out of whose reach they are", func() {
-		b := &probeRecorder{}
-		beside := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: b.ask, Tell: b.notify})
-		beside.SetDocument(now, testDocument(1, routeTo(bookingAddr, "booking")))
-		beside.Learn(now, "c1", reports(report("booking", 1, nil), report("booking", 2, nil)))
-		beside.Decide(now, flowPacket(1500, dead, 8, 1, 10)) // a flow of the endpoint that comes through the other entry
+	It("ends only flows through the entry that cannot reach the endpoint", func() {
+		otherProbes := &probeRecorder{}
+		otherEntry := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: otherProbes.probe, Tell: otherProbes.notify})
+		otherEntry.SetDocument(now, testDocument(1, routeTo(bookingAddr, "booking")))
+		otherEntry.Learn(now, "c1", reports(report("booking", 1, nil), report("booking", 2, nil)))
+		otherEntry.Decide(now, flowPacket(1500, dead, 8, 1, 10)) // a flow on the endpoint through the other entry
 
 		now = now.Add(time.Second)
 		request(1000, dead, 8)
 		Expect(miss()).To(BeEmpty())
-		Expect(miss()).To(HaveLen(1), "the flow that comes through this entry cannot go on")
-		Expect(a.notices).To(HaveLen(1))
+		Expect(miss()).To(HaveLen(1), "the flow through this entry cannot continue")
+		Expect(probes.notices).To(HaveLen(1))
 
-		beside.Doubted(now, a.notices[0])
-		q := b.take()
+		otherEntry.Doubted(now, probes.notices[0])
+		q := otherProbes.take()
 		Expect(q.Why).To(Equal(Told))
-		Expect(beside.Answered(now, q, Reached)).To(BeEmpty())
-		Expect(beside.Decide(now, flowPacket(1500, dead, 18, 2, 10)).Reason).To(Equal(Steered))
-		Expect(beside.Decide(now, flowPacket(1000, dead, 18, 2, 10)).Reason).To(Equal(Steered), "routers may hand it over meanwhile")
-		Expect(beside.Counts(now).Lost).To(BeZero())
+		Expect(otherEntry.Answered(now, q, Reached)).To(BeEmpty())
+		Expect(otherEntry.Decide(now, flowPacket(1500, dead, 18, 2, 10)).Reason).To(Equal(Steered))
+		Expect(otherEntry.Decide(now, flowPacket(1000, dead, 18, 2, 10)).Reason).To(Equal(Steered), "routers may move it to the other entry meanwhile")
+		Expect(otherEntry.Counts(now).Lost).To(BeZero())
 	})
 
-	It("never end the flows of an endpoint that accepts connections, whatever callers repeat", func() {
+	It("never ends flows of an endpoint that accepts connections, whatever clients retransmit", func() {
 		for seed := range uint64(100) {
 			random := rand.New(rand.NewPCG(seed, 5))
-			a.questions = nil
+			probes.probes = nil
 			for range 200 {
 				now = now.Add(time.Duration(random.IntN(300)) * time.Millisecond)
 				port, tag := uint16(1000), dead
@@ -361,11 +361,11 @@
 				case 1:
 					d = s.Decide(now, synPacket(uint16(3000+random.IntN(50)), 7, random.IntN(3)))
 				default:
-					if len(a.questions) == 0 {
+					if len(probes.probes) == 0 {
 						continue
 					}
-					outcome := Reached // a single packet of it may be lost
-					if q := a.take(); q.Why != Again {
+					outcome := Reached // the endpoint accepts connections; a single packet may be lost
+					if q := probes.take(); q.Why != Again {
 						outcome = []Outcome{Reached, Missed, Unsure}[random.IntN(3)]
 						Expect(s.Answered(now, q, outcome)).To(BeEmpty())
 					} else {
--- a/internal/steer/reporter.go
+++ b/internal/steer/reporter.go
@@ -3,9 +3,9 @@
 import "oxbowsaddle/internal/registry"
 
 // reporter is what one control instance has said about silent endpoints. One that has just
-// started knows endpoints from its peers without having heard them itself. Until it is ready
-// only its reports of silence count, so that after a power loss it does not report endpoints
-// that are down as heard.
+// started may know endpoints that it has not heard itself. Until it is ready only its reports
+// of silence count, so that after a power loss it does not report endpoints that are down as
+// heard.
 type reporter struct {
 	ready       bool
 	silent      map[string]bool // by endpoint ID, where its view counts
--- a/internal/steer/response_size_test.go
+++ b/internal/steer/response_size_test.go
@@ -9,11 +9,11 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("answers that are shorter than their route's", func() {
-	const failing = 177 // bytes of an error
+var _ = Describe("short responses", func() {
+	const errorSize = 177 // bytes of an error response
 	random := rand.New(rand.NewPCG(3, 4))
-	// usual draws the size of an answer that is well.
-	usual := func(mean, spread float64) uint32 { return 180 + uint32(mean*math.Exp(spread*random.NormFloat64())) }
+	// healthySize draws the size of a successful response.
+	healthySize := func(mean, spread float64) uint32 { return 180 + uint32(mean*math.Exp(spread*random.NormFloat64())) }
 
 	var s *Steerer
 	var reported map[string]int
@@ -23,7 +23,7 @@
 		s = fleetSteerer(threeDomains(40))
 		s.config.Hung = func(id string) { reported[id]++ }
 	})
-	// request plays one request on a flow of its own, answered by so many bytes.
+	// request sends a request on a new flow and has it answered by so many bytes.
 	n := 0
 	request := func(bytes func(id string) uint32) {
 		n++
@@ -45,15 +45,15 @@
 	}{{"all alike", 600, 0.02}, {"spread", 2000, 0.6}, {"large", 40000, 0.7}} {
 		It("are reported, and others are not: "+route.name, func() {
 			bad := map[string]bool{}
-			for n := 0; n < 120; n += 21 { // 6 of the 40 of the failure domain
+			for n := 0; n < 120; n += 21 { // 6 of the 40 in the failure domain
 				bad[fleetReport(n, "").Id] = true
 			}
 			for i := range 3000 {
 				request(func(id string) uint32 {
 					if bad[id] && i > 100 {
-						return failing
+						return errorSize
 					}
-					return usual(route.mean, route.spread)
+					return healthySize(route.mean, route.spread)
 				})
 			}
 			others := 0
@@ -67,28 +67,28 @@
 		})
 	}
 
-	It("are not found in a service whose answers become short as a whole", func() {
+	It("are not reported when all responses of a service become short", func() {
 		for range 300 {
-			request(func(string) uint32 { return usual(2000, 0.2) })
+			request(func(string) uint32 { return healthySize(2000, 0.2) })
 		}
 		clear(reported)
 		for range 1500 {
-			request(func(string) uint32 { return usual(50, 0.2) })
+			request(func(string) uint32 { return healthySize(50, 0.2) })
 		}
-		Expect(len(reported)).To(BeNumerically("<", 25), "before the usual size follows")
+		Expect(len(reported)).To(BeNumerically("<", 25), "before the averages follow")
 		clear(reported)
 		for range 300 {
-			request(func(string) uint32 { return usual(50, 0.2) })
+			request(func(string) uint32 { return healthySize(50, 0.2) })
 		}
 		Expect(reported).To(BeEmpty())
 	})
 
-	It("are not made of requests that got no answer, nor of the first ones", func() {
+	It("are not reported for unanswered requests, nor among the first responses", func() {
 		for range 200 {
 			request(func(string) uint32 { return 0 })
 		}
 		for range minSizeSamples - 1 {
-			request(func(string) uint32 { return usual(2000, 0.6) })
+			request(func(string) uint32 { return healthySize(2000, 0.6) })
 		}
 		Expect(reported).To(BeEmpty())
 	})
--- a/internal/steer/roundtrip_test.go
+++ b/internal/steer/roundtrip_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = Describe("the time that an endpoint has to answer a question", func() {
+var _ = Describe("the timeout of a probe", func() {
 	It("follows the round trips to its failure domain, within bounds", func() {
 		var unseen *roundTrip
 		Expect(unseen.probeTimeout()).To(Equal(defaultProbeTimeout))
@@ -22,7 +22,7 @@
 		Expect(farther.probeTimeout()).To(Equal(maxProbeTimeout))
 	})
 
-	It("grows with their spread", func() {
+	It("grows with their deviation", func() {
 		steady, spread := &roundTrip{}, &roundTrip{}
 		for i := range 50 {
 			steady.add(20 * time.Millisecond)
@@ -31,7 +31,7 @@
 		Expect(spread.probeTimeout()).To(BeNumerically(">", steady.probeTimeout()))
 	})
 
-	It("is learned from flows that open at once, by the failure domain of the endpoint", func() {
+	It("is learned from flows answered at the first SYN, by failure domain", func() {
 		s := testSteerer()
 		d := s.Decide(start, synPacket(1000, 7, 0))
 		s.Decide(start.Add(30*time.Millisecond), flowPacket(1000, d.Tag, 8, 1, 10))
--- a/internal/steer/routes_test.go
+++ b/internal/steer/routes_test.go
@@ -13,18 +13,18 @@
 	var s *Steerer
 	BeforeEach(func() { s = testSteerer() })
 
-	It("resets flows of a route that the document in force dropped, and takes them when it is back", func() {
+	It("reset flows of a dropped route, and accept them once it is restored", func() {
 		d := s.Decide(start, synPacket(1000, 7, 0))
 		s.SetDocument(start, testDocument(2, routeTo(documentsAddr, "documents")))
 		e := s.Decide(start, flowPacket(1000, d.Tag, 8, 55, 10))
 		Expect(e.Reason).To(Equal(RouteDropped))
 		Expect(e.Action).To(Equal(Reset))
-		Expect(e.Seq).To(Equal(uint32(55)), "what the caller expects next")
+		Expect(e.Seq).To(Equal(uint32(55)), "what the client expects next")
 		s.SetDocument(start, testDocument(3, routeTo(bookingAddr, "booking")))
 		Expect(s.Decide(start, synPacket(1001, 7, 0)).Reason).To(Equal(Placed))
 	})
 
-	It("forgets a dropped route once no flow of it can be left", func() {
+	It("are dropped for the maximum flow lifetime, then forgotten", func() {
 		d := s.Decide(start, synPacket(1000, 7, 0))
 		s.SetDocument(start, testDocument(2, routeTo(documentsAddr, "documents")))
 		Expect(s.Decide(start.Add(time.Minute-time.Second), flowPacket(1000, d.Tag, 8, 55, 10)).Reason).To(Equal(RouteDropped))
@@ -32,13 +32,13 @@
 		Expect(s.dropped).To(BeEmpty())
 	})
 
-	It("goes only forward", func() {
+	It("ignore documents that are not newer", func() {
 		Expect(s.SetDocument(start, testDocument(1))).To(BeFalse())
 		Expect(s.SetDocument(start, testDocument(0))).To(BeFalse())
 		Expect(s.Version()).To(Equal(uint64(1)))
 	})
 
-	It("splits new flows by the weights of a route", func() {
+	It("split new flows by weight", func() {
 		r := routeTo(bookingAddr, "booking")
 		r.Shares = []document.Share{{Service: "booking", Weight: 90}, {Service: "documents", Weight: 10}}
 		s.SetDocument(start, testDocument(2, r))
--- a/internal/steer/steer.go
+++ b/internal/steer/steer.go
@@ -25,7 +25,7 @@
 	// goneGracePeriod is how long packets are still forwarded to an endpoint that has ended,
 	// since it may answer them. After that they are reset.
 	goneGracePeriod = 500 * time.Millisecond
-	// reassignAttempt is the SYN retransmission that always goes to another endpoint.
+	// reassignAttempt is the SYN retransmission from which on another endpoint is always tried.
 	reassignAttempt = 2
 )
 
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// report is what a control instance says of the n-th endpoint of a service.
+// report returns the report of the n-th endpoint of a service.
 func report(service string, n int, change func(*wire.EndpointReport)) *wire.EndpointReport {
 	m := &wire.EndpointReport{
 		Id: fmt.Sprintf("%s-%d", service, n), Number: uint64(n), Service: service, Domain: "plateau", Slots: 2, Sequence: 1,
@@ -56,7 +56,7 @@
 	return &wire.Reports{Whole: true, Endpoints: endpoints}
 }
 
-// testSteerer knows two routes and three endpoints, all by one control instance.
+// testSteerer knows two routes and three endpoints from one control instance.
 func testSteerer() *Steerer {
 	s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100})
 	s.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking"), routeTo(documentsAddr, "documents")))
@@ -64,13 +64,13 @@
 	return s
 }
 
-// synPacket is the synPacket packet of a flow to booking, or a copy of it.
+// synPacket returns the SYN of a flow to booking, or its n-th retransmission.
 func synPacket(port uint16, seq uint32, copies int) Packet {
 	caller := netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port)
 	return Packet{Src: caller, Dst: bookingAddr, Flags: Syn, Seq: seq, Copy: copies}
 }
 
-// flowPacket is a packet of the flow that opening began.
+// flowPacket returns a later packet of the flow that synPacket opens.
 func flowPacket(port uint16, tag uint32, seq, ack uint32, length int) Packet {
 	p := synPacket(port, seq, 0)
 	p.Flags, p.Tag, p.Ack, p.Len = Ack, tag, ack, length
@@ -81,7 +81,7 @@
 	var s *Steerer
 	BeforeEach(func() { s = testSteerer() })
 
-	It("places a flow on an endpoint of the route's service and steers the rest by the tag", func() {
+	It("places a flow on an endpoint of the route's service and forwards later packets by tag", func() {
 		d := s.Decide(start, synPacket(1000, 7, 0))
 		Expect(d.Action).To(Equal(Forward))
 		Expect(d.Reason).To(Equal(Placed))
@@ -92,45 +92,45 @@
 		other.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking")))
 		other.Learn(start, "c1", reports(report("booking", 1, nil), report("booking", 2, nil)))
 		e := other.Decide(start, flowPacket(1000, d.Tag, 8, 1, 10))
-		Expect(e.Reason).To(Equal(Steered), "an entry that saw nothing of the flow")
+		Expect(e.Reason).To(Equal(Steered), "an entry that has not seen the flow")
 		Expect(e.ID).To(Equal(d.ID))
 		Expect(e.Number).To(Equal(d.Number))
 	})
 
-	It("sends a copy of an opening packet to the same endpoint", func() {
+	It("sends a retransmitted SYN to the same endpoint", func() {
 		d := s.Decide(start, synPacket(1000, 7, 0))
 		e := s.Decide(start.Add(200*time.Millisecond), synPacket(1000, 7, 1))
 		Expect(e.Reason).To(Equal(Repeated))
 		Expect(e.ID).To(Equal(d.ID))
 	})
 
-	It("sends the last copy elsewhere, and stays with the endpoint whose answer the caller took", func() {
+	It("sends the second retransmission to another endpoint, and stays with the one whose answer the client accepted", func() {
 		d := s.Decide(start, synPacket(1000, 7, 0))
 		e := s.Decide(start.Add(600*time.Millisecond), synPacket(1000, 7, 2))
 		Expect(e.Reason).To(Equal(Replaced))
 		Expect(e.ID).NotTo(Equal(d.ID))
 
 		f := s.Decide(start.Add(610*time.Millisecond), flowPacket(1000, d.Tag, 8, 1, 0))
-		Expect(f.ID).To(Equal(d.ID), "the first answered late")
+		Expect(f.ID).To(Equal(d.ID), "the first endpoint answered late")
 		g := s.Decide(start.Add(620*time.Millisecond), flowPacket(1000, e.Tag, 8, 1, 10))
-		Expect(g.Reason).To(Equal(Corrected), "the tag of the second one arrived meanwhile")
+		Expect(g.Reason).To(Equal(Corrected), "the packet has the tag of the second endpoint")
 		Expect(g.ID).To(Equal(d.ID))
 		Expect(g.Tag).To(Equal(d.Tag))
 	})
 
-	It("takes the same tuple with another sequence number for a new flow", func() {
+	It("treats the same addresses with another sequence number as a new flow", func() {
 		s.Decide(start, synPacket(1000, 7, 0))
 		Expect(s.Decide(start, synPacket(1000, 8, 0)).Reason).To(Equal(Placed))
 		Expect(s.Counts(start).Flows).To(Equal(1))
 	})
 
-	It("never guesses for a tag that it does not know", func() {
+	It("drops packets with an unknown tag", func() {
 		d := s.Decide(start, flowPacket(1000, 12345, 8, 1, 10))
 		Expect(d.Action).To(Equal(Drop))
 		Expect(d.Reason).To(Equal(UnknownTag))
 	})
 
-	It("resets what has no route, and is silent while it knows no document", func() {
+	It("resets what has no route, and drops everything before the first document", func() {
 		p := synPacket(1000, 7, 0)
 		p.Dst = netip.MustParseAddrPort("198.18.0.9:443")
 		Expect(s.Decide(start, p).Action).To(Equal(Reset))
@@ -140,13 +140,13 @@
 		Expect(empty.Decide(start, p)).To(Equal(Decision{Reason: NoTable}))
 	})
 
-	It("forwards a flow of a route that it has not heard of by its tag: it may be behind", func() {
+	It("forwards a flow of an unknown route by its tag, as its document may be old", func() {
 		p := flowPacket(1000, Tag("booking-1"), 8, 1, 10)
 		p.Dst = netip.MustParseAddrPort("198.18.0.9:443")
 		Expect(s.Decide(start, p).Reason).To(Equal(Steered))
 	})
 
-	It("drops what no caller sends", func() {
+	It("drops malformed packets", func() {
 		p := synPacket(1000, 7, 0)
 		p.Flags = Syn | Ack
 		Expect(s.Decide(start, p).Reason).To(Equal(Malformed))
@@ -155,7 +155,7 @@
 		Expect(s.Decide(start, p).Reason).To(Equal(Malformed))
 	})
 
-	It("gives no flow to an endpoint that leaves, and keeps its open ones", func() {
+	It("gives a leaving endpoint no new flow, and keeps its established ones", func() {
 		d := s.Decide(start, synPacket(1000, 7, 0))
 		for _, n := range []int{1, 2} {
 			s.Learn(start, "c1", reports(report("booking", n, func(m *wire.EndpointReport) {
@@ -169,7 +169,7 @@
 		Expect(s.Decide(start, flowPacket(1000, d.Tag, 8, 1, 10)).Reason).To(Equal(Steered))
 	})
 
-	It("refuses at once when no endpoint may take a flow, but not before it knows them all", func() {
+	It("resets a flow that no endpoint accepts, but not before it knows all endpoints", func() {
 		leave := func(m *wire.EndpointReport) { m.Sequence, m.Leaving = 2, true }
 		s.Learn(start, "c1", reports(report("booking", 1, leave), report("booking", 2, leave)))
 		Expect(s.Decide(start, synPacket(1000, 7, 0))).To(Equal(Decision{Action: Reset, Reason: NoEndpoint, Version: 1}))
@@ -180,7 +180,7 @@
 		Expect(fresh.Decide(start, synPacket(1000, 7, 0))).To(Equal(Decision{Reason: NoTable, Version: 1}))
 	})
 
-	It("resets flows of an endpoint that has ended, once it can answer no more", func() {
+	It("resets flows of an ended endpoint after the grace period", func() {
 		d := s.Decide(start, synPacket(1000, 7, 0))
 		s.Decide(start, flowPacket(1000, d.Tag, 8, 1, 10))
 		for _, n := range []int{1, 2} {
@@ -193,10 +193,10 @@
 		Expect(e.Seq).To(Equal(uint32(9)))
 	})
 
-	It("avoids an endpoint that answered two flows in a row with silence, and comes back", func() {
+	It("avoids an endpoint that left two consecutive flows unanswered, and retries it", func() {
 		var changes []string
 		s.config.Suspected = func(id string, suspect bool) { changes = append(changes, fmt.Sprint(id, suspect)) }
-		// Each opening packet is lost at endpoint 1; endpoint 2 answers.
+		// Every SYN to endpoint 1 is lost; endpoint 2 answers.
 		now, missed := start, 0
 		for port := uint16(1000); missed < 2; port++ {
 			now = now.Add(10 * time.Millisecond)
@@ -225,23 +225,23 @@
 		Expect(changes).To(Equal([]string{"booking-1true", "booking-1false"}))
 	})
 
-	It("does not empty a service because everything speaks against its endpoints", func() {
+	It("places flows even if all endpoints are avoided", func() {
 		silent := func(m *wire.EndpointReport) { m.Sequence, m.Silent = 2, true }
 		s.Learn(start, "c1", reports(report("booking", 1, silent), report("booking", 2, silent)))
 		Expect(s.Decide(start, synPacket(1000, 7, 0)).Reason).To(Equal(Placed))
 	})
 
-	It("keeps to its own failure domain until its endpoints are clearly busier", func() {
-		away := func(m *wire.EndpointReport) { m.Domain, m.Sequence = "almadies", 2 }
-		s.Learn(start, "c1", reports(report("booking", 2, away)))
+	It("prefers its own failure domain until its endpoints are clearly busier", func() {
+		remote := func(m *wire.EndpointReport) { m.Domain, m.Sequence = "almadies", 2 }
+		s.Learn(start, "c1", reports(report("booking", 2, remote)))
 		Expect(s.Decide(start, synPacket(1000, 7, 0)).ID).To(Equal("booking-1"))
-		s.Decide(start, flowPacket(1000, Tag("booking-1"), 8, 1, 10)) // a request goes in: half of its slots
+		s.Decide(start, flowPacket(1000, Tag("booking-1"), 8, 1, 10)) // a request in progress on half of its slots
 		Expect(s.Decide(start, synPacket(1001, 7, 0)).ID).To(Equal("booking-2"))
-		s.Decide(start, flowPacket(1000, Tag("booking-1"), 18, 99, 0)) // its answer comes out
+		s.Decide(start, flowPacket(1000, Tag("booking-1"), 18, 99, 0)) // its response
 		Expect(s.Decide(start, synPacket(1002, 7, 0)).ID).To(Equal("booking-1"))
 	})
 
-	It("spreads flows over the endpoints of its domain", func() {
+	It("spreads flows over the endpoints of its failure domain", func() {
 		counts := map[string]int{}
 		for port := range uint16(60) {
 			counts[s.Decide(start, synPacket(1000+port, 7, 0)).ID]++
@@ -249,7 +249,7 @@
 		Expect(counts).To(Equal(map[string]int{"booking-1": 30, "booking-2": 30}))
 	})
 
-	It("allocates nothing for a packet of an open flow", func() {
+	It("does not allocate for a packet of an established flow", func() {
 		d := s.Decide(start, synPacket(1000, 7, 0))
 		p := flowPacket(1000, d.Tag, 8, 1, 10)
 		now := start
--- a/internal/steer/tag_test.go
+++ b/internal/steer/tag_test.go
@@ -9,8 +9,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var _ = Describe("a Steerer, of two incarnations that share a tag,", func() {
-	// learnBoth returns who has the tag at an entry that learned of them in
+var _ = Describe("a tag shared by two incarnations", func() {
+	// learnBoth returns which incarnation holds the tag at an entry that learned of them in
 	// this order.
 	learnBoth := func(first, second *backend) string {
 		s := New(Config{MaxFlows: 10, Beat: time.Second})
@@ -31,19 +31,19 @@
 		return b
 	}
 
-	It("gives it to the one whose id comes first, at every entry, where both are about as old", func() {
+	It("goes to the lower ID at every entry, if both are about the same age", func() {
 		a, b := incarnation("a", start.Add(5*time.Second)), incarnation("b", start)
 		Expect(learnBoth(a, b)).To(Equal("a"))
 		Expect(learnBoth(b, a)).To(Equal("a"))
 	})
 
-	It("leaves it to the older one, whose flows are open", func() {
+	It("goes to the older one, which may have open flows", func() {
 		a, b := incarnation("a", start.Add(time.Minute)), incarnation("b", start)
 		Expect(learnBoth(a, b)).To(Equal("b"))
 		Expect(learnBoth(b, a)).To(Equal("b"))
 	})
 
-	It("gives it to the other one once no flow of the first can be left", func() {
+	It("passes to the other one after the maximum flow lifetime", func() {
 		s := New(Config{MaxFlows: 10, MaxFlow: time.Minute, Beat: time.Second})
 		a, b := incarnation("a", start), incarnation("b", start)
 		for _, x := range []*backend{a, b} {
@@ -56,7 +56,7 @@
 		Expect(b.acceptsFlows()).To(BeTrue())
 	})
 
-	It("tells their age by how often they were heard, as an entry does that has just started", func() {
+	It("is assigned by ages estimated from the heartbeat sequence", func() {
 		old := New(Config{MaxFlows: 10, Beat: time.Second})
 		old.Learn(start, "c1", reports(report("booking", 1, nil)))
 		now := start.Add(time.Minute)
