--- a/internal/steer/backend.go
+++ b/internal/steer/backend.go
@@ -7,107 +7,103 @@
 )
 
 const (
-	// unansweredToSuspect is how many opened flows in a row stay without an
-	// answer before an endpoint is avoided: one may be a lost packet.
-	unansweredToSuspect = 2
-	// suspectFirst and suspectMost bound how long it is avoided before one
-	// flow tries it again; the span doubles with each failure.
-	suspectFirst = time.Second
-	suspectMost  = 4 * time.Second
-	// flowLoad is what an open flow counts beside a request in progress: a long
-	// flow of a request a second that takes some 20 ms. From 0 to 0.025 it makes no
-	// difference on three deployments; from 0.05 on it outweighs foreignLoad where
-	// flows are long, and more of them cross failure domains.
-	flowLoad = 0.02
-	// coldLoad is what an endpoint that is still slow counts in addition.
-	coldLoad = 0.3
-	// foreignLoad is what an endpoint of another failure domain counts in
-	// addition, and foreignBulkLoad where the answers are large.
-	foreignLoad     = 0.4
-	foreignBulkLoad = 1.0
+	// suspectThreshold is how many consecutive flows must go unanswered before new flows avoid
+	// an endpoint; a single one may be a lost packet.
+	suspectThreshold = 2
+	// minSuspectPeriod and maxSuspectPeriod bound how long new flows avoid a suspect endpoint.
+	// The period doubles with each failure.
+	minSuspectPeriod = time.Second
+	maxSuspectPeriod = 4 * time.Second
+	// openFlowLoad is the load of an idle open flow, relative to a request in progress. It must
+	// stay small beside remotePenalty, or long flows would cross failure domains.
+	openFlowLoad = 0.02
+	// coldPenalty is the additional load of an endpoint that is still warming up.
+	coldPenalty = 0.3
+	// remotePenalty is the additional load of an endpoint in another failure domain, and
+	// remoteBulkPenalty that on routes with large responses.
+	remotePenalty     = 0.4
+	remoteBulkPenalty = 1.0
 )
 
-// backend is an incarnation of an endpoint with what this entry saw of it.
+// backend is an incarnation of an endpoint and what this entry has observed of it.
 type backend struct {
 	registry.Endpoint
-	tag       uint32
-	part      uint64    // bit of its part of the digest
-	sum       uint64    // as the digest has it, 0 before that
-	startedAt time.Time // about when it started, by how often it was heard since
-	warmUntil time.Time
-	knownAt   time.Time // when this entry learned of it
-	goneAt    time.Time
-	leavingAt time.Time // when this entry learned that it leaves
-	silent    bool      // by every control instance that knows it
-	silentAt  time.Time // since when
-	shadowed  bool      // another one has the same tag and comes first
+	tag         uint32
+	digestPart  uint64    // bit of its part of the digest
+	sum         uint64    // checksum that the digest includes, 0 before the first
+	startedAt   time.Time // estimated from the heartbeat sequence
+	warmUntil   time.Time
+	learnedAt   time.Time // when this entry first heard of it
+	goneAt      time.Time
+	leavingAt   time.Time // when this entry heard that it is leaving
+	silent      bool      // to every control instance that knows it
+	silentAt    time.Time // since when it is silent
+	tagConflict bool      // another incarnation holds the same tag
 
-	flows        int // remembered by this entry
-	busy         int // requests of theirs that wait for the first byte of the answer
-	unanswered   int // flows in a row that were not answered
-	suspectFor   time.Duration
-	suspectUntil time.Time
+	flows           int // tracked by this entry
+	pendingRequests int // requests on these flows without a response
+	failedOpens     int // consecutive flows without an answer
+	suspectPeriod   time.Duration
+	suspectUntil    time.Time
 
-	reach   reach
-	hung    hung
-	answers *answers // of its service
-	listing *listing // nil while new flows may not go to it
+	reach     reachability
+	ejection  ejection
+	responses *responseCounts // counts of its service
+	position  *poolPosition   // nil while it gets no new flows
 }
 
-// answered takes the evidence that the endpoint answers; it reports whether
-// the endpoint was under suspicion for flows that it had not answered.
-func (b *backend) answered() bool {
-	was := b.unanswered >= unansweredToSuspect
-	b.unanswered, b.suspectFor, b.suspectUntil = 0, 0, time.Time{}
+// clearFailures records that the endpoint answers. It reports whether the endpoint was suspect
+// because of unanswered flows.
+func (b *backend) clearFailures() bool {
+	was := b.failedOpens >= suspectThreshold
+	b.failedOpens, b.suspectPeriod, b.suspectUntil = 0, 0, time.Time{}
 	return was
 }
 
-// leftUnanswered takes the evidence that it did not answer a flow; it reports
-// whether the endpoint is avoided from now on.
-func (b *backend) leftUnanswered(now time.Time) bool {
-	b.unanswered++
-	if b.unanswered < unansweredToSuspect || now.Before(b.suspectUntil) {
+// recordFailedOpen records a flow that the endpoint did not answer. It reports whether new
+// flows avoid the endpoint from now on.
+func (b *backend) recordFailedOpen(now time.Time) bool {
+	b.failedOpens++
+	if b.failedOpens < suspectThreshold || now.Before(b.suspectUntil) {
 		return false
 	}
-	b.suspectFor = min(max(suspectFirst, 2*b.suspectFor), suspectMost)
-	b.suspectUntil = now.Add(b.suspectFor)
+	b.suspectPeriod = min(max(minSuspectPeriod, 2*b.suspectPeriod), maxSuspectPeriod)
+	b.suspectUntil = now.Add(b.suspectPeriod)
 	return true
 }
 
-// suspect reports whether flows avoid it, as long as there are others.
-func (b *backend) suspect(now time.Time) bool {
+// isSuspect reports whether new flows avoid the endpoint while others are available.
+func (b *backend) isSuspect(now time.Time) bool {
 	return b.silent || b.reach.lost || now.Before(b.suspectUntil)
 }
 
-// cold reports whether it is still slow, as far as it said.
-func (b *backend) cold(now time.Time) bool { return now.Before(b.warmUntil) }
+// isCold reports whether the endpoint is still warming up, according to its last report.
+func (b *backend) isCold(now time.Time) bool { return now.Before(b.warmUntil) }
 
-// open reports whether new flows may go to it at all.
-func (b *backend) open() bool { return !b.Leaving && !b.Gone && !b.shadowed }
+// acceptsFlows reports whether the endpoint can get new flows.
+func (b *backend) acceptsFlows() bool { return !b.Leaving && !b.Gone && !b.tagConflict }
 
-// load returns the share of its slots that is taken, as far as this entry
-// sees it, with what speaks against it.
+// load returns the share of the slots in use, as seen by this entry, plus penalties.
 func (b *backend) load(now time.Time, domain string, bulk bool) float64 {
-	load := (float64(b.busy) + flowLoad*float64(b.flows)) / float64(max(1, b.Slots))
-	if b.cold(now) {
-		load += coldLoad
+	load := (float64(b.pendingRequests) + openFlowLoad*float64(b.flows)) / float64(max(1, b.Slots))
+	if b.isCold(now) {
+		load += coldPenalty
 	}
 	if b.Domain != domain {
-		load += foreignLoadOf(bulk)
+		load += remotePenaltyFor(bulk)
 	}
 	return load
 }
 
-// foreignLoadOf returns what an endpoint of another failure domain counts in
-// addition.
-func foreignLoadOf(bulk bool) float64 {
+// remotePenaltyFor returns the penalty of an endpoint in another failure domain.
+func remotePenaltyFor(bulk bool) float64 {
 	if bulk {
-		return foreignBulkLoad
+		return remoteBulkPenalty
 	}
-	return foreignLoad
+	return remotePenalty
 }
 
-// forward returns the decision that sends a packet to the endpoint.
+// forward returns the decision to forward a packet to the endpoint.
 func (b *backend) forward(reason Reason) Decision {
 	return Decision{Action: Forward, Reason: reason, To: b.Addr, Number: b.Number, Tag: b.tag, ID: b.ID}
 }
--- a/internal/steer/bench_test.go
+++ b/internal/steer/bench_test.go
@@ -10,8 +10,8 @@
 
 func BenchmarkSteer(b *testing.B) {
 	s := benchmarkSteerer()
-	d := s.Decide(start, opening(1000, 7, 0))
-	p := later(1000, d.Tag, 8, 1, 10)
+	d := s.Decide(start, synPacket(1000, 7, 0))
+	p := flowPacket(1000, d.Tag, 8, 1, 10)
 	b.ReportAllocs()
 	for b.Loop() {
 		p.Seq += 10
@@ -26,11 +26,11 @@
 	var port uint16
 	for b.Loop() {
 		port++
-		s.Decide(start, opening(port, uint32(b.N), 0))
+		s.Decide(start, synPacket(port, uint32(b.N), 0))
 	}
 }
 
-// benchmarkSteerer knows 120 endpoints, as large deployments have.
+// benchmarkSteerer knows 120 endpoints of one service.
 func benchmarkSteerer() *Steerer {
 	s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10_000})
 	s.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking")))
@@ -42,9 +42,7 @@
 	return s
 }
 
-// BenchmarkChoose is what placing costs by the size of the service, over five
-// failure domains. On one busy machine a scan of the whole service took 2.1, 8.7,
-// 102 and 1,483 µs at the four sizes; draws take 0.6, 0.6, 0.6 and 1.5 µs.
+// BenchmarkChoose measures placement by the size of the service, over five failure domains.
 func BenchmarkChoose(b *testing.B) {
 	for _, count := range []int{120, 480, 4_000, 55_000} {
 		b.Run(strconv.Itoa(count), func(b *testing.B) {
@@ -52,11 +50,11 @@
 			r := s.routes[bookingAddr]
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				s.choose(start, r, fleetOpening(n), nil, nil)
+				s.choose(start, r, fleetSynPacket(n), nil, nil)
 			}
 		})
 	}
 }
 
-// testingAllocs returns how often f allocates.
+// testingAllocs returns the average number of allocations of f.
 func testingAllocs(f func()) float64 { return testing.AllocsPerRun(100, f) }
--- a/internal/steer/explain.go
+++ b/internal/steer/explain.go
@@ -10,47 +10,46 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// nextSteps tells an operator what to do about a decision.
+// nextSteps holds the advice to operators for each reason.
 var nextSteps = [ReasonCount]string{
-	Placed:       "nothing: this is where a new flow goes",
-	Repeated:     "nothing, if it is rare: the first packet or its answer was lost; else look at the endpoint",
-	UnknownTag:   "nothing: the caller opens another flow; where it lasts, see whether this entry reaches the control instances",
-	Malformed:    "look at who sends it",
+	Placed:       "nothing: new flows are placed like this",
+	Repeated:     "nothing, if it is rare: the first packet or its answer was lost; otherwise check the endpoint",
+	UnknownTag:   "nothing: the client opens another flow; if it persists, check that this entry reaches the control instances",
+	Malformed:    "check the sender",
 	Steered:      "nothing: every packet of the flow names its endpoint",
-	Corrected:    "nothing: two endpoints answered, and the flow stays with the first that its caller took",
-	Replaced:     "look at the endpoint that did not answer",
-	NoTable:      "wait until the entry reaches a control instance; look for its log lines on lost ones",
-	NoRoute:      "give the address a route, or correct the caller",
-	RouteDropped: "bring the route back if the flow should live on",
-	NoEndpoint:   "start endpoints of the service, or keep some from leaving",
-	EndpointGone: "nothing: its caller opens another flow",
+	Corrected:    "nothing: two endpoints answered, and the flow stays with the one whose answer the client accepted",
+	Replaced:     "check the endpoint that did not answer",
+	NoTable:      "wait until the entry reaches a control instance; check its log for \"control instance lost\"",
+	NoRoute:      "add a route for the address, or correct the address that the client uses",
+	RouteDropped: "restore the route if its flows should continue",
+	NoEndpoint:   "start endpoints of the service, or stop some from leaving",
+	EndpointGone: "nothing: the client opens another flow",
 	Cold:         "wait until endpoints are warm, or start more of the service before they are needed",
 	Evacuated:    "end an evacuation with `oxbowsaddle evacuate --undo`, or start endpoints in another failure domain",
-	EndpointLost: "look at the endpoint, and at the network to its failure domain",
+	EndpointLost: "check the endpoint and the network to its failure domain",
 }
 
-// Explain tells what the Steerer remembers of a flow, or, where it remembers
-// nothing, what it would do with its opening packet now; and of every endpoint
-// that the route leads to why it was chosen or passed over. The entry and the
-// time of day are left to the caller.
+// Explain describes a tracked flow, or the decision that the SYN of an untracked flow would get
+// now, and why each endpoint of the route was chosen or passed over. The caller fills in the
+// entry and the time.
 func (s *Steerer) Explain(now time.Time, src, dst netip.AddrPort) *wire.Decision {
 	d := &wire.Decision{Subject: Subject(src, dst), Index: s.Version(), Active: s.Version()}
 	r := s.routes[dst]
 	if r != nil {
 		d.Parameter = r.describe()
 	}
-	looked := map[*backend]bool{}
-	reason := s.explainFlow(now, d, r, Packet{Src: src, Dst: dst, Flags: Syn}, looked)
+	considered := map[*backend]bool{}
+	reason := s.explainFlow(now, d, r, Packet{Src: src, Dst: dst, Flags: Syn}, considered)
 	d.Reason, d.NextStep = reason.String(), nextSteps[reason]
 	if r != nil {
-		d.Candidates = s.candidates(now, r, d, looked)
+		d.Candidates = s.candidates(now, r, d, considered)
 	}
 	return d
 }
 
-// explainFlow fills in the action and the endpoint, and returns why; looked takes
-// the endpoints that are looked at for a flow that is not remembered.
-func (s *Steerer) explainFlow(now time.Time, d *wire.Decision, r *route, p Packet, looked map[*backend]bool) Reason {
+// explainFlow fills in the action and the endpoint, and returns the reason. The endpoints
+// considered for an untracked flow are added to considered.
+func (s *Steerer) explainFlow(now time.Time, d *wire.Decision, r *route, p Packet, considered map[*backend]bool) Reason {
 	d.Action = Forward.String()
 	f := s.flows[flowKey{p.Src, p.Dst}]
 	_, dropped := s.dropped[p.Dst]
@@ -67,32 +66,31 @@
 	case f != nil:
 		d.Endpoint = f.backend.ID
 		d.Hops = append(d.Hops, f.describe(now))
-		if f.moved {
+		if f.reassigned {
 			return Corrected
 		}
 		return Steered
 	}
-	return s.explainOpening(now, d, r, p, looked)
+	return s.explainPlacement(now, d, r, p, considered)
 }
 
-// explainOpening fills in what would be done with an opening packet now, and
-// returns why.
-func (s *Steerer) explainOpening(now time.Time, d *wire.Decision, r *route, p Packet, looked map[*backend]bool) Reason {
+// explainPlacement fills in the decision that a SYN would get now, and returns the reason.
+func (s *Steerer) explainPlacement(now time.Time, d *wire.Decision, r *route, p Packet, considered map[*backend]bool) Reason {
 	d.Recomputed = true
-	b := s.choose(now, r, p, nil, func(b *backend) { looked[b] = true })
+	b := s.choose(now, r, p, nil, func(b *backend) { considered[b] = true })
 	switch {
-	case b == nil && !s.whole:
+	case b == nil && !s.synced:
 		d.Action = Drop.String()
 		return NoTable
 	case b == nil:
 		d.Action = Reset.String()
-		return s.noEndpoint(r)
+		return s.noEndpointReason(r)
 	}
 	d.Endpoint = b.ID
 	return Placed
 }
 
-// describe names a route with the weights of its services.
+// describe returns the route with the weights of its services.
 func (r *route) describe() string {
 	var shares []string
 	for _, share := range r.Shares {
@@ -101,23 +99,23 @@
 	return fmt.Sprintf("route %s: services by weight: %s; priority %d, bulk %t", r.Name, strings.Join(shares, ", "), r.Priority, r.Bulk)
 }
 
-// describe tells what is remembered of a flow.
+// describe returns the state of the flow.
 func (f *flow) describe(now time.Time) string {
-	state := "its caller has not gone on yet"
+	state := "not established yet"
 	switch {
-	case f.busy:
+	case f.awaiting:
 		state = "a request waits for its answer"
-	case f.open:
+	case f.established:
 		state = "open"
 	}
-	return fmt.Sprintf("placed or moved %s ago, last packet %s ago, %s", now.Sub(f.opened).Round(time.Millisecond),
-		now.Sub(f.seen).Round(time.Millisecond), state)
+	return fmt.Sprintf("placed or moved %s ago, last packet %s ago, %s", now.Sub(f.openedAt).Round(time.Millisecond),
+		now.Sub(f.lastSeen).Round(time.Millisecond), state)
 }
 
-// candidates tells of each endpoint of a route's services why it is chosen or
-// passed over, by id.
-func (s *Steerer) candidates(now time.Time, r *route, d *wire.Decision, looked map[*backend]bool) []*wire.Candidate {
-	var all []*wire.Candidate
+// candidates returns why each endpoint of a route's services is chosen or passed over, ordered
+// by ID.
+func (s *Steerer) candidates(now time.Time, r *route, d *wire.Decision, considered map[*backend]bool) []*wire.Candidate {
+	var list []*wire.Candidate
 	for _, b := range s.byID {
 		if !r.leadsTo(b.Service) {
 			continue
@@ -126,45 +124,46 @@
 		switch {
 		case b.ID == d.Endpoint:
 			verdict = "chosen; " + verdict
-		case d.Recomputed && b.listing != nil && !s.evacuated(b) && !looked[b]:
+		case d.Recomputed && b.position != nil && !s.isEvacuated(b) && !considered[b]:
 			verdict = "not looked at, since others suffice; " + verdict
 		}
-		all = append(all, &wire.Candidate{Endpoint: b.ID, Verdict: verdict})
+		list = append(list, &wire.Candidate{Endpoint: b.ID, Verdict: verdict})
 	}
-	slices.SortFunc(all, func(a, b *wire.Candidate) int { return strings.Compare(a.Endpoint, b.Endpoint) })
-	return all
+	slices.SortFunc(list, func(a, b *wire.Candidate) int { return strings.Compare(a.Endpoint, b.Endpoint) })
+	return list
 }
 
-// verdict tells what speaks for and against an endpoint here.
+// verdict returns what counts for and against an endpoint, including the exclusions of this
+// entry.
 func (s *Steerer) verdict(now time.Time, b *backend, bulk bool) string {
 	verdict := b.verdict(now, s.config.Domain, bulk)
-	if now.Before(b.hung.until) {
-		verdict += fmt.Sprintf(", avoided for %s: several entries say that it left requests without an answer, or answered errors", b.hung.until.Sub(now).Round(time.Millisecond))
+	if now.Before(b.ejection.until) {
+		verdict += fmt.Sprintf(", avoided for %s: several entries report that it leaves requests unanswered or answers with errors", b.ejection.until.Sub(now).Round(time.Millisecond))
 	}
-	if b.open() && s.reserved(now, b) {
-		verdict += fmt.Sprintf(", takes no new flow before it is warm in %s: it carries too few a second then", b.warmUntil.Sub(now).Round(time.Millisecond))
+	if b.acceptsFlows() && s.excludedWhileCold(now, b) {
+		verdict += fmt.Sprintf(", takes no new flow until it is warm in %s: its request rate is limited while cold", b.warmUntil.Sub(now).Round(time.Millisecond))
 	}
-	if b.open() && s.evacuated(b) {
+	if b.acceptsFlows() && s.isEvacuated(b) {
 		verdict += fmt.Sprintf(", takes no new flow: failure domain %s is evacuated by revision %d", b.Domain, s.evacuations.Revision())
 	}
 	return verdict
 }
 
-// verdict tells what speaks for and against an endpoint.
+// verdict returns what counts for and against the endpoint by its own state.
 func (b *backend) verdict(now time.Time, domain string, bulk bool) string {
 	switch {
 	case b.Gone:
 		return fmt.Sprintf("has ended %s ago", now.Sub(b.goneAt).Round(time.Millisecond))
 	case b.Leaving:
 		return "is leaving and takes no new flow"
-	case b.shadowed:
-		return "has the tag of another endpoint and takes no flow"
+	case b.tagConflict:
+		return "shares the tag of another endpoint and takes no flow"
 	}
-	verdict := fmt.Sprintf("load %.2f: %d flows and %d waiting requests on %d slots", b.load(now, domain, bulk), b.flows, b.busy, b.Slots)
+	verdict := fmt.Sprintf("load %.2f: %d flows and %d waiting requests on %d slots", b.load(now, domain, bulk), b.flows, b.pendingRequests, b.Slots)
 	if b.Domain != domain {
 		verdict += ", in failure domain " + b.Domain
 	}
-	if b.cold(now) {
+	if b.isCold(now) {
 		verdict += ", still slow"
 	}
 	if b.reach.lost {
@@ -179,8 +178,7 @@
 	return verdict
 }
 
-// Drains returns the endpoints that leave, by id, with the flows of theirs that
-// this entry remembers.
+// Drains returns the leaving endpoints and their number of tracked flows, ordered by ID.
 func (s *Steerer) Drains(now time.Time) []*wire.DrainStatus {
 	var all []*wire.DrainStatus
 	for _, b := range s.byID {
--- a/internal/steer/fuzz_test.go
+++ b/internal/steer/fuzz_test.go
@@ -10,8 +10,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// FuzzReports hands reports of any content to a control instance and to an
-// entry: nothing that another process sends may end one, or spoil its sums.
+// FuzzReports checks that no report of another process crashes a control instance or an entry,
+// or corrupts its digest.
 func FuzzReports(f *testing.F) {
 	seed := reports(report("booking", 1, nil), report("booking", 2, func(m *wire.EndpointReport) { m.Gone = true }))
 	seed.Sums = []*wire.RecordSum{{Id: "booking-1", Sum: 7}}
@@ -38,15 +38,15 @@
 			s.Learn(now, "c1", r.ChangesBriefly(now, 0))
 			s.Learn(now, "c1", r.Lacking(now, s.Digest()))
 			s.Learn(now, "c2", m)
-			s.Decide(now, opening(1000, 7, 0))
-			s.Decide(now, later(1000, Tag("booking-1"), 8, 1, 10))
+			s.Decide(now, synPacket(1000, 7, 0))
+			s.Decide(now, flowPacket(1000, Tag("booking-1"), 8, 1, 10))
 		}
 		var digest registry.Digest
 		for _, b := range s.byID {
 			digest.Toggle(b.ID, registry.Sum(b.Endpoint))
 		}
 		if digest != s.Digest() {
-			t.Error("the digest is not that of what is known")
+			t.Error("the digest does not match the known endpoints")
 		}
 	})
 }
--- /dev/null
+++ b/internal/steer/reachability.go
@@ -0,0 +1,297 @@
+package steer
+
+import (
+	"net/netip"
+	"slices"
+	"time"
+)
+
+const (
+	// unreachableThreshold is how many consecutive probes an endpoint must miss before it
+	// counts as out of reach; a single one may be a lost packet.
+	unreachableThreshold = 2
+	// probeInterval is the minimum time between probes of an endpoint that accepts connections,
+	// as each probe is a new connection.
+	probeInterval = 500 * time.Millisecond
+	// maxInconclusive is how many inconclusive probes are retried before new evidence is
+	// required.
+	maxInconclusive = 5
+	// minReprobeDelay and maxReprobeDelay bound the time between probes of an endpoint that is
+	// out of reach. The delay doubles with each miss, as every entry probes. An endpoint whose
+	// heartbeats resume is probed at once.
+	minReprobeDelay = time.Second
+	maxReprobeDelay = 16 * time.Second
+	// missNoticeInterval limits how often other entries are notified of an endpoint's misses.
+	missNoticeInterval = 2 * time.Second
+	// missValidity is how long after a miss a flow may be reset without another probe. The
+	// endpoint may recover within it, but its flows have then been disrupted already.
+	missValidity = 1200 * time.Millisecond
+	// stallThreshold is how many probes after retransmitted data a superseded endpoint's
+	// address must accept, without an answer of the endpoint in between, before the endpoint
+	// counts as ended; a packet of a live one may be lost.
+	stallThreshold = 2
+)
+
+// Evidence for which an endpoint is probed.
+const (
+	Unopened Evidence = iota // a SYN was not answered
+	Unacked                  // a client retransmits data on an established flow
+	Again                    // the previous probe was missed or inconclusive
+	Lost                     // the endpoint is out of reach and may have recovered
+	Told                     // another entry reported a miss
+)
+
+// Outcomes of a probe.
+const (
+	Reached Outcome = iota // the connection was accepted
+	Missed                 // the connection was not accepted in time
+	Unsure                 // this entry was too slow to tell
+
+	// OutcomeCount is the number of outcomes.
+	OutcomeCount
+)
+
+var (
+	evidenceNames = [...]string{"unopened", "unacked", "again", "lost", "told"}
+	outcomeNames  = [OutcomeCount]string{"reached", "missed", "unsure"}
+)
+
+type (
+	// Evidence is why an endpoint is probed.
+	Evidence int
+
+	// Outcome is the result of a probe.
+	Outcome int
+
+	// Question is a probe of whether an endpoint accepts a connection at its address. It uses
+	// none of the endpoint's slots.
+	Question struct {
+		ID   string
+		Addr netip.AddrPort
+		Why  Evidence
+		// Within is the timeout of the probe.
+		Within    time.Duration
+		startedAt time.Time
+	}
+
+	// Ended is a flow whose endpoint is out of reach; its client must be sent a reset.
+	Ended struct {
+		Src, Dst netip.AddrPort
+		Seq      uint32 // sequence number that the client expects next
+	}
+
+	// reachability is what an entry knows of whether it can reach an endpoint.
+	reachability struct {
+		probing        bool      // a probe is in progress
+		misses         int       // consecutive missed probes
+		inconclusive   int       // consecutive inconclusive probes
+		lost           bool      // the endpoint is out of reach
+		lastMissAt     time.Time // time of the last miss
+		nextProbeAt    time.Time // earliest time of the next probe
+		lastResponseAt time.Time // when the endpoint last answered a client
+		nextNoticeAt   time.Time // earliest time of the next notice to other entries
+		replaced       bool      // ended: another incarnation is live at its address
+		stalls         int       // consecutive stalls, see recordStall
+	}
+)
+
+func (o Outcome) String() string { return outcomeNames[o] }
+
+func (e Evidence) String() string { return evidenceNames[e] }
+
+// probe starts a probe of an endpoint that may be out of reach. A leaving endpoint is not
+// probed, as it may refuse connections while it still serves its flows.
+func (s *Steerer) probe(now time.Time, b *backend, why Evidence) {
+	ending := b.Gone || b.Leaving || b.reach.replaced || !b.Addr.IsValid()
+	if s.config.Ask == nil || ending || b.reach.probing || now.Before(b.reach.nextProbeAt) {
+		return
+	}
+	b.reach.probing = s.config.Ask(Question{ID: b.ID, Addr: b.Addr, Why: why, Within: s.roundTrips[b.Domain].probeTimeout(), startedAt: now})
+}
+
+// markResponsive records that the endpoint answered a client.
+func (s *Steerer) markResponsive(now time.Time, b *backend) {
+	b.reach.lastResponseAt, s.lastResponseAt = now, now
+	b.reach.stalls = 0
+	delete(s.outages, b.Domain)
+	s.markReachable(b)
+}
+
+// markReachable records that the endpoint can be reached.
+func (s *Steerer) markReachable(b *backend) {
+	b.reach.misses = 0
+	if b.reach.lost && !b.reach.replaced {
+		b.reach.lost = false
+		delete(s.lost, b)
+		s.notifySuspect(b, false)
+	}
+}
+
+// markReplaced records that b answered a SYN, sent at a time when other incarnations at its
+// address were already known. Those have ended, since an address is reused only after that.
+// This is noticed before their heartbeats time out.
+func (s *Steerer) markReplaced(b *backend, sent time.Time) {
+	for _, other := range s.byAddr[b.Addr] {
+		if other == b || other.Gone || other.reach.replaced || !sent.After(other.learnedAt) {
+			continue
+		}
+		other.reach.replaced, other.reach.lost = true, true
+		delete(s.lost, other)
+		s.notifySuspect(other, true)
+	}
+}
+
+// isAddressContested reports whether another live endpoint may be accepting connections at b's
+// address.
+func (s *Steerer) isAddressContested(b *backend) bool {
+	return slices.ContainsFunc(s.byAddr[b.Addr], func(other *backend) bool {
+		return other != b && !other.Gone && !other.reach.replaced
+	})
+}
+
+// probeLost probes the endpoints that are out of reach, except evacuated ones, to find those
+// that recovered.
+func (s *Steerer) probeLost(now time.Time) {
+	for b := range s.lost {
+		if !s.isEvacuated(b) {
+			s.probe(now, b, Lost)
+		}
+	}
+}
+
+// decideUnreachable decides on a packet of a flow whose endpoint is out of reach. If the last
+// miss is too old, the endpoint is probed again before the flow is reset.
+func (s *Steerer) decideUnreachable(now time.Time, b *backend, p Packet) Decision {
+	if !b.reach.replaced && now.Sub(b.reach.lastMissAt) > missValidity || p.Flags.Has(Rst) {
+		b.reach.nextProbeAt = time.Time{}
+		s.probe(now, b, Lost)
+		return b.forward(Steered)
+	}
+	s.removeFlow(s.flows[flowKey{p.Src, p.Dst}])
+	return Decision{Action: Reset, Reason: EndpointLost, Seq: p.Ack, ID: b.ID}
+}
+
+// Answered processes the outcome of a probe and returns the flows that it ends. A miss is
+// ignored unless another endpoint has answered since the probe began, because the fault may be
+// at this entry.
+func (s *Steerer) Answered(now time.Time, q Question, outcome Outcome) []Ended {
+	b := s.byID[q.ID]
+	if b == nil || b.Gone {
+		return nil
+	}
+	b.reach.probing = false
+	if outcome == Reached {
+		b.reach.nextProbeAt, b.reach.inconclusive = now.Add(probeInterval), 0
+		if !s.isAddressContested(b) {
+			s.markReachable(b)
+			return nil
+		}
+		return s.recordStall(b, q)
+	}
+	if b.reach.lastResponseAt.After(q.startedAt) || b.Leaving {
+		return nil
+	}
+	if outcome == Unsure || !s.lastResponseAt.After(q.startedAt) {
+		if b.reach.inconclusive++; b.reach.inconclusive < maxInconclusive {
+			s.probe(now, b, Again)
+		} else {
+			b.reach.inconclusive = 0
+		}
+		return nil
+	}
+	return s.recordMiss(now, b, q.Why)
+}
+
+// isSuperseded reports whether, by heartbeats, the endpoint has ended and another one is live
+// at its address. This alone ends no flow.
+func (s *Steerer) isSuperseded(b *backend) bool {
+	return b.silent && slices.ContainsFunc(s.byAddr[b.Addr], func(other *backend) bool {
+		return other != b && !other.Gone && !other.silent && !other.reach.replaced
+	})
+}
+
+// recordStall handles a probe that was accepted at a contested address after a client
+// retransmitted data. If the endpoint is superseded, its flows are ended after stallThreshold
+// such probes rather than left to time out.
+func (s *Steerer) recordStall(b *backend, q Question) []Ended {
+	if q.Why != Unacked || b.reach.lastResponseAt.After(q.startedAt) || !s.isSuperseded(b) {
+		return nil
+	}
+	if b.reach.stalls++; b.reach.stalls < stallThreshold {
+		return nil
+	}
+	b.reach.replaced, b.reach.lost = true, true
+	delete(s.lost, b)
+	s.notifySuspect(b, true)
+	return s.endFlows(b)
+}
+
+// recordMiss counts a missed probe.
+func (s *Steerer) recordMiss(now time.Time, b *backend, why Evidence) []Ended {
+	if !b.reach.lost && now.Sub(b.reach.lastMissAt) > missValidity {
+		b.reach.misses = 0 // the previous miss is too old to count
+	}
+	b.reach.inconclusive, b.reach.lastMissAt = 0, now
+	b.reach.misses++
+	s.notifyMiss(now, b, why)
+	if b.reach.misses < unreachableThreshold {
+		s.probe(now, b, Again)
+		return nil
+	}
+	b.reach.nextProbeAt = now.Add(min(minReprobeDelay<<min(b.reach.misses-unreachableThreshold, 8), maxReprobeDelay))
+	if !b.reach.lost {
+		b.reach.lost = true
+		s.lost[b] = true
+		s.notifySuspect(b, true)
+	}
+	return s.endFlows(b)
+}
+
+// notifyMiss notifies other entries of a miss, unless one of them reported it.
+func (s *Steerer) notifyMiss(now time.Time, b *backend, why Evidence) {
+	if s.config.Tell == nil || now.Before(b.reach.nextNoticeAt) {
+		return
+	}
+	b.reach.nextNoticeAt = now.Add(missNoticeInterval)
+	if why != Told {
+		s.config.Tell(b.ID)
+	}
+}
+
+// Doubted handles a notice that another entry missed a probe of the endpoint. The endpoint is
+// probed if it has flows here; otherwise new flows avoid it for a while, so that the entries of
+// a large fleet do not all probe at once.
+func (s *Steerer) Doubted(now time.Time, id string) {
+	b := s.byID[id]
+	switch {
+	case b == nil || b.reach.lost:
+	case b.flows > 0:
+		s.probe(now, b, Told)
+	case now.After(b.suspectUntil):
+		b.suspectUntil = now.Add(minSuspectPeriod)
+	}
+}
+
+// probeOnHeartbeat probes an endpoint that is out of reach once its heartbeats resume.
+func (s *Steerer) probeOnHeartbeat(now time.Time, b *backend) {
+	if b.reach.lost {
+		b.reach.nextProbeAt = now
+		s.probe(now, b, Lost)
+	}
+}
+
+// endFlows removes and returns the tracked established flows of an endpoint.
+func (s *Steerer) endFlows(b *backend) []Ended {
+	if b.flows == 0 {
+		return nil
+	}
+	var ended []Ended
+	for key, f := range s.flows {
+		if f.backend != b || !f.established {
+			continue
+		}
+		ended = append(ended, Ended{Src: key.src, Dst: key.dst, Seq: f.lastAck})
+		s.removeFlow(f)
+	}
+	return ended
+}
--- a/internal/steer/table.go
+++ b/internal/steer/routes.go
@@ -11,22 +11,22 @@
 // route is a route of the document with the sum of its weights.
 type route struct {
 	document.Route
-	weights uint64 // sum over the shares
+	totalWeight uint64
 }
 
-// SetDocument puts a document in force; an older one than that in force
-// changes nothing. It reports whether it is in force now for the first time.
+// SetDocument applies a document unless it is older than, or the same as, the current one. It
+// reports whether it was applied.
 func (s *Steerer) SetDocument(now time.Time, d *document.Document) bool {
 	if s.document != nil && d.Version() <= s.document.Version() {
 		return false
 	}
 	routes := make(map[netip.AddrPort]*route, len(d.Routes()))
 	for _, r := range d.Routes() {
-		summed := &route{Route: r}
+		entry := &route{Route: r}
 		for _, share := range r.Shares {
-			summed.weights += uint64(share.Weight)
+			entry.totalWeight += uint64(share.Weight)
 		}
-		routes[r.Addr] = summed
+		routes[r.Addr] = entry
 		delete(s.dropped, r.Addr)
 	}
 	for addr := range s.routes {
@@ -38,7 +38,7 @@
 	return true
 }
 
-// Version returns the version in force, 0 before the first.
+// Version returns the current document version, 0 before the first.
 func (s *Steerer) Version() uint64 {
 	if s.document == nil {
 		return 0
@@ -46,30 +46,29 @@
 	return s.document.Version()
 }
 
-// forgetDropped forgets routes that were dropped so long ago that no flow of
-// theirs can be left.
-func (s *Steerer) forgetDropped(now time.Time) {
+// purgeDroppedRoutes removes routes that were dropped longer ago than a flow can live.
+func (s *Steerer) purgeDroppedRoutes(now time.Time) {
 	for addr, at := range s.dropped {
 		if now.Sub(at) >= s.config.MaxFlow {
 			delete(s.dropped, addr)
-			delete(s.sizes, addr)
+			delete(s.sizeStats, addr)
 		}
 	}
 }
 
-// service returns the service of a route that a draw falls on.
-func (r *route) service(draw uint64) string {
-	at := draw % r.weights
+// service returns the service that a hash selects by weight.
+func (r *route) service(hash uint64) string {
+	offset := hash % r.totalWeight
 	for _, share := range r.Shares {
-		if at < uint64(share.Weight) {
+		if offset < uint64(share.Weight) {
 			return share.Service
 		}
-		at -= uint64(share.Weight)
+		offset -= uint64(share.Weight)
 	}
 	return r.Shares[len(r.Shares)-1].Service
 }
 
-// leadsTo reports whether a route may send flows to a service.
+// leadsTo reports whether a route sends flows to a service.
 func (r *route) leadsTo(service string) bool {
 	return slices.ContainsFunc(r.Shares, func(share document.Share) bool { return share.Service == service })
 }
