--- a/internal/node/announcements.go
+++ b/internal/node/announcements.go
@@ -13,17 +13,17 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// audience is the entries that a control instance announces itself to.
-type audience struct {
+// announceTargets is the entries that a control instance announces itself to.
+type announceTargets struct {
 	now func() time.Time
 
 	mu       sync.Mutex
 	schedule announce.Schedule
 }
 
-// link notes that an entry which listens at an address is linked, and returns
-// what notes the end of the link. An address that cannot be read is nowhere.
-func (a *audience) link(address string) (end func()) {
+// trackLink notes that an entry which listens at an address is linked, and returns
+// what notes the end of the trackLink. An address that cannot be read is nowhere.
+func (a *announceTargets) trackLink(address string) (untrack func()) {
 	addr, _ := netip.ParseAddrPort(address)
 	a.update(func(now time.Time, s *announce.Schedule) { s.Linked(now, addr) })
 	return func() {
@@ -32,14 +32,14 @@
 }
 
 // update changes the schedule.
-func (a *audience) update(change func(now time.Time, s *announce.Schedule)) {
+func (a *announceTargets) update(change func(now time.Time, s *announce.Schedule)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change(a.now(), &a.schedule)
 }
 
-// remember takes the entries that hints name; what cannot be read is left out.
-func (a *audience) remember(addresses []string) {
+// restore takes the entries that hints name; what cannot be read is left out.
+func (a *announceTargets) restore(addresses []string) {
 	var all []netip.AddrPort
 	for _, address := range addresses {
 		if addr, err := netip.ParseAddrPort(address); err == nil {
@@ -49,8 +49,8 @@
 	a.update(func(now time.Time, s *announce.Schedule) { s.Remember(now, all) })
 }
 
-// known returns the entries for the hints.
-func (a *audience) known() (addresses []string) {
+// addresses returns the entries for the hints.
+func (a *announceTargets) addresses() (addresses []string) {
 	a.update(func(_ time.Time, s *announce.Schedule) {
 		for _, addr := range s.Known() {
 			addresses = append(addresses, addr.String())
@@ -60,19 +60,19 @@
 }
 
 // count returns how many entries known names.
-func (a *audience) count() (n int) {
+func (a *announceTargets) count() (n int) {
 	a.update(func(_ time.Time, s *announce.Schedule) { n = s.Len() })
 	return n
 }
 
-// changes rises with what known returns.
-func (a *audience) changes() (number uint64) {
+// revision rises with what known returns.
+func (a *announceTargets) revision() (number uint64) {
 	a.update(func(_ time.Time, s *announce.Schedule) { number = s.Changes() })
 	return number
 }
 
 // due returns whom to tell now.
-func (a *audience) due() (addrs []netip.AddrPort) {
+func (a *announceTargets) due() (addrs []netip.AddrPort) {
 	a.update(func(now time.Time, s *announce.Schedule) { addrs = s.Due(now) })
 	return addrs
 }
@@ -117,32 +117,32 @@
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	raw := make([]byte, packetMost)
+	raw := make([]byte, maxPacketSize)
 	for {
 		n, _, err := conn.ReadFromUDPAddrPort(raw)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if err == nil {
-			e.hearAnnouncement(ctx, raw[:n])
+			e.handleAnnouncement(ctx, raw[:n])
 		}
 	}
 }
 
-// hearAnnouncement takes one datagram. An entry that is linked learns of control
+// handleAnnouncement takes one datagram. An entry that is linked learns of control
 // instances by rosters.
-func (e *Entry) hearAnnouncement(ctx context.Context, raw []byte) {
+func (e *Entry) handleAnnouncement(ctx context.Context, raw []byte) {
 	var instance wire.ControlInstance
 	addr, err := netip.AddrPort{}, proto.Unmarshal(raw, &instance)
 	if err == nil {
 		addr, err = netip.ParseAddrPort(instance.Address)
 	}
 	if err != nil {
-		e.announced.malformed.Add(1)
+		e.announcements.malformed.Add(1)
 		return
 	}
-	e.announced.heard.Add(1)
+	e.announcements.heard.Add(1)
 	if !e.linked() {
-		e.watch.takeAnnouncement(ctx, e.config.Now(), addr)
+		e.uplinks.handleAnnouncement(ctx, e.config.Now(), addr)
 	}
 }
--- a/internal/node/announcements_test.go
+++ b/internal/node/announcements_test.go
@@ -48,7 +48,7 @@
 		const port, networks = 17850, 250
 		operators = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%networks), 91, 1}), port)
 	})
-	dead := netip.MustParseAddrPort(nowhere(9))
+	dead := netip.MustParseAddrPort(unreachableAddr(9))
 
 	ginkgo.It("is found by a control instance that has lost power, and knows it by its disk", func() {
 		_, stopFirst := startEntry(operators, fleet[0].config.Peer)
@@ -59,7 +59,7 @@
 		defer stopEntry()
 		fleet[0].start()
 		Eventually(entry.linked, patience).Should(BeTrue())
-		Expect(entry.announced.heard.Load()).To(BeNumerically(">", 0))
+		Expect(entry.announcements.heard.Load()).To(BeNumerically(">", 0))
 	})
 
 	ginkgo.It("is found by one that it was linked to before its own restart", func() {
@@ -92,42 +92,42 @@
 		var cancel context.CancelFunc
 		ctx, cancel = context.WithCancel(context.Background())
 		ginkgo.DeferCleanup(cancel)
-		e = seekingEntry(ctx)
+		e = unlinkedEntry(ctx)
 	})
 	hear := func(address string) {
 		raw, err := proto.Marshal(&wire.ControlInstance{Address: address})
 		Expect(err).NotTo(HaveOccurred())
-		e.hearAnnouncement(ctx, raw)
+		e.handleAnnouncement(ctx, raw)
 	}
 	sought := func() []string {
-		e.watch.mu.Lock()
-		defer e.watch.mu.Unlock()
-		return slices.Sorted(maps.Keys(e.watch.links))
+		e.uplinks.mu.Lock()
+		defer e.uplinks.mu.Unlock()
+		return slices.Sorted(maps.Keys(e.uplinks.links))
 	}
 
 	ginkgo.It("leave room for the seeds, however many come", func() {
 		for n := 3; n < 30; n++ {
-			hear(nowhere(n))
+			hear(unreachableAddr(n))
 		}
-		Expect(sought()).To(ContainElements(nowhere(1), nowhere(2)))
+		Expect(sought()).To(ContainElements(unreachableAddr(1), unreachableAddr(2)))
 		const seeds, announced = 2, 3
 		Expect(len(sought())).To(BeNumerically("<=", seeds+announced))
 	})
 
 	ginkgo.It("are counted and dropped where they cannot be read", func() {
 		for _, raw := range [][]byte{nil, {0xff, 0xff}, []byte("no announcement")} {
-			e.hearAnnouncement(ctx, raw)
+			e.handleAnnouncement(ctx, raw)
 		}
 		hear("not an address")
-		Expect(e.announced.malformed.Load()).To(Equal(uint64(4)))
-		Expect(sought()).To(Equal([]string{nowhere(1), nowhere(2)}))
+		Expect(e.announcements.malformed.Load()).To(Equal(uint64(4)))
+		Expect(sought()).To(Equal([]string{unreachableAddr(1), unreachableAddr(2)}))
 	})
 
 	ginkgo.It("change nothing at an entry that is linked", func() {
 		e.mu.Lock()
 		e.links["somewhere"] = &entryLink{}
 		e.mu.Unlock()
-		hear(nowhere(7))
-		Expect(sought()).NotTo(ContainElement(nowhere(7)))
+		hear(unreachableAddr(7))
+		Expect(sought()).NotTo(ContainElement(unreachableAddr(7)))
 	})
 })
--- a/internal/node/answers.go
+++ b/internal/node/answers.go
@@ -95,8 +95,8 @@
 		Drains:    e.steerer.Drains(now),
 		Evacuated: e.steerer.Evacuations().Domains(), Evacuations: e.steerer.Evacuations().Revision(),
 	}
-	if e.held != nil {
-		reply.Revision, reply.Commit = e.held.Version(), e.held.Version()
+	if e.latest != nil {
+		reply.Revision, reply.Commit = e.latest.Version(), e.latest.Version()
 	}
 	return reply, nil
 }
@@ -112,7 +112,7 @@
 // that were refused.
 func (a *entryAnswers) Why(_ context.Context, r *wire.WhyRequest) (*wire.WhyReply, error) {
 	if r.Matter == matterRefused {
-		return &wire.WhyReply{Decisions: a.signed(a.entry.kept.refused())}, nil
+		return &wire.WhyReply{Decisions: a.signed(a.entry.decisions.refused())}, nil
 	}
 	if r.Matter != matterFlow {
 		return &wire.WhyReply{Lines: []string{"an entry of this fabric explains flows; look for what was " + r.Matter + " in its log lines"}}, nil
@@ -137,7 +137,7 @@
 	d := e.steerer.Explain(now, src, dst)
 	e.mu.Unlock()
 	d.UnixNano = time.Now().UnixNano() // the steady clock tells no time of day
-	return append(e.kept.flow(src, dst), d)
+	return append(e.decisions.forFlow(src, dst), d)
 }
 
 // signed names this entry in its decisions.
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -51,11 +51,11 @@
 		documents notifier
 		endpoints *endpointList
 		firstList *firstList
-		audience  *audience
+		audience  *announceTargets
 		entries   *entryList
 		timings   controlTimings
 		peers     *peerLinks
-		doubts    *doubtBoard
+		doubts    *suspicionBatcher
 		malformed *malformedCalls
 		judging   sync.Mutex // held while outliers is used
 		outliers  *outlier.Tracker
@@ -77,11 +77,11 @@
 	control := &Control{
 		config: c, calls: make(chan func(time.Time), queue), waiting: map[uint64]chan bool{},
 		endpoints: newEndpointList(c), entries: newEntryList(c.Now), timings: newControlTimings(),
-		outliers: outlier.New(), doubts: newDoubtBoard(c.Now), malformed: newMalformedCalls(),
+		outliers: outlier.New(), doubts: newSuspicionBatcher(c.Now), malformed: newMalformedCalls(),
 	}
 	control.endpoints.setRelay(false) // until it votes
 	control.firstList = &firstList{endpoints: control.endpoints}
-	control.audience = &audience{now: c.Now}
+	control.audience = &announceTargets{now: c.Now}
 	control.status.Store(&madeStatus{})
 	control.published.Store(&published{})
 	control.roster.Store(&madeRoster{roster: &wire.Roster{}})
@@ -102,7 +102,7 @@
 	for _, b := range []*batches{c.endpoints.whole, c.endpoints.brief, c.endpoints.peers} {
 		group.Go(func() error { return b.loop(ctx) })
 	}
-	group.Go(func() error { return c.doubtLoop(ctx) })
+	group.Go(func() error { return c.suspicionLoop(ctx) })
 	group.Go(func() error { return c.loop(ctx) })
 	group.Go(func() error { return c.hintsLoop(ctx) })
 	group.Go(func() error { return c.announceLoop(ctx) })
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -54,7 +54,7 @@
 		all = append(all, figure{fmt.Sprintf("oxbowsaddle_packets_total{reason=%q}", reason), e.counts.byReason[reason].Load()})
 	}
 	for outcome := range steer.OutcomeCount {
-		all = append(all, figure{fmt.Sprintf("oxbowsaddle_questions_total{outcome=%q}", outcome), e.asked.byOutcome[outcome].Load()})
+		all = append(all, figure{fmt.Sprintf("oxbowsaddle_questions_total{outcome=%q}", outcome), e.probeOutcomes.byOutcome[outcome].Load()})
 	}
 	now := e.config.Now()
 	e.mu.Lock()
@@ -67,8 +67,8 @@
 		figure{"oxbowsaddle_endpoints_suspect", uint64(c.Suspect)},
 		figure{"oxbowsaddle_endpoints_lost", uint64(c.Lost)},
 		figure{"oxbowsaddle_endpoints_hung", uint64(c.Hung)},
-		figure{"oxbowsaddle_announcements_total", e.announced.heard.Load()},
-		figure{"oxbowsaddle_announcements_malformed_total", e.announced.malformed.Load()},
+		figure{"oxbowsaddle_announcements_total", e.announcements.heard.Load()},
+		figure{"oxbowsaddle_announcements_malformed_total", e.announcements.malformed.Load()},
 		figure{"oxbowsaddle_document_version", c.Version},
 		figure{"oxbowsaddle_domains_evacuated", uint64(len(evacuations.Domains()))},
 		figure{"oxbowsaddle_evacuations_revision", evacuations.Revision()},
--- a/internal/node/doubts_test.go
+++ b/internal/node/doubts_test.go
@@ -18,7 +18,7 @@
 	ginkgo.It("go by a control instance to every entry but the one that tells, which asks for itself", func() {
 		fleet := startFleet(33, 3, 3, ginkgo.GinkgoT().TempDir, log.New(io.Discard))
 		ginkgo.DeferCleanup(fleet.stop)
-		teller, other := runningEntry(fleet, "e1", DialTCP), runningEntry(fleet, "e2", DialTCP)
+		teller, other := startFleetEntry(fleet, "e1", DialTCP), startFleetEntry(fleet, "e2", DialTCP)
 		known := &wire.Reports{Whole: true, Endpoints: []*wire.EndpointReport{{Id: "i-1", Service: "a", Address: "127.0.0.1:1", Sequence: 1, Slots: 1}}}
 		asks := make(chan steer.Question, 1)
 		other.mu.Lock()
@@ -35,7 +35,7 @@
 			Eventually(r.entries.count, patience).Should(Equal(2))
 		}
 		Eventually(func() bool {
-			teller.tell("i-1")
+			teller.reportUnanswered("i-1")
 			select {
 			case q := <-asks:
 				return q.ID == "i-1" && q.Why == steer.Told
@@ -50,16 +50,16 @@
 		slow := newEntryFeed(nil, nil, &wire.Hello{Id: "slow"})
 		l.heard(slow, &wire.Receipt{Version: 1})
 		for range 2 * doubtsWaiting {
-			l.spread(&wire.Frame{})
+			l.broadcast(&wire.Frame{})
 		}
 		Expect(slow.doubts).To(HaveLen(doubtsWaiting))
 	})
 
 	ginkgo.It("are gathered: of each endpoint once in a while, in one frame", func() {
 		now := time.Unix(1000, 0)
-		b := newDoubtBoard(func() time.Time { return now })
+		b := newSuspicionBatcher(func() time.Time { return now })
 		take := func() *wire.Doubts {
-			frame := b.take()
+			frame := b.flush()
 			if frame == nil {
 				return nil
 			}
@@ -74,13 +74,13 @@
 		Expect(told.Hung).To(Equal([]string{"i-3"}))
 		b.add(&wire.Doubt{Id: "i-1"})
 		Expect(take()).To(BeNil())
-		now = now.Add(doubtAgain)
+		now = now.Add(suspicionRepeatInterval)
 		b.add(&wire.Doubt{Id: "i-1"})
 		Expect(take().Unanswered).To(Equal([]string{"i-1"}))
-		for n := range 2 * doubtsMost {
+		for n := range 2 * maxPendingSuspicions {
 			b.add(&wire.Doubt{Id: fmt.Sprint(n)})
 		}
-		Expect(b.unanswered).To(HaveLen(doubtsMost))
+		Expect(b.unanswered).To(HaveLen(maxPendingSuspicions))
 	})
 
 	ginkgo.It("reach the entries of other control instances", func() {
@@ -91,7 +91,7 @@
 		n := 0
 		Eventually(func() bool {
 			n++ // of one endpoint they are told once
-			fleet[0].takeDoubt(nil, &wire.Doubt{Id: fmt.Sprint("i-", n)})
+			fleet[0].handleSuspicion(nil, &wire.Doubt{Id: fmt.Sprint("i-", n)})
 			select {
 			case <-feed.doubts:
 				return true
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -21,12 +21,12 @@
 const (
 	// maxFlows bounds the records that an entry keeps for balance.
 	maxFlows = 200_000
-	// leaveMost is how long a stopping entry forwards on, so that routers turn
+	// maxStopDelay is how long a stopping entry forwards on, so that routers turn
 	// away first: they ask twice a second and turn away after two misses. Not
 	// longer: a failure domain of which fewer than half of the entries are ready
 	// is sent packets for all of them, also for one that stopped a moment before
 	// the next.
-	leaveMost = 1300 * time.Millisecond
+	maxStopDelay = 1300 * time.Millisecond
 )
 
 type (
@@ -52,51 +52,51 @@
 
 	// Entry is a running entry.
 	Entry struct {
-		config    EntryConfig
-		watch     *watch
-		confirmed atomic.Bool
-		learned   atomic.Bool // endpoints have been reported
-		stopping  atomic.Bool
-		counts    packetCounts
-		asked     questionCounts
-		announced announcementCounts
-		kept      *keptRing
-		timings   entryTimings
-		questions chan steer.Question
-		doubts    chan *wire.Doubt // that others are to be told of
+		config            EntryConfig
+		uplinks           *linkManager
+		confirmed         atomic.Bool
+		endpointsReceived atomic.Bool // endpoints have been reported
+		stopping          atomic.Bool
+		counts            packetCounts
+		probeOutcomes     questionCounts
+		announcements     announcementCounts
+		decisions         *decisionLog
+		timings           entryTimings
+		probeQueue        chan steer.Question
+		suspicions        chan *wire.Doubt // that others are to be told of
 
-		choosing sync.Mutex // held while the primary is chosen and told; taken before mu
+		primaryMu sync.Mutex // held while the primary is chosen and told; taken before mu
 
 		mu      sync.Mutex
 		steerer *steer.Steerer
-		held    *document.Document // the newest that has come, in force or about to be
-		fetch   *fetch
+		latest  *document.Document // the newest that has come, in force or about to be
+		fetcher *documentFetcher
 		primary *primary
 		links   map[string]*entryLink // by address
 
 		// Owned by packetLoop.
-		flowLines *rate.Limiter
-		leftOut   uint64 // lines about flows, since the last one
-		untimed   int    // packets since the last decision whose time was taken
+		flowLogLimiter   *rate.Limiter
+		droppedFlowLines uint64 // lines about flows, since the last one
+		untimedPackets   int    // packets since the last decision whose time was taken
 	}
 )
 
 // NewEntry returns an entry that does not run yet.
 func NewEntry(c EntryConfig) *Entry {
 	e := &Entry{
-		config: c, kept: newKeptRing(), timings: newEntryTimings(), fetch: newFetch(), primary: newPrimary(c.Name, c.Domain), links: map[string]*entryLink{},
-		flowLines: rate.NewLimiter(flowLinesPerSecond, flowLinesAtOnce),
-		questions: make(chan steer.Question, questionsAtOnce),
-		doubts:    make(chan *wire.Doubt, questionsAtOnce),
+		config: c, decisions: newDecisionLog(), timings: newEntryTimings(), fetcher: newDocumentFetcher(), primary: newPrimary(c.Name, c.Domain), links: map[string]*entryLink{},
+		flowLogLimiter: rate.NewLimiter(flowLogRate, flowLogBurst),
+		probeQueue:     make(chan steer.Question, maxConcurrentProbes),
+		suspicions:     make(chan *wire.Doubt, maxConcurrentProbes),
 	}
 	e.steerer = steer.New(steer.Config{
 		Domain: c.Domain, MaxFlow: c.MaxFlow, MaxFlows: maxFlows, Beat: c.Beat,
 		Suspected: func(id string, suspect bool) {
 			c.Log.Warn("endpoint suspected", "endpoint", id, "suspect", suspect)
 		},
-		Ask: e.ask, Tell: e.tell, Hung: e.tellHung,
+		Ask: e.queueProbe, Tell: e.reportUnanswered, Hung: e.reportHung,
 	})
-	e.watch = newWatch(e)
+	e.uplinks = newLinkManager(e)
 	return e
 }
 
@@ -110,10 +110,10 @@
 	group, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	e.watch.setSeeds(ctx, e.config.Seeds)
+	e.uplinks.setSeeds(ctx, e.config.Seeds)
 	group.Go(func() error { return e.packetLoop(ctx, conn) })
-	group.Go(func() error { return e.questionLoop(ctx, conn) })
-	group.Go(func() error { return e.doubtLoop(ctx) })
+	group.Go(func() error { return e.probeLoop(ctx, conn) })
+	group.Go(func() error { return e.suspicionLoop(ctx) })
 	group.Go(func() error { return e.announcementLoop(ctx) })
 	group.Go(func() error { return e.serveOperators(ctx) })
 	return group.Wait()
@@ -137,11 +137,11 @@
 // returns; the caller then ends the context of Run.
 func (e *Entry) Stop(ctx context.Context) {
 	e.stopping.Store(true)
-	wait := min(leaveMost, e.config.Grace/2)
-	e.config.Log.Info("planned stop", "forwarding_on", wait)
+	delay := min(maxStopDelay, e.config.Grace/2)
+	e.config.Log.Info("planned stop", "forwarding_on", delay)
 	select {
 	case <-ctx.Done():
-	case <-time.After(wait):
+	case <-time.After(delay):
 	}
 }
 
@@ -150,4 +150,4 @@
 func (e *Entry) Ready() bool { return e.confirmed.Load() && !e.stopping.Load() }
 
 // SetSeeds takes other seeds, after the settings have changed.
-func (e *Entry) SetSeeds(ctx context.Context, seeds []netip.AddrPort) { e.watch.setSeeds(ctx, seeds) }
+func (e *Entry) SetSeeds(ctx context.Context, seeds []netip.AddrPort) { e.uplinks.setSeeds(ctx, seeds) }
--- a/internal/node/evacuate_test.go
+++ b/internal/node/evacuate_test.go
@@ -35,13 +35,13 @@
 			fleet = startFleet(41, 3, 3, ginkgo.GinkgoT().TempDir, log.New(io.Discard))
 			ginkgo.DeferCleanup(func() { fleet.stop() })
 			fleet.order(1)
-			entry = runningEntry(fleet, "e1", DialTCP)
+			entry = startFleetEntry(fleet, "e1", DialTCP)
 		})
 
 		ginkgo.It("comes in force at entries, at those that come later too, and ends", func() {
 			fleet.evacuate(evacuation.Order{Domain: "d1"})
 			Eventually(inForce, patience).Should(Equal([]string{"d1"}))
-			late := runningEntry(fleet, "e2", DialTCP)
+			late := startFleetEntry(fleet, "e2", DialTCP)
 			Eventually(late.Ready, patience).Should(BeTrue())
 			Expect(late.steerer.Evacuations().Domains()).To(Equal([]string{"d1"}), "it serves before it knows")
 			fleet.evacuate(evacuation.Order{Domain: "d1", Undo: true})
@@ -61,9 +61,9 @@
 			fleet.order(2)
 			leader := fleet.leader()
 			Eventually(func() []string { return leader.Status().Evacuations.Domains() }, patience).Should(Equal([]string{"d2"}))
-			late := runningEntry(fleet, "e3", DialTCP)
+			late := startFleetEntry(fleet, "e3", DialTCP)
 			Eventually(late.Ready, patience).Should(BeTrue())
-			Expect(late.inForce().Evacuations).NotTo(BeZero())
+			Expect(late.appliedReceipt().Evacuations).NotTo(BeZero())
 		})
 
 		ginkgo.It("is refused for a failure domain that is not known", func() {
@@ -135,15 +135,15 @@
 		}
 
 		ginkgo.It("is in force before a document of the same frame is", func() {
-			entry.takeDocument("c1", frame(7, 4, "d0"))
-			Expect(entry.inForce()).To(HaveField("Evacuations", uint64(4)))
+			entry.handleDocument("c1", frame(7, 4, "d0"))
+			Expect(entry.appliedReceipt()).To(HaveField("Evacuations", uint64(4)))
 			Expect(entry.steerer.Evacuations().Has("d0")).To(BeTrue())
 		})
 
 		ginkgo.It("is not undone by a later document of an instance that lags", func() {
-			entry.takeOffer("c1", &wire.DocumentOffer{Version: 7, Evacuations: &wire.Evacuations{Revision: 9, Domains: []string{"d0"}}})
-			entry.takeDocument("c2", frame(8, 3))
-			Expect(entry.inForce()).To(HaveField("Version", uint64(8)))
+			entry.handleOffer("c1", &wire.DocumentOffer{Version: 7, Evacuations: &wire.Evacuations{Revision: 9, Domains: []string{"d0"}}})
+			entry.handleDocument("c2", frame(8, 3))
+			Expect(entry.appliedReceipt()).To(HaveField("Version", uint64(8)))
 			Expect(entry.steerer.Evacuations().Has("d0")).To(BeTrue())
 		})
 
--- a/internal/node/feed.go
+++ b/internal/node/feed.go
@@ -78,7 +78,7 @@
 		case *wire.Frame_Subscription:
 			hand(ctx, f.modes, body.Subscription)
 		case *wire.Frame_Doubt:
-			f.control.takeDoubt(f, body.Doubt)
+			f.control.handleSuspicion(f, body.Doubt)
 		case *wire.Frame_Receipt:
 			f.control.entries.heard(f, body.Receipt)
 		}
--- a/internal/node/feedendpoints.go
+++ b/internal/node/feedendpoints.go
@@ -33,7 +33,7 @@
 // begin notes that the entry is linked.
 func (f *entryFeed) begin() {
 	f.control.entries.heard(f, &wire.Receipt{})
-	unlisten := f.control.audience.link(f.listens)
+	unlisten := f.control.audience.trackLink(f.listens)
 	f.unlink = func() {
 		unlisten()
 		f.control.entries.lost(f)
--- a/internal/node/hints.go
+++ b/internal/node/hints.go
@@ -27,7 +27,7 @@
 		c.config.Log.Warn("hints cannot be read", "error", err)
 		return &wire.Hints{}
 	}
-	c.audience.remember(hints.Entries)
+	c.audience.restore(hints.Entries)
 	if hints.Reports == nil {
 		return hints
 	}
@@ -57,11 +57,11 @@
 		if began.Before(rested) {
 			continue
 		}
-		known, changed, audience := c.Status().Commit, c.endpoints.changed(), c.audience.changes()
+		known, changed, audience := c.Status().Commit, c.endpoints.changed(), c.audience.revision()
 		if known == commit && changed == number && audience == entries {
 			continue
 		}
-		hints := &wire.Hints{Commit: known, Reports: c.endpoints.changesAfter(0), Entries: c.audience.known()}
+		hints := &wire.Hints{Commit: known, Reports: c.endpoints.changesAfter(0), Entries: c.audience.addresses()}
 		if err := c.saveHints(hints); err != nil {
 			c.config.Log.Warn("hints not written", "error", err)
 			continue
--- a/internal/node/kept_test.go
+++ b/internal/node/kept_test.go
@@ -20,11 +20,11 @@
 	placed := steer.Decision{Action: steer.Forward, Reason: steer.Placed, ID: "i-1", Version: 7}
 
 	ginkgo.It("are those on one flow, the oldest first, with what an operator can do", func() {
-		k := newKeptRing()
+		k := newDecisionLog()
 		k.add(at, packet(1, 0), placed)
 		k.add(at, packet(2, 0), placed)
 		k.add(at.Add(time.Second), packet(1, 2), steer.Decision{Action: steer.Forward, Reason: steer.Replaced, ID: "i-2", Version: 8})
-		told := k.flow(packet(1, 0).Src, dst)
+		told := k.forFlow(packet(1, 0).Src, dst)
 		Expect(told).To(HaveLen(2))
 		Expect(told[0].Endpoint).To(Equal("i-1"))
 		Expect(told[0].UnixNano).To(Equal(at.UnixNano()))
@@ -36,24 +36,24 @@
 	})
 
 	ginkgo.It("leave out packets that went where their flow was", func() {
-		k := newKeptRing()
+		k := newDecisionLog()
 		k.add(at, packet(1, 0), steer.Decision{Action: steer.Forward, Reason: steer.Steered})
-		Expect(k.flow(packet(1, 0).Src, dst)).To(BeEmpty())
+		Expect(k.forFlow(packet(1, 0).Src, dst)).To(BeEmpty())
 	})
 
 	ginkgo.It("tell what was refused or dropped, and let the oldest go", func() {
-		k := newKeptRing()
+		k := newDecisionLog()
 		k.add(at, packet(1, 0), steer.Decision{Action: steer.Reset, Reason: steer.NoRoute})
 		k.add(at, packet(2, 0), placed)
 		Expect(k.refused()).To(ConsistOf(HaveField("Reason", "no_route")))
-		for port := range uint16(keptDecisions) {
+		for port := range uint16(maxDecisions) {
 			k.add(at, packet(port, 0), placed)
 		}
 		Expect(k.refused()).To(BeEmpty())
 	})
 
 	ginkgo.It("cost no allocation", func() {
-		k := newKeptRing()
+		k := newDecisionLog()
 		Expect(testing.AllocsPerRun(100, func() { k.add(at, packet(1, 0), placed) })).To(BeZero())
 	})
 })
--- a/internal/node/learn.go
+++ b/internal/node/learn.go
@@ -7,32 +7,32 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// takeOffer notes which version a control instance has in force, and asks for
+// handleOffer notes which version a control instance has in force, and asks for
 // it where it is newer than the one held.
-func (e *Entry) takeOffer(source string, offer *wire.DocumentOffer) {
+func (e *Entry) handleOffer(source string, offer *wire.DocumentOffer) {
 	now := e.config.Now()
-	e.takeEvacuations(source, offer.Evacuations)
+	e.applyEvacuations(source, offer.Evacuations)
 	e.mu.Lock()
-	e.fetch.offer(now, source, offer.Version)
-	held := e.held
+	e.fetcher.recordOffer(now, source, offer.Version)
+	latest := e.latest
 	e.mu.Unlock()
-	if offer.Confirmed && held != nil && held.Version() >= offer.Version {
-		e.putInForce(held, true)
-		e.confirm(held.Version())
+	if offer.Confirmed && latest != nil && latest.Version() >= offer.Version {
+		e.applyDocument(latest, true)
+		e.markConfirmed(latest.Version())
 	}
-	e.askDocument()
+	e.requestDocument()
 }
 
-// askDocument asks for the newest document that is on offer, if any is newer
+// requestDocument asks for the newest document that is on offer, if any is newer
 // than what is held.
-func (e *Entry) askDocument() {
+func (e *Entry) requestDocument() {
 	now := e.config.Now()
 	e.mu.Lock()
 	held := uint64(0)
-	if e.held != nil {
-		held = e.held.Version()
+	if e.latest != nil {
+		held = e.latest.Version()
 	}
-	link := e.links[e.fetch.next(now, held)]
+	link := e.links[e.fetcher.nextSource(now, held)]
 	e.mu.Unlock()
 	if link == nil {
 		return
@@ -41,89 +41,89 @@
 	_ = link.send(&wire.Frame{Body: &wire.Frame_Want{Want: &wire.DocumentWant{Held: held}}})
 }
 
-// takeDocument takes a committed document from a control instance.
-func (e *Entry) takeDocument(source string, frame *wire.DocumentFrame) {
-	e.takeEvacuations(source, frame.Evacuations) // before the document, which may be of a later place in the log
+// handleDocument takes a committed document from a control instance.
+func (e *Entry) handleDocument(source string, frame *wire.DocumentFrame) {
+	e.applyEvacuations(source, frame.Evacuations) // before the document, which may be of a later place in the log
 	e.mu.Lock()
-	e.fetch.arrived(source)
-	doc, err := document.FromFrame(e.held, frame)
-	if err == nil && (e.held == nil || doc.Version() > e.held.Version()) {
-		e.held = doc
+	e.fetcher.markAnswered(source)
+	doc, err := document.FromFrame(e.latest, frame)
+	if err == nil && (e.latest == nil || doc.Version() > e.latest.Version()) {
+		e.latest = doc
 	}
 	e.mu.Unlock()
 	if err != nil {
 		e.config.Log.Error("document refused", "control", source, "error", err)
-		e.askDocument()
+		e.requestDocument()
 		return
 	}
 	// After a loss of power everywhere none is confirmed until a leader is elected;
 	// callers are served meanwhile, though routers are told that this entry is not ready.
-	e.putInForce(doc, frame.Confirmed)
+	e.applyDocument(doc, frame.Confirmed)
 	if frame.Confirmed {
-		e.confirm(doc.Version())
+		e.markConfirmed(doc.Version())
 	}
-	e.askDocument()
+	e.requestDocument()
 }
 
-// takeEvacuations has new flows avoid the failure domains that are evacuated,
+// applyEvacuations has new flows avoid the failure domains that are evacuated,
 // unless what is known already is as new.
-func (e *Entry) takeEvacuations(source string, m *wire.Evacuations) {
+func (e *Entry) applyEvacuations(source string, m *wire.Evacuations) {
 	set := evacuation.FromMessage(m)
 	e.mu.Lock()
-	fresh := e.steerer.SetEvacuations(set)
+	changed := e.steerer.SetEvacuations(set)
 	e.mu.Unlock()
-	if fresh {
+	if changed {
 		e.config.Log.Info("evacuations in force", "control", source, "revision", set.Revision(), "domains", set.Domains())
 	}
 }
 
-// confirm notes that a document is known to be the newest of its term.
-func (e *Entry) confirm(version uint64) {
+// markConfirmed notes that a document is known to be the newest of its term.
+func (e *Entry) markConfirmed(version uint64) {
 	if !e.confirmed.Swap(true) {
 		e.config.Log.Info("ready", "version", version)
 	}
 }
 
-// putInForce has new flows placed by a document, unless a newer one is in
+// applyDocument has new flows placed by a document, unless a newer one is in
 // force already.
-func (e *Entry) putInForce(doc *document.Document, confirmed bool) {
+func (e *Entry) applyDocument(doc *document.Document, confirmed bool) {
 	now := e.config.Now()
 	e.mu.Lock()
-	fresh := e.steerer.SetDocument(now, doc)
-	lag, known := e.fetch.lag(now, doc.Version())
+	changed := e.steerer.SetDocument(now, doc)
+	lag, known := e.fetcher.offerAge(now, doc.Version())
 	e.mu.Unlock()
-	if fresh && known {
+	if changed && known {
 		e.timings.lag.Observe(lag)
 	}
-	if fresh {
+	if changed {
 		e.config.Log.Info("document in force", "version", doc.Version(), "routes", len(doc.Routes()), "confirmed", confirmed)
 	}
 }
 
-// takeReports takes what a control instance reports of endpoints. It returns what it
+// handleReports takes what a control instance reports of endpoints. It returns what it
 // must be asked for, nil for nothing.
-func (e *Entry) takeReports(source string, reports *wire.Reports) *wire.RecordsWant {
+func (e *Entry) handleReports(source string, reports *wire.Reports) *wire.RecordsWant {
 	now := e.config.Now()
 	e.mu.Lock()
-	lacking := e.steerer.Learn(now, source, reports)
-	behind := len(reports.Digest) > 0 && e.steerer.LearnDigest(now, source, registry.DigestOf(reports.Digest))
+	missing := e.steerer.Learn(now, source, reports)
+	diverged := len(reports.Digest) > 0 && e.steerer.LearnDigest(now, source, registry.DigestOf(reports.Digest))
 	digest := e.steerer.Digest()
 	e.mu.Unlock()
-	if len(reports.Endpoints) > 0 && !e.learned.Swap(true) {
+	if len(reports.Endpoints) > 0 && !e.endpointsReceived.Swap(true) {
 		e.config.Log.Info("endpoints known", "control", source, "endpoints", len(reports.Endpoints))
 	}
 	switch {
-	case behind:
+	case diverged:
 		return &wire.RecordsWant{Digest: digest[:]}
-	case len(lacking) > 0:
-		return &wire.RecordsWant{Ids: lacking}
+	case len(missing) > 0:
+		return &wire.RecordsWant{Ids: missing}
 	default:
 		return nil
 	}
 }
 
-// inForce tells which document and evacuations are in force.
-func (e *Entry) inForce() *wire.Receipt {
+// appliedReceipt tells which document and evacuations are in force.
+func (e *Entry) appliedReceipt() *wire.Receipt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return &wire.Receipt{Version: e.steerer.Version(), Evacuations: e.steerer.Evacuations().Revision()}
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -41,7 +41,7 @@
 		return
 	}
 	e.mu.Lock()
-	e.primary.locate(source, roster.Instances[0].Domain)
+	e.primary.setDomain(source, roster.Instances[0].Domain)
 	e.mu.Unlock()
 	_ = e.choosePrimary(nil)
 }
@@ -49,8 +49,8 @@
 // choosePrimary has one control instance tell every change of endpoints, and the
 // others tell them briefly. The error is that of the link that is new, nil for none.
 func (e *Entry) choosePrimary(fresh *entryLink) error {
-	e.choosing.Lock() // so that what is sent comes in the order of the choices
-	defer e.choosing.Unlock()
+	e.primaryMu.Lock() // so that what is sent comes in the order of the choices
+	defer e.primaryMu.Unlock()
 	e.mu.Lock()
 	before, changed := e.primary.choose(slices.Sorted(maps.Keys(e.links)))
 	chosen, last := e.links[e.primary.chosen], e.links[before]
@@ -80,11 +80,11 @@
 	now := e.config.Now()
 	e.mu.Lock()
 	e.steerer.Forget(now, source)
-	e.fetch.lost(source)
+	e.fetcher.removeSource(source)
 	delete(e.links, source)
 	e.mu.Unlock()
 	_ = e.choosePrimary(nil)
-	e.askDocument()
+	e.requestDocument()
 }
 
 // orderTaker returns a control instance that is linked, "" for none.
--- a/internal/node/packets.go
+++ b/internal/node/packets.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// packetMost is the largest datagram that is read.
-	packetMost = 2048
-	// flowLinesPerSecond and flowLinesAtOnce bound the log lines about flows:
+	// maxPacketSize is the largest datagram that is read.
+	maxPacketSize = 2048
+	// flowLogRate and flowLinesAtOnce bound the log lines about flows:
 	// a line costs some 10 µs, so at most 0.1% of a core.
-	flowLinesPerSecond = 100
-	flowLinesAtOnce    = 300
+	flowLogRate  = 100
+	flowLogBurst = 300
 )
 
 // Codec reads and writes packets as the fabric carries them.
@@ -30,7 +30,7 @@
 
 // packetLoop carries packets until the context ends.
 func (e *Entry) packetLoop(ctx context.Context, conn *net.UDPConn) error {
-	raw, out := make([]byte, packetMost), make([]byte, 0, packetMost)
+	raw, out := make([]byte, maxPacketSize), make([]byte, 0, maxPacketSize)
 	for {
 		n, _, err := conn.ReadFromUDPAddrPort(raw)
 		if ctx.Err() != nil {
@@ -39,12 +39,12 @@
 		if err != nil {
 			continue // an earlier send found a closed port
 		}
-		e.carry(conn, raw[:n], out)
+		e.handlePacket(conn, raw[:n], out)
 	}
 }
 
-// carry decides about one packet and does it.
-func (e *Entry) carry(conn *net.UDPConn, raw, out []byte) {
+// handlePacket decides about one packet and does it.
+func (e *Entry) handlePacket(conn *net.UDPConn, raw, out []byte) {
 	p, ok := e.config.Codec.Decode(raw)
 	if !ok {
 		e.counts.add(steer.Decision{Reason: steer.Malformed})
@@ -54,7 +54,7 @@
 	e.mu.Lock()
 	d := e.steerer.Decide(now, p)
 	e.mu.Unlock()
-	e.timeDecision(now)
+	e.sampleDecisionTime(now)
 	e.counts.add(d)
 	switch d.Action {
 	case steer.Forward:
@@ -73,11 +73,11 @@
 	_, _ = conn.WriteToUDPAddrPort(e.config.Codec.Reset(buf, p, seq), caller)
 }
 
-// timeDecision takes the time of one decision in timeOneIn.
-func (e *Entry) timeDecision(began time.Time) {
-	if e.untimed++; e.untimed >= timeOneIn {
-		e.untimed = 0
-		e.timings.decision.Observe(e.config.Now().Sub(began))
+// sampleDecisionTime takes the time of one decision in timeOneIn.
+func (e *Entry) sampleDecisionTime(start time.Time) {
+	if e.untimedPackets++; e.untimedPackets >= timeOneIn {
+		e.untimedPackets = 0
+		e.timings.decision.Observe(e.config.Now().Sub(start))
 	}
 }
 
@@ -85,15 +85,15 @@
 // flow that is opened or is not just steered. Lines beyond the rate are left
 // out, and the next one says how many.
 func (e *Entry) logDecision(now time.Time, p steer.Packet, d steer.Decision) {
-	if !keeps(d) {
+	if !isRecorded(d) {
 		return
 	}
-	e.kept.add(time.Now(), p, d) // operators ask by the time of day
-	if !e.flowLines.AllowN(now, 1) {
-		e.leftOut++
+	e.decisions.add(time.Now(), p, d) // operators ask by the time of day
+	if !e.flowLogLimiter.AllowN(now, 1) {
+		e.droppedFlowLines++
 		return
 	}
 	e.config.Log.Info("flow", "caller", p.Src, "route", p.Dst, "seq", p.Seq, "copy", p.Copy, "tag", p.Tag,
-		"action", d.Action, "reason", d.Reason, "endpoint", d.ID, "version", d.Version, "left_out", e.leftOut)
-	e.leftOut = 0
+		"action", d.Action, "reason", d.Reason, "endpoint", d.ID, "version", d.Version, "left_out", e.droppedFlowLines)
+	e.droppedFlowLines = 0
 }
--- a/internal/node/primary.go
+++ b/internal/node/primary.go
@@ -22,26 +22,26 @@
 	return &primary{entry: entry, domain: domain, domains: map[string]string{}}
 }
 
-// locate notes in which failure domain a control instance is.
-func (p *primary) locate(address, domain string) { p.domains[address] = domain }
+// setDomain notes in which failure domain a control instance is.
+func (p *primary) setDomain(address, domain string) { p.domains[address] = domain }
 
 // choose chooses among the control instances that are linked: the present one
 // as long as it is and none is nearer, else one of the own failure domain, else
 // any. It reports the one before where that changes.
-func (p *primary) choose(linked []string) (before string, changed bool) {
-	before = p.chosen
-	near := slices.DeleteFunc(slices.Clone(linked), func(address string) bool { return p.domains[address] != p.domain })
-	if len(near) == 0 {
-		near = linked
+func (p *primary) choose(linked []string) (previous string, changed bool) {
+	previous = p.chosen
+	local := slices.DeleteFunc(slices.Clone(linked), func(address string) bool { return p.domains[address] != p.domain })
+	if len(local) == 0 {
+		local = linked
 	}
-	if slices.Contains(near, before) {
-		return before, false
+	if slices.Contains(local, previous) {
+		return previous, false
 	}
 	p.chosen = ""
-	if len(near) > 0 {
-		p.chosen = slices.MaxFunc(near, func(a, b string) int {
+	if len(local) > 0 {
+		p.chosen = slices.MaxFunc(local, func(a, b string) int {
 			return cmp.Compare(attachment.Rank(p.entry, a), attachment.Rank(p.entry, b))
 		})
 	}
-	return before, p.chosen != before
+	return previous, p.chosen != previous
 }
--- a/internal/node/primary_test.go
+++ b/internal/node/primary_test.go
@@ -11,7 +11,7 @@
 	var p *primary
 	ginkgo.BeforeEach(func() {
 		p = newPrimary("plateau-1", "plateau")
-		p.locate("far", "almadies")
+		p.setDomain("far", "almadies")
 	})
 	choose := func(linked ...string) string {
 		p.choose(linked)
@@ -20,7 +20,7 @@
 
 	ginkgo.It("is one of the own failure domain, once it is known where they are", func() {
 		Expect(choose("far")).To(Equal("far"))
-		p.locate("near", "plateau")
+		p.setDomain("near", "plateau")
 		before, changed := p.choose([]string{"far", "near"})
 		Expect(changed).To(BeTrue())
 		Expect(before).To(Equal("far"))
@@ -28,8 +28,8 @@
 	})
 
 	ginkgo.It("stays while it is linked", func() {
-		p.locate("near", "plateau")
-		p.locate("near-2", "plateau")
+		p.setDomain("near", "plateau")
+		p.setDomain("near-2", "plateau")
 		first := choose("near", "near-2", "far")
 		_, changed := p.choose([]string{"far", "near-2", "near"})
 		Expect(changed).To(BeFalse())
--- a/internal/node/questions_test.go
+++ b/internal/node/questions_test.go
@@ -28,15 +28,15 @@
 	})
 
 	ginkgo.It("are asked beside each other, and leave a full queue alone", func() {
-		for range questionsAtOnce {
-			Expect(e.ask(steer.Question{ID: "a", Addr: at})).To(BeTrue())
+		for range maxConcurrentProbes {
+			Expect(e.queueProbe(steer.Question{ID: "a", Addr: at})).To(BeTrue())
 		}
-		Expect(e.ask(steer.Question{ID: "a", Addr: at})).To(BeFalse())
+		Expect(e.queueProbe(steer.Question{ID: "a", Addr: at})).To(BeFalse())
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		reached.Store(true)
-		go func() { _ = e.questionLoop(ctx, nil) }()
-		Eventually(func() int { return len(e.questions) }, patience).Should(BeZero())
+		go func() { _ = e.probeLoop(ctx, nil) }()
+		Eventually(func() int { return len(e.probeQueue) }, patience).Should(BeZero())
 	})
 
 	// clock returns a clock that moves on by a step at each look.
@@ -50,15 +50,15 @@
 	ginkgo.It("take their time where a connection is refused at once, so that others can answer meanwhile", func() {
 		looks := 0
 		e.config.Now = clock(5*time.Millisecond, &looks)
-		e.settleQuestion(context.Background(), nil, steer.Question{ID: "a", Addr: at, Within: 50 * time.Millisecond})
+		e.resolveProbe(context.Background(), nil, steer.Question{ID: "a", Addr: at, Within: 50 * time.Millisecond})
 		Expect(looks).To(BeNumerically(">=", 10))
-		Expect(e.asked.byOutcome[steer.Missed].Load()).To(Equal(uint64(1)))
+		Expect(e.probeOutcomes.byOutcome[steer.Missed].Load()).To(Equal(uint64(1)))
 	})
 
 	ginkgo.It("say nothing where this process stood still meanwhile", func() {
 		looks := 0
 		e.config.Now = clock(20*time.Millisecond, &looks)
-		Expect(e.put(context.Background(), steer.Question{ID: "a", Addr: at, Within: 50 * time.Millisecond})).To(Equal(steer.Unsure))
+		Expect(e.runProbe(context.Background(), steer.Question{ID: "a", Addr: at, Within: 50 * time.Millisecond})).To(Equal(steer.Unsure))
 	})
 
 	ginkgo.It("are answered by whoever accepts connections, without a byte", func() {
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -44,7 +44,7 @@
 		case *wire.Frame_Roster:
 			h.control.hear(body.Roster)
 		case *wire.Frame_Doubts:
-			h.control.entries.spread(frame)
+			h.control.entries.broadcast(frame)
 		case *wire.Frame_Reports:
 			h.control.endpoints.merge(body.Reports)
 			if err := stream.Send(&wire.Frame{Body: &wire.Frame_Receipt{Receipt: &wire.Receipt{Number: body.Reports.Number}}}); err != nil {
--- a/internal/node/silence_test.go
+++ b/internal/node/silence_test.go
@@ -18,84 +18,84 @@
 )
 
 var (
-	silenceSeed   = flag.Uint64("silence.seed", 1, "seed of the soak of connections that fall silent")
-	silenceRounds = flag.Int("silence.rounds", 5, "how often that soak silences connections")
+	blackholeSeed   = flag.Uint64("silence.seed", 1, "seed of the soak of connections that fall silent")
+	blackholeRounds = flag.Int("silence.rounds", 5, "how often that soak silences connections")
 )
 
 type (
-	// silencer opens connections and silences those that are open.
-	silencer struct {
-		mu      sync.Mutex
-		open    []*silentConn
-		refuses bool // no further connection is opened
+	// blackholeDialer opens connections and silences those that are open.
+	blackholeDialer struct {
+		mu     sync.Mutex
+		conns  []*blackholeConn
+		refuse bool // no further connection is opened
 	}
 
-	// silentConn is a connection that may fall silent, one way or both: what is
+	// blackholeConn is a connection that may fall silent, one way or both: what is
 	// written then goes nowhere, and what comes is not read.
-	silentConn struct {
+	blackholeConn struct {
 		net.Conn
-		mu      sync.Mutex
-		out, in bool
+		mu                    sync.Mutex
+		dropWrites, dropReads bool
 	}
 )
 
 // dial is a Dialer.
-func (s *silencer) dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
+func (s *blackholeDialer) dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	raw, err := DialTCP(ctx, address, timeout)
 	if err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.refuses {
+	if s.refuse {
 		_ = raw.Close()
 		return nil, syscall.ECONNREFUSED
 	}
-	c := &silentConn{Conn: raw}
-	s.open = append(s.open, c)
+	c := &blackholeConn{Conn: raw}
+	s.conns = append(s.conns, c)
 	return c, nil
 }
 
-// silence makes the open connections that are chosen fall silent for good.
-func (s *silencer) silence(chosen func() bool, out, in bool) {
+// blackhole makes the open connections that are chosen fall silent for good.
+func (s *blackholeDialer) blackhole(selected func() bool, dropWrites, dropReads bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.open {
-		if chosen() {
+	for _, c := range s.conns {
+		if selected() {
 			c.mu.Lock()
-			c.out, c.in = c.out || out, c.in || in
+			c.dropWrites, c.dropReads = c.dropWrites || dropWrites, c.dropReads || dropReads
 			c.mu.Unlock()
 		}
 	}
-	s.open = nil
+	s.conns = nil
 }
 
-func (c *silentConn) silent() (out, in bool) {
+func (c *blackholeConn) dropping() (out, in bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.out, c.in
+	return c.dropWrites, c.dropReads
 }
 
 // Write loses what is written once the way out is silent.
-func (c *silentConn) Write(p []byte) (int, error) {
-	if out, _ := c.silent(); out {
+func (c *blackholeConn) Write(p []byte) (int, error) {
+	if out, _ := c.dropping(); out {
 		return len(p), nil
 	}
 	return c.Conn.Write(p)
 }
 
 // Read drops what comes once the way in is silent, until the deadline.
-func (c *silentConn) Read(p []byte) (int, error) {
+func (c *blackholeConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
-		if _, in := c.silent(); !in || err != nil {
+		if _, in := c.dropping(); !in || err != nil {
 			return n, err
 		}
 	}
 }
 
-// runningEntry is an entry that knows control instances.
-func runningEntry(fleet controlFleet, name string, dial Dialer) *Entry {
+// startFleetEntry is an entry that knows control instances.
+func startFleetEntry(fleet controlFleet, name string, dial Dialer) *Entry {
 	e := NewEntry(EntryConfig{
 		Name: name, Domain: "d0", Packets: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: fleet[0].config.Seeds, MaxFlow: time.Minute,
 		Beat: time.Second, Dial: dial, Knock: KnockTCP, Log: log.New(io.Discard), Now: SteadyClock(),
@@ -109,7 +109,7 @@
 var _ = ginkgo.Describe("connections that fall silent", func() {
 	var fleet controlFleet
 	var entry *Entry
-	var peers, links *silencer
+	var peers, links *blackholeDialer
 	version := uint64(0)
 	all := func() bool { return true }
 
@@ -118,15 +118,15 @@
 		fleet.order(version)
 	}
 	inForce := func() {
-		Eventually(func() uint64 { return entry.inForce().Version }, patience, 5*time.Millisecond).Should(Equal(version))
+		Eventually(func() uint64 { return entry.appliedReceipt().Version }, patience, 5*time.Millisecond).Should(Equal(version))
 	}
 
 	ginkgo.BeforeEach(func() {
 		version = 0
-		peers, links = &silencer{}, &silencer{}
+		peers, links = &blackholeDialer{}, &blackholeDialer{}
 		fleet = startFleetBy(31, 3, 3, ginkgo.GinkgoT().TempDir, log.New(io.Discard), peers.dial)
 		ginkgo.DeferCleanup(fleet.stop)
-		entry = runningEntry(fleet, "e1", links.dial)
+		entry = startFleetEntry(fleet, "e1", links.dial)
 		order()
 		inForce()
 	})
@@ -136,13 +136,13 @@
 		out, in bool
 	}{{"both ways", true, true}, {"away from who opened it", true, false}, {"towards who opened it", false, true}} {
 		ginkgo.It("between an entry and the control instances are found and replaced: "+way.name, func() {
-			links.silence(all, way.out, way.in)
+			links.blackhole(all, way.out, way.in)
 			order()
 			inForce()
 		})
 
 		ginkgo.It("among control instances are found and replaced: "+way.name, func() {
-			peers.silence(all, way.out, way.in)
+			peers.blackhole(all, way.out, way.in)
 			order()
 			inForce()
 			Eventually(func() error { return acknowledgedLeave(fleet) }, patience).Should(Succeed())
@@ -151,21 +151,21 @@
 
 	ginkgo.It("end at the side that accepted them too", func() {
 		Eventually(func() int { return fleet[0].entries.count() }, patience).Should(Equal(1))
-		links.silence(all, true, true)
+		links.blackhole(all, true, true)
 		links.mu.Lock()
-		links.refuses = true // nobody opens new ones
+		links.refuse = true // nobody opens new ones
 		links.mu.Unlock()
 		Eventually(func() int { return fleet[0].entries.count() }, patience).Should(BeZero())
 	})
 
 	ginkgo.It("lose nothing acknowledged, in any order and number", func() {
-		random := rand.New(rand.NewPCG(*silenceSeed, 3))
-		for round := range *silenceRounds {
+		random := rand.New(rand.NewPCG(*blackholeSeed, 3))
+		for round := range *blackholeRounds {
 			way := 1 + random.IntN(3)
 			share := random.Float64()
 			chosen := func() bool { return random.Float64() < share }
-			peers.silence(chosen, way&1 > 0, way&2 > 0)
-			links.silence(chosen, way&1 > 0, way&2 > 0)
+			peers.blackhole(chosen, way&1 > 0, way&2 > 0)
+			links.blackhole(chosen, way&1 > 0, way&2 > 0)
 			order()
 			inForce()
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
--- a/internal/node/watchlink.go
+++ b/internal/node/watchlink.go
@@ -8,25 +8,25 @@
 	"oxbowsaddle/internal/fault"
 )
 
-// run keeps the link to one address up until ctx ends; all is the context of
+// maintainLink keeps the link to one address up until ctx ends; all is the context of
 // every link, which ends later.
-func (w *watch) run(ctx, all context.Context, address string, link *watched) {
-	var pace redial
+func (w *linkManager) maintainLink(ctx, rootCtx context.Context, address string, link *managedLink) {
+	var backoff redial
 	for ctx.Err() == nil {
-		err := w.follow(ctx, all, address, &pace)
+		err := w.serveLink(ctx, rootCtx, address, &backoff)
 		if ctx.Err() != nil {
 			return
 		}
-		w.fail(all, address, link)
+		w.markUnreachable(rootCtx, address, link)
 		if fault.KindOf(err) == fault.Unreachable {
-			time.Sleep(pace.rest(!w.entry.linked()))
+			time.Sleep(backoff.rest(!w.entry.linked()))
 		}
 	}
 }
 
-// follow takes what a control instance sends until the link fails.
-func (w *watch) follow(ctx, all context.Context, address string, pace *redial) error {
-	raw, err := pace.dial(ctx, w.entry.config.Dial, address, !w.entry.linked())
+// serveLink takes what a control instance sends until the link fails.
+func (w *linkManager) serveLink(ctx, rootCtx context.Context, address string, backoff *redial) error {
+	raw, err := backoff.dial(ctx, w.entry.config.Dial, address, !w.entry.linked())
 	if err != nil {
 		return fault.Wrap(fault.Unreachable, err)
 	}
@@ -35,38 +35,38 @@
 		return err
 	}
 	defer done()
-	pace.reached()
-	link := &entryLink{watch: w, address: address, stream: stream, loaded: func() {}}
-	err = link.serve(ctx, all)
-	link.loaded()
-	if link.used {
+	backoff.reached()
+	link := &entryLink{manager: w, address: address, stream: stream, finishLoad: func() {}}
+	err = link.serve(ctx, rootCtx)
+	link.finishLoad()
+	if link.active {
 		w.entry.forget(address)
 	}
-	w.takeRoster(all, address, nil)
+	w.setRoster(rootCtx, address, nil)
 	if ctx.Err() == nil {
 		w.entry.config.Log.Warn("control instance lost", "control", address, "error", err)
 	}
 	return err
 }
 
-// awaitTurn lets links load their first table one after the other, so that the
+// acquireLoadSlot lets links load their first table one after the other, so that the
 // first one is not held up by the others on a small link, and what it brought need
 // not come again. It returns what gives the turn on; nobody waits for longer than
 // turnMost for one that has not begun, or than turnLoads.
-func (w *watch) awaitTurn(ctx context.Context) (loaded func()) {
-	begun, last := time.After(turnMost), time.After(turnLoads)
+func (w *linkManager) acquireLoadSlot(ctx context.Context) (finish func()) {
+	startDeadline, loadDeadline := time.After(maxLoadStartWait), time.After(maxLoadWait)
 	for {
 		select {
-		case w.turn <- struct{}{}:
+		case w.loadSlot <- struct{}{}:
 			return sync.OnceFunc(func() {
-				w.loading.Store(false)
-				<-w.turn
+				w.loadStarted.Store(false)
+				<-w.loadSlot
 			})
-		case <-begun:
-			if !w.loading.Load() {
+		case <-startDeadline:
+			if !w.loadStarted.Load() {
 				return func() {}
 			}
-		case <-last:
+		case <-loadDeadline:
 			return func() {}
 		case <-ctx.Done():
 			return func() {}
