--- a/internal/node/announcements.go
+++ b/internal/node/announcements.go
@@ -13,7 +13,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// announceTargets is the entries that a control instance announces itself to.
+// announceTargets tracks the entries that a control instance announces itself to.
 type announceTargets struct {
 	now func() time.Time
 
@@ -21,8 +21,8 @@
 	schedule announce.Schedule
 }
 
-// trackLink notes that an entry which listens at an address is linked, and returns
-// what notes the end of the trackLink. An address that cannot be read is nowhere.
+// trackLink records a link to the entry that listens for announcements at address, and
+// returns the function that records the end of the link. An invalid address is ignored.
 func (a *announceTargets) trackLink(address string) (untrack func()) {
 	addr, _ := netip.ParseAddrPort(address)
 	a.update(func(now time.Time, s *announce.Schedule) { s.Linked(now, addr) })
@@ -31,14 +31,14 @@
 	}
 }
 
-// update changes the schedule.
+// update calls change with the schedule while holding the lock.
 func (a *announceTargets) update(change func(now time.Time, s *announce.Schedule)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change(a.now(), &a.schedule)
 }
 
-// restore takes the entries that hints name; what cannot be read is left out.
+// restore adds the entry addresses that were saved in the hints, and skips invalid ones.
 func (a *announceTargets) restore(addresses []string) {
 	var all []netip.AddrPort
 	for _, address := range addresses {
@@ -49,7 +49,7 @@
 	a.update(func(now time.Time, s *announce.Schedule) { s.Remember(now, all) })
 }
 
-// addresses returns the entries for the hints.
+// addresses returns the entry addresses to save in the hints.
 func (a *announceTargets) addresses() (addresses []string) {
 	a.update(func(_ time.Time, s *announce.Schedule) {
 		for _, addr := range s.Known() {
@@ -59,26 +59,26 @@
 	return addresses
 }
 
-// count returns how many entries known names.
+// count returns the number of addresses that addresses returns.
 func (a *announceTargets) count() (n int) {
 	a.update(func(_ time.Time, s *announce.Schedule) { n = s.Len() })
 	return n
 }
 
-// revision rises with what known returns.
+// revision increases whenever the result of addresses changes.
 func (a *announceTargets) revision() (number uint64) {
 	a.update(func(_ time.Time, s *announce.Schedule) { number = s.Changes() })
 	return number
 }
 
-// due returns whom to tell now.
+// due returns the entries to send an announcement to now.
 func (a *announceTargets) due() (addrs []netip.AddrPort) {
 	a.update(func(now time.Time, s *announce.Schedule) { addrs = s.Due(now) })
 	return addrs
 }
 
-// announceLoop announces the instance to entries that are not linked to it until
-// the context ends. A socket that cannot be had costs the announcements only.
+// announceLoop sends announcements to entries that have no link to this instance, until
+// the context is done. Without a socket the instance runs on without announcements.
 func (c *Control) announceLoop(ctx context.Context) error {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(c.config.Peer.Addr(), 0)))
 	if err != nil {
@@ -99,20 +99,20 @@
 		case <-ticker.C:
 		}
 		for _, addr := range c.audience.due() {
-			_, _ = conn.WriteToUDPAddrPort(datagram, addr) // one that is lost is repeated
+			_, _ = conn.WriteToUDPAddrPort(datagram, addr) // lost datagrams are repeated
 		}
 	}
 }
 
-// announcementLoop takes announcements of control instances until the context
-// ends. An address that is taken costs the announcements only.
+// announcementLoop receives announcements of control instances until the context is
+// done. If the address is in use, the entry runs on without announcements.
 func (e *Entry) announcementLoop(ctx context.Context) error {
 	if !e.config.Operators.IsValid() {
 		return nil
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.config.Operators))
 	if err != nil {
-		e.config.Log.Error("announcements cannot be heard", "address", e.config.Operators, "error", err)
+		e.config.Log.Error("cannot listen for announcements", "address", e.config.Operators, "error", err)
 		return nil
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
@@ -129,8 +129,8 @@
 	}
 }
 
-// handleAnnouncement takes one datagram. An entry that is linked learns of control
-// instances by rosters.
+// handleAnnouncement handles one datagram. It is ignored while the entry is linked, since
+// control instances are then known from rosters.
 func (e *Entry) handleAnnouncement(ctx context.Context, raw []byte) {
 	var instance wire.ControlInstance
 	addr, err := netip.AddrPort{}, proto.Unmarshal(raw, &instance)
--- a/internal/node/announcements_test.go
+++ b/internal/node/announcements_test.go
@@ -19,8 +19,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// startEntry runs an entry that hears announcements at an address, until it is
-// stopped; its codec takes no packet.
+// startEntry runs an entry that listens for announcements, until stop is called; its codec
+// rejects every packet.
 func startEntry(operators netip.AddrPort, seeds ...netip.AddrPort) (e *Entry, stop func()) {
 	e = NewEntry(EntryConfig{
 		Name: "edge-1", Domain: "d0", Packets: netip.AddrPortFrom(operators.Addr(), operators.Port()+1), Operators: operators, Seeds: seeds,
@@ -48,31 +48,31 @@
 		const port, networks = 17850, 250
 		operators = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%networks), 91, 1}), port)
 	})
-	dead := netip.MustParseAddrPort(unreachableAddr(9))
+	deadSeed := netip.MustParseAddrPort(unreachableAddr(9))
 
-	ginkgo.It("is found by a control instance that has lost power, and knows it by its disk", func() {
+	ginkgo.It("is announced to by a restarted control instance, from the hints on its disk", func() {
 		_, stopFirst := startEntry(operators, fleet[0].config.Peer)
 		Eventually(func() []string { return savedEntries(fleet[0]) }, patience).Should(ConsistOf(operators.String()))
 		stopFirst()
 		fleet[0].stop()
-		entry, stopEntry := startEntry(operators, dead)
+		entry, stopEntry := startEntry(operators, deadSeed)
 		defer stopEntry()
 		fleet[0].start()
 		Eventually(entry.linked, patience).Should(BeTrue())
 		Expect(entry.announcements.heard.Load()).To(BeNumerically(">", 0))
 	})
 
-	ginkgo.It("is found by one that it was linked to before its own restart", func() {
+	ginkgo.It("is announced to by a control instance that it was linked to before its own restart", func() {
 		_, stopFirst := startEntry(operators, fleet[0].config.Peer)
 		Eventually(fleet[0].entries.count, patience).Should(Equal(1))
 		stopFirst()
-		entry, stopEntry := startEntry(operators, dead)
+		entry, stopEntry := startEntry(operators, deadSeed)
 		defer stopEntry()
 		Eventually(entry.linked, patience).Should(BeTrue())
 	})
 })
 
-// savedEntries returns the entries that an instance's hints name.
+// savedEntries returns the entry addresses in the hints of an instance.
 func savedEntries(r *runningControl) []string {
 	hints := &wire.Hints{}
 	files, err := r.config.Files()
@@ -94,40 +94,40 @@
 		ginkgo.DeferCleanup(cancel)
 		e = unlinkedEntry(ctx)
 	})
-	hear := func(address string) {
+	announce := func(address string) {
 		raw, err := proto.Marshal(&wire.ControlInstance{Address: address})
 		Expect(err).NotTo(HaveOccurred())
 		e.handleAnnouncement(ctx, raw)
 	}
-	sought := func() []string {
+	linkAddresses := func() []string {
 		e.uplinks.mu.Lock()
 		defer e.uplinks.mu.Unlock()
 		return slices.Sorted(maps.Keys(e.uplinks.links))
 	}
 
-	ginkgo.It("leave room for the seeds, however many come", func() {
+	ginkgo.It("do not displace the seeds, however many arrive", func() {
 		for n := 3; n < 30; n++ {
-			hear(unreachableAddr(n))
+			announce(unreachableAddr(n))
 		}
-		Expect(sought()).To(ContainElements(unreachableAddr(1), unreachableAddr(2)))
+		Expect(linkAddresses()).To(ContainElements(unreachableAddr(1), unreachableAddr(2)))
 		const seeds, announced = 2, 3
-		Expect(len(sought())).To(BeNumerically("<=", seeds+announced))
+		Expect(len(linkAddresses())).To(BeNumerically("<=", seeds+announced))
 	})
 
-	ginkgo.It("are counted and dropped where they cannot be read", func() {
+	ginkgo.It("are counted and dropped if they are malformed", func() {
 		for _, raw := range [][]byte{nil, {0xff, 0xff}, []byte("no announcement")} {
 			e.handleAnnouncement(ctx, raw)
 		}
-		hear("not an address")
+		announce("not an address")
 		Expect(e.announcements.malformed.Load()).To(Equal(uint64(4)))
-		Expect(sought()).To(Equal([]string{unreachableAddr(1), unreachableAddr(2)}))
+		Expect(linkAddresses()).To(Equal([]string{unreachableAddr(1), unreachableAddr(2)}))
 	})
 
-	ginkgo.It("change nothing at an entry that is linked", func() {
+	ginkgo.It("are ignored while the entry is linked", func() {
 		e.mu.Lock()
 		e.links["somewhere"] = &entryLink{}
 		e.mu.Unlock()
-		hear(unreachableAddr(7))
-		Expect(sought()).NotTo(ContainElement(unreachableAddr(7)))
+		announce(unreachableAddr(7))
+		Expect(linkAddresses()).NotTo(ContainElement(unreachableAddr(7)))
 	})
 })
--- a/internal/node/blackhole_test.go
+++ b/internal/node/blackhole_test.go
@@ -18,20 +18,20 @@
 )
 
 var (
-	blackholeSeed   = flag.Uint64("silence.seed", 1, "seed of the soak of connections that fall silent")
-	blackholeRounds = flag.Int("silence.rounds", 5, "how often that soak silences connections")
+	blackholeSeed   = flag.Uint64("silence.seed", 1, "seed of the soak test of blackholed connections")
+	blackholeRounds = flag.Int("silence.rounds", 5, "number of rounds of the soak test of blackholed connections")
 )
 
 type (
-	// blackholeDialer opens connections and silences those that are open.
+	// blackholeDialer opens connections and can blackhole the open ones.
 	blackholeDialer struct {
 		mu     sync.Mutex
 		conns  []*blackholeConn
-		refuse bool // no further connection is opened
+		refuse bool // refuse further connections
 	}
 
-	// blackholeConn is a connection that may fall silent, one way or both: what is
-	// written then goes nowhere, and what comes is not read.
+	// blackholeConn is a connection that can silently drop the data of either direction or
+	// of both.
 	blackholeConn struct {
 		net.Conn
 		mu                    sync.Mutex
@@ -39,7 +39,7 @@
 	}
 )
 
-// dial is a Dialer.
+// dial implements Dialer.
 func (s *blackholeDialer) dial(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	raw, err := DialTCP(ctx, address, timeout)
 	if err != nil {
@@ -56,7 +56,7 @@
 	return c, nil
 }
 
-// blackhole makes the open connections that are chosen fall silent for good.
+// blackhole permanently drops traffic of the selected open connections.
 func (s *blackholeDialer) blackhole(selected func() bool, dropWrites, dropReads bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -76,7 +76,7 @@
 	return c.dropWrites, c.dropReads
 }
 
-// Write loses what is written once the way out is silent.
+// Write discards the data while writes are dropped.
 func (c *blackholeConn) Write(p []byte) (int, error) {
 	if out, _ := c.dropping(); out {
 		return len(p), nil
@@ -84,7 +84,7 @@
 	return c.Conn.Write(p)
 }
 
-// Read drops what comes once the way in is silent, until the deadline.
+// Read discards received data while reads are dropped, until the read deadline.
 func (c *blackholeConn) Read(p []byte) (int, error) {
 	for {
 		n, err := c.Conn.Read(p)
@@ -94,7 +94,7 @@
 	}
 }
 
-// startFleetEntry is an entry that knows control instances.
+// startFleetEntry runs an entry with the seeds of the fleet.
 func startFleetEntry(fleet controlFleet, name string, dial Dialer) *Entry {
 	e := NewEntry(EntryConfig{
 		Name: name, Domain: "d0", Packets: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: fleet[0].config.Seeds, MaxFlow: time.Minute,
@@ -106,18 +106,18 @@
 	return e
 }
 
-var _ = ginkgo.Describe("connections that fall silent", func() {
+var _ = ginkgo.Describe("blackholed connections", func() {
 	var fleet controlFleet
 	var entry *Entry
 	var peers, links *blackholeDialer
 	version := uint64(0)
-	all := func() bool { return true }
+	everyConn := func() bool { return true }
 
 	order := func() {
 		version++
 		fleet.order(version)
 	}
-	inForce := func() {
+	expectApplied := func() {
 		Eventually(func() uint64 { return entry.appliedReceipt().Version }, patience, 5*time.Millisecond).Should(Equal(version))
 	}
 
@@ -128,46 +128,46 @@
 		ginkgo.DeferCleanup(fleet.stop)
 		entry = startFleetEntry(fleet, "e1", links.dial)
 		order()
-		inForce()
+		expectApplied()
 	})
 
-	for _, way := range []struct {
-		name    string
-		out, in bool
-	}{{"both ways", true, true}, {"away from who opened it", true, false}, {"towards who opened it", false, true}} {
-		ginkgo.It("between an entry and the control instances are found and replaced: "+way.name, func() {
-			links.blackhole(all, way.out, way.in)
+	for _, direction := range []struct {
+		name                  string
+		dropWrites, dropReads bool
+	}{{"both directions", true, true}, {"from the dialing side", true, false}, {"to the dialing side", false, true}} {
+		ginkgo.It("between an entry and the control instances are detected and replaced: "+direction.name, func() {
+			links.blackhole(everyConn, direction.dropWrites, direction.dropReads)
 			order()
-			inForce()
+			expectApplied()
 		})
 
-		ginkgo.It("among control instances are found and replaced: "+way.name, func() {
-			peers.blackhole(all, way.out, way.in)
+		ginkgo.It("among control instances are detected and replaced: "+direction.name, func() {
+			peers.blackhole(everyConn, direction.dropWrites, direction.dropReads)
 			order()
-			inForce()
+			expectApplied()
 			Eventually(func() error { return acknowledgedLeave(fleet) }, patience).Should(Succeed())
 		})
 	}
 
-	ginkgo.It("end at the side that accepted them too", func() {
+	ginkgo.It("are closed at the accepting side too", func() {
 		Eventually(func() int { return fleet[0].entries.count() }, patience).Should(Equal(1))
-		links.blackhole(all, true, true)
+		links.blackhole(everyConn, true, true)
 		links.mu.Lock()
-		links.refuse = true // nobody opens new ones
+		links.refuse = true // no replacement is opened
 		links.mu.Unlock()
 		Eventually(func() int { return fleet[0].entries.count() }, patience).Should(BeZero())
 	})
 
-	ginkgo.It("lose nothing acknowledged, in any order and number", func() {
+	ginkgo.It("lose no acknowledged write, whichever connections are affected", func() {
 		random := rand.New(rand.NewPCG(*blackholeSeed, 3))
 		for round := range *blackholeRounds {
-			way := 1 + random.IntN(3)
+			direction := 1 + random.IntN(3)
 			share := random.Float64()
-			chosen := func() bool { return random.Float64() < share }
-			peers.blackhole(chosen, way&1 > 0, way&2 > 0)
-			links.blackhole(chosen, way&1 > 0, way&2 > 0)
+			selected := func() bool { return random.Float64() < share }
+			peers.blackhole(selected, direction&1 > 0, direction&2 > 0)
+			links.blackhole(selected, direction&1 > 0, direction&2 > 0)
 			order()
-			inForce()
+			expectApplied()
 			ctx, cancel := context.WithTimeout(context.Background(), patience)
 			Eventually(func() error {
 				doc, _, err := fleet.leaderOrFirst().Read(ctx)
@@ -181,14 +181,14 @@
 	})
 })
 
-// acknowledgedLeave has an endpoint leave, at any of the control instances.
+// acknowledgedLeave sends the leave of an endpoint to the first control instance.
 func acknowledgedLeave(fleet controlFleet) error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	return fleet[0].Leave(ctx, "i-1")
 }
 
-// leaderOrFirst returns the instance that leads, or any while none does.
+// leaderOrFirst returns the leader, or the first instance if there is none.
 func (f controlFleet) leaderOrFirst() *runningControl {
 	if leader := f.leader(); leader != nil {
 		return leader
--- a/internal/node/decisionlog.go
+++ b/internal/node/decisionlog.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// maxDecisions is how many decisions an entry keeps for operators: the
-	// last two minutes at 17 opened flows a second, some 0.4 MB.
+	// maxDecisions is the number of decisions an entry keeps for operators: two minutes
+	// at 17 new flows a second, some 0.4 MB.
 	maxDecisions = 2048
-	// maxDecisionsPerReply is how many of them one answer holds at most.
+	// maxDecisionsPerReply bounds the decisions in one reply to an operator.
 	maxDecisionsPerReply = 20
 )
 
 type (
-	// logRecord is a decision that operators may ask about later. It is a
-	// value, so that keeping one allocates nothing.
+	// logRecord is a decision that operators may query later. It is stored by value to
+	// avoid an allocation per decision.
 	logRecord struct {
-		at              time.Time // of day
+		at              time.Time // wall clock
 		src, dst        netip.AddrPort
 		retransmissions int
 		decision        steer.Decision
 	}
 
-	// decisionLog holds the last decisions of an entry.
+	// decisionLog keeps the most recent decisions of an entry.
 	decisionLog struct {
 		ring *explain.Ring[logRecord]
 	}
@@ -35,38 +35,38 @@
 
 func newDecisionLog() *decisionLog { return &decisionLog{explain.NewRing[logRecord](maxDecisions)} }
 
-// isRecorded reports whether a decision is kept: all but those on packets that go
-// where the flow is already.
+// isRecorded reports whether a decision is logged: all are, except those on packets that
+// follow an existing flow.
 func isRecorded(d steer.Decision) bool {
 	return d.Reason != steer.Steered && d.Reason != steer.Corrected
 }
 
-// add keeps a decision taken at a time of day.
-func (k *decisionLog) add(at time.Time, p steer.Packet, d steer.Decision) {
+// add logs a decision with its wall-clock time.
+func (l *decisionLog) add(at time.Time, p steer.Packet, d steer.Decision) {
 	if isRecorded(d) {
-		k.ring.Add(logRecord{at: at, src: p.Src, dst: p.Dst, retransmissions: p.Copy, decision: d})
+		l.ring.Add(logRecord{at: at, src: p.Src, dst: p.Dst, retransmissions: p.Copy, decision: d})
 	}
 }
 
-// forFlow returns the last decisions on a forFlow, the oldest first.
-func (k *decisionLog) forFlow(src, dst netip.AddrPort) []*wire.Decision {
-	return k.find(func(d logRecord) bool { return d.src == src && d.dst == dst })
+// forFlow returns the most recent decisions on a flow, oldest first.
+func (l *decisionLog) forFlow(src, dst netip.AddrPort) []*wire.Decision {
+	return l.find(func(d logRecord) bool { return d.src == src && d.dst == dst })
 }
 
-// refused returns the last packets that were dropped or reset.
-func (k *decisionLog) refused() []*wire.Decision {
-	return k.find(func(d logRecord) bool { return d.decision.Action != steer.Forward })
+// refused returns the most recent decisions to drop or reset a packet, oldest first.
+func (l *decisionLog) refused() []*wire.Decision {
+	return l.find(func(d logRecord) bool { return d.decision.Action != steer.Forward })
 }
 
-func (k *decisionLog) find(match func(logRecord) bool) []*wire.Decision {
+func (l *decisionLog) find(match func(logRecord) bool) []*wire.Decision {
 	var matches []*wire.Decision
-	for _, d := range k.ring.Find(maxDecisionsPerReply, match) {
+	for _, d := range l.ring.Find(maxDecisionsPerReply, match) {
 		matches = append(matches, d.message())
 	}
 	return matches
 }
 
-// message returns a kept decision as it travels.
+// message returns the protocol message for a logged decision.
 func (d logRecord) message() *wire.Decision {
 	m := d.decision.Message()
 	m.UnixNano, m.Subject = d.at.UnixNano(), steer.Subject(d.src, d.dst)
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -19,43 +19,44 @@
 )
 
 const (
-	// maxFlows bounds the records that an entry keeps for balance.
+	// maxFlows bounds the flow records that an entry keeps.
 	maxFlows = 200_000
-	// maxStopDelay is how long a stopping entry forwards on, so that routers turn
-	// away first: they ask twice a second and turn away after two misses. Not
-	// longer: a failure domain of which fewer than half of the entries are ready
-	// is sent packets for all of them, also for one that stopped a moment before
-	// the next.
+	// maxStopDelay is how long a stopping entry keeps forwarding so that routers can
+	// remove it: they check readiness twice a second and remove an entry after two
+	// failures. A longer delay would let consecutive stops overlap: once fewer than half
+	// of the entries of a failure domain are ready, routers send to all of them, stopped
+	// ones included.
 	maxStopDelay = 1300 * time.Millisecond
 )
 
 type (
-	// EntryConfig is what an entry is told.
+	// EntryConfig configures an Entry.
 	EntryConfig struct {
 		Name    string
 		Domain  string
-		Packets netip.AddrPort // where callers' packets arrive; resets go to the same port
-		// Operators is where their commands are answered, and where announcements of
-		// control instances are heard; the zero value is nowhere.
+		Packets netip.AddrPort // receives callers' packets; resets are sent to the same port of the caller
+		// Operators is the TCP address for operators' commands and the UDP address for
+		// announcements of control instances; the zero value disables both.
 		Operators netip.AddrPort
 		Seeds     []netip.AddrPort // peer addresses of control instances
-		MaxFlow   time.Duration    // no flow is older
-		Losses    int              // control instances whose loss at once is borne
-		Grace     time.Duration    // a planned stop must end within it
-		Beat      time.Duration    // heartbeat period of endpoints
+		MaxFlow   time.Duration    // maximum age of a flow
+		Losses    int              // simultaneous losses of control instances to tolerate
+		Grace     time.Duration    // time limit of a planned stop
+		Beat      time.Duration    // heartbeat interval of endpoints
 		Codec     Codec
-		Dial      Dialer // DialTCP, but for tests
-		Knock     Knock  // KnockTCP, but for tests
+		Dial      Dialer // DialTCP outside tests
+		Knock     Knock  // KnockTCP outside tests
 		Log       *log.Logger
 		Now       func() time.Time
 	}
 
-	// Entry is a running entry.
+	// Entry forwards callers' packets to endpoints, by the document and the endpoint reports
+	// that it receives from control instances.
 	Entry struct {
 		config            EntryConfig
 		uplinks           *linkManager
 		confirmed         atomic.Bool
-		endpointsReceived atomic.Bool // endpoints have been reported
+		endpointsReceived atomic.Bool // by any control instance
 		stopping          atomic.Bool
 		counts            packetCounts
 		probeOutcomes     questionCounts
@@ -63,25 +64,25 @@
 		decisions         *decisionLog
 		timings           entryTimings
 		probeQueue        chan steer.Question
-		suspicions        chan *wire.Doubt // that others are to be told of
+		suspicions        chan *wire.Doubt // to report to the other entries
 
-		primaryMu sync.Mutex // held while the primary is chosen and told; taken before mu
+		primaryMu sync.Mutex // serializes choosePrimary; locked before mu
 
 		mu      sync.Mutex
 		steerer *steer.Steerer
-		latest  *document.Document // the newest that has come, in force or about to be
+		latest  *document.Document // newest received, applied or about to be
 		fetcher *documentFetcher
 		primary *primary
 		links   map[string]*entryLink // by address
 
-		// Owned by packetLoop.
+		// Used by packetLoop only.
 		flowLogLimiter   *rate.Limiter
-		droppedFlowLines uint64 // lines about flows, since the last one
-		untimedPackets   int    // packets since the last decision whose time was taken
+		droppedFlowLines uint64 // since the last flow line that was written
+		untimedPackets   int    // since the last timed decision
 	}
 )
 
-// NewEntry returns an entry that does not run yet.
+// NewEntry returns an entry; Run starts it.
 func NewEntry(c EntryConfig) *Entry {
 	e := &Entry{
 		config: c, decisions: newDecisionLog(), timings: newEntryTimings(), fetcher: newDocumentFetcher(), primary: newPrimary(c.Name, c.Domain), links: map[string]*entryLink{},
@@ -100,8 +101,8 @@
 	return e
 }
 
-// Run serves until the context ends; an error at once is of kind AddressInUse
-// where the address for packets cannot be had.
+// Run serves until the context is done. It returns an error of kind AddressInUse if it
+// cannot listen for packets.
 func (e *Entry) Run(ctx context.Context) error {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.config.Packets))
 	if err != nil {
@@ -119,22 +120,22 @@
 	return group.Wait()
 }
 
-// serveOperators answers their commands until the context ends; an address
-// that is taken costs the answers only.
+// serveOperators answers operators' commands until the context is done. If the address is
+// in use, the entry runs on without answering them.
 func (e *Entry) serveOperators(ctx context.Context) error {
 	if !e.config.Operators.IsValid() {
 		return nil
 	}
 	server, err := newLinkServer(e.config.Operators.String(), nil, &entryAnswers{entry: e})
 	if err != nil {
-		e.config.Log.Error("operators cannot be answered", "address", e.config.Operators, "error", err)
+		e.config.Log.Error("cannot listen for operators' commands", "address", e.config.Operators, "error", err)
 		return nil
 	}
 	return server.run(ctx)
 }
 
-// Stop fails readiness, forwards on until the routers have turned away, and
-// returns; the caller then ends the context of Run.
+// Stop makes the entry not ready, and returns when routers have had time to remove it;
+// packets are forwarded meanwhile. The caller then cancels the context of Run.
 func (e *Entry) Stop(ctx context.Context) {
 	e.stopping.Store(true)
 	delay := min(maxStopDelay, e.config.Grace/2)
@@ -145,9 +146,9 @@
 	}
 }
 
-// Ready reports whether routers should send packets here: the table has been
-// confirmed in this life, and no stop is planned.
+// Ready reports whether routers should send packets here: a document has been confirmed
+// since the start, and the entry is not stopping.
 func (e *Entry) Ready() bool { return e.confirmed.Load() && !e.stopping.Load() }
 
-// SetSeeds takes other seeds, after the settings have changed.
+// SetSeeds replaces the seeds after a change of the settings.
 func (e *Entry) SetSeeds(ctx context.Context, seeds []netip.AddrPort) { e.uplinks.setSeeds(ctx, seeds) }
--- a/internal/node/entrylink.go
+++ b/internal/node/entrylink.go
@@ -7,22 +7,22 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// entryLink is the link of an entry to one control instance. First the instance says
-// which there are; what else it tells it tells once the link is used.
+// entryLink is the link of an entry to one control instance. The instance sends rosters
+// from the start, and everything else once the link is active.
 type entryLink struct {
 	manager *linkManager
 	address string
 	stream  wire.DRPCDirectory_LinkClient
 	sendMu  sync.Mutex
 
-	// Owned by serve.
+	// Used by the goroutine of serve only.
 	active     bool
-	rosterSeen bool   // a roster has come before
-	finishLoad func() // gives the turn on once the endpoints have come
+	rosterSeen bool   // at least one roster has been received
+	finishLoad func() // releases the load slot once the endpoint list has been received
 }
 
-// serve says hello and takes what comes until the link fails, or ctx ends; all is the
-// context of every link.
+// serve sends a hello and handles frames until the link fails or ctx is done; rootCtx is
+// the parent context of all links.
 func (l *entryLink) serve(ctx, rootCtx context.Context) error {
 	entry := l.manager.entry
 	hello := &wire.Hello{Id: entry.config.Name, Domain: entry.config.Domain}
@@ -46,7 +46,7 @@
 	}
 }
 
-// activate has the instance tell what is in force, if the link is wanted for that.
+// activate subscribes to the control instance if the link manager selects this link.
 func (l *entryLink) activate(ctx, rootCtx context.Context) error {
 	rosterSeen := l.rosterSeen
 	l.rosterSeen = true
@@ -60,21 +60,21 @@
 	return entry.reach(l)
 }
 
-// send sends one frame; several goroutines may call it.
+// send sends one frame. It is safe for concurrent use.
 func (l *entryLink) send(frame *wire.Frame) error {
 	l.sendMu.Lock()
 	defer l.sendMu.Unlock()
 	return l.stream.Send(frame)
 }
 
-// subscribe has the control instance tell every change of endpoints, or tell
-// them briefly.
+// subscribe asks the control instance for every change of endpoints, or, if brief, for
+// digests only.
 func (l *entryLink) subscribe(brief bool) error {
 	digest := l.manager.entry.digest()
 	return l.send(&wire.Frame{Body: &wire.Frame_Subscription{Subscription: &wire.Subscription{Brief: brief, Digest: digest[:]}}})
 }
 
-// handleFrame does what one frame asks for.
+// handleFrame dispatches one received frame.
 func (l *entryLink) handleFrame(ctx, rootCtx context.Context, frame *wire.Frame) error {
 	entry := l.manager.entry
 	switch body := frame.Body.(type) {
@@ -92,7 +92,7 @@
 	return nil
 }
 
-// handleReports takes what is reported of endpoints, and asks for what is lacking.
+// handleReports applies endpoint reports and requests missing records.
 func (l *entryLink) handleReports(reports *wire.Reports) error {
 	if reports.More {
 		l.manager.loadStarted.Store(true)
@@ -106,8 +106,8 @@
 	return l.send(&wire.Frame{Body: &wire.Frame_Records{Records: request}})
 }
 
-// handleRoster takes which control instances there are, and shows that somebody still
-// listens.
+// handleRoster applies the list of control instances and replies with a receipt, which
+// shows that the entry is alive.
 func (l *entryLink) handleRoster(ctx, rootCtx context.Context, roster *wire.Roster) error {
 	entry := l.manager.entry
 	l.manager.setFollowsLeader(l.address, roster.Current)
@@ -121,6 +121,6 @@
 		return err
 	}
 	entry.noteState(l.address, roster)
-	entry.requestDocument() // where the one that was asked has not answered
+	entry.requestDocument() // again, if the last request has timed out
 	return l.send(&wire.Frame{Body: &wire.Frame_Receipt{Receipt: entry.appliedReceipt()}})
 }
--- a/internal/node/failover_bench_test.go
+++ b/internal/node/failover_bench_test.go
@@ -8,10 +8,11 @@
 	"github.com/charmbracelet/log"
 )
 
-// BenchmarkFirstAck tells how long the first order after a loss takes, from the
-// loss to its acknowledgement, by the kind of loss; orders are offered to one
-// instance after the other, each for 0.2 s, as operators turn elsewhere. One loss
-// a run: go test ./internal/node -run '^$' -bench FirstAck -benchtime 1x -count 5.
+// BenchmarkFirstAck measures the time from a failure to the acknowledgement of the first
+// order after it, by kind of failure. The order is tried at one instance after the other
+// for 0.2 s each. Run it with -benchtime 1x, as each iteration needs a fresh failure:
+//
+//	go test ./internal/node -run '^$' -bench FirstAck -benchtime 1x -count 5
 func BenchmarkFirstAck(b *testing.B) {
 	losses := []struct {
 		name string
@@ -41,7 +42,7 @@
 			f := startFleet(byte(60+n), 3, 3, b.TempDir, log.New(io.Discard))
 			b.Cleanup(f.stop)
 			f.order(1)
-			time.Sleep(time.Second) // so that all of them follow
+			time.Sleep(time.Second) // until all instances follow the leader
 			b.ResetTimer()
 			loss.lose(b, f)
 			f.order(2)
--- a/internal/node/fetch.go
+++ b/internal/node/fetch.go
@@ -6,19 +6,17 @@
 	"time"
 )
 
-// fetchTimeout is how long one control instance may take to hand over the
-// document that it offered, before another one is asked: a document of 3,000
-// routes, some 250 KB, over a link of 2 Mbit/s. A link that fails is noticed
-// earlier.
+// fetchTimeout is how long to wait for a requested document before another control
+// instance is asked: enough for 3,000 routes, some 250 KB, over a link of 2 Mbit/s.
+// A failed link is noticed earlier.
 const fetchTimeout = 1500 * time.Millisecond
 
-// documentFetcher decides from whom an entry asks the document: from one control
-// instance at a time, since a document may be large and the link small, and
-// from the one that offers the newest. Versions that are overtaken while one is
-// under way are never asked for.
+// documentFetcher chooses the control instance that an entry requests the document from:
+// one at a time, since a document may be large for the link, and always one that offers
+// the newest version. Versions superseded during a transfer are never requested.
 type documentFetcher struct {
-	offers          map[string]uint64 // version by control instance
-	pendingSource   string            // the control instance that has not answered yet, "" for none
+	offers          map[string]uint64 // offered version by control instance
+	pendingSource   string            // control instance that has yet to answer, "" for none
 	requestedAt     time.Time
 	newestOfferedAt time.Time // when the newest version was first offered
 	newestVersion   uint64
@@ -26,7 +24,7 @@
 
 func newDocumentFetcher() *documentFetcher { return &documentFetcher{offers: map[string]uint64{}} }
 
-// recordOffer notes which version a control instance has in force.
+// recordOffer records the version that a control instance offers.
 func (f *documentFetcher) recordOffer(now time.Time, source string, version uint64) {
 	f.offers[source] = version
 	if version > f.newestVersion {
@@ -34,26 +32,27 @@
 	}
 }
 
-// offerAge returns how long ago a version was first offered; it reports false where
-// a newer one was since.
+// offerAge returns the time since a version was first offered, and false if it is not the
+// newest version on offer.
 func (f *documentFetcher) offerAge(now time.Time, version uint64) (time.Duration, bool) {
 	return now.Sub(f.newestOfferedAt), version == f.newestVersion && !f.newestOfferedAt.IsZero()
 }
 
-// removeSource notes that a control instance is out of reach.
+// removeSource drops the offer of a control instance that is unreachable.
 func (f *documentFetcher) removeSource(source string) {
 	delete(f.offers, source)
 	f.markAnswered(source)
 }
 
-// markAnswered notes that the one that was asked has answered.
+// markAnswered ends the pending request if it was sent to source.
 func (f *documentFetcher) markAnswered(source string) {
 	if f.pendingSource == source {
 		f.pendingSource = ""
 	}
 }
 
-// nextSource returns whom to ask now, "" for nobody.
+// nextSource returns the control instance to send a request to now, "" for none, and marks
+// that request as pending.
 func (f *documentFetcher) nextSource(now time.Time, heldVersion uint64) string {
 	if f.pendingSource != "" && now.Sub(f.requestedAt) < fetchTimeout {
 		return ""
@@ -65,7 +64,7 @@
 		}
 	}
 	if best == "" && f.pendingSource != "" && f.offers[f.pendingSource] > heldVersion {
-		best = f.pendingSource // nobody else has it
+		best = f.pendingSource // no other instance offers it
 	}
 	f.pendingSource, f.requestedAt = best, now
 	return best
--- a/internal/node/fetch_test.go
+++ b/internal/node/fetch_test.go
@@ -7,25 +7,25 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("the fetch of a document", func() {
+var _ = ginkgo.Describe("the document fetcher", func() {
 	start := time.Unix(5000, 0)
 	var f *documentFetcher
 	ginkgo.BeforeEach(func() { f = newDocumentFetcher() })
 
-	ginkgo.It("asks one control instance, though all offer", func() {
+	ginkgo.It("requests a version from one control instance at a time", func() {
 		f.recordOffer(start, "a", 7)
 		f.recordOffer(start, "b", 7)
 		Expect(f.nextSource(start, 3)).To(Equal("a"))
 		Expect(f.nextSource(start, 3)).To(BeEmpty())
 	})
 
-	ginkgo.It("asks nobody for what is held", func() {
+	ginkgo.It("does not request a version that is held already", func() {
 		f.recordOffer(start, "a", 7)
 		Expect(f.nextSource(start, 7)).To(BeEmpty())
 		Expect(f.nextSource(start, 9)).To(BeEmpty())
 	})
 
-	ginkgo.It("asks for the newest, and skips what was overtaken meanwhile", func() {
+	ginkgo.It("requests the newest version and skips superseded ones", func() {
 		f.recordOffer(start, "a", 7)
 		f.recordOffer(start, "b", 8)
 		Expect(f.nextSource(start, 3)).To(Equal("b"))
@@ -37,7 +37,7 @@
 		Expect(f.nextSource(start, 10)).To(BeEmpty())
 	})
 
-	ginkgo.It("asks another one when the first does not answer in time, or is lost", func() {
+	ginkgo.It("tries another control instance after a timeout or a lost link", func() {
 		f.recordOffer(start, "a", 7)
 		f.recordOffer(start, "b", 7)
 		Expect(f.nextSource(start, 3)).To(Equal("a"))
@@ -46,20 +46,20 @@
 		Expect(f.nextSource(start.Add(fetchTimeout), 3)).To(Equal("a"))
 	})
 
-	ginkgo.It("asks the same one again when it is the only one", func() {
+	ginkgo.It("retries the same control instance if it is the only one", func() {
 		f.recordOffer(start, "a", 7)
 		Expect(f.nextSource(start, 3)).To(Equal("a"))
 		Expect(f.nextSource(start.Add(fetchTimeout), 3)).To(Equal("a"))
 	})
 
-	ginkgo.It("tells how long a version has been on offer, unless a newer one is", func() {
+	ginkgo.It("returns the age of the offer of the newest version only", func() {
 		f.recordOffer(start, "a", 7)
 		f.recordOffer(start.Add(time.Second), "b", 7)
-		lag, known := f.offerAge(start.Add(2*time.Second), 7)
-		Expect(known).To(BeTrue())
-		Expect(lag).To(Equal(2 * time.Second))
+		age, newest := f.offerAge(start.Add(2*time.Second), 7)
+		Expect(newest).To(BeTrue())
+		Expect(age).To(Equal(2 * time.Second))
 		f.recordOffer(start.Add(3*time.Second), "b", 8)
-		_, known = f.offerAge(start.Add(4*time.Second), 7)
-		Expect(known).To(BeFalse())
+		_, newest = f.offerAge(start.Add(4*time.Second), 7)
+		Expect(newest).To(BeFalse())
 	})
 })
--- a/internal/node/linkloop.go
+++ b/internal/node/linkloop.go
@@ -8,25 +8,25 @@
 	"oxbowsaddle/internal/fault"
 )
 
-// maintainLink keeps the link to one address up until ctx ends; all is the context of
-// every link, which ends later.
-func (w *linkManager) maintainLink(ctx, rootCtx context.Context, address string, link *managedLink) {
+// maintainLink connects to an address, again after each failure, until ctx is done. rootCtx
+// is the parent context of all links.
+func (m *linkManager) maintainLink(ctx, rootCtx context.Context, address string, link *managedLink) {
 	var backoff redial
 	for ctx.Err() == nil {
-		err := w.serveLink(ctx, rootCtx, address, &backoff)
+		err := m.serveLink(ctx, rootCtx, address, &backoff)
 		if ctx.Err() != nil {
 			return
 		}
-		w.markUnreachable(rootCtx, address, link)
+		m.markUnreachable(rootCtx, address, link)
 		if fault.KindOf(err) == fault.Unreachable {
-			time.Sleep(backoff.rest(!w.entry.linked()))
+			time.Sleep(backoff.rest(!m.entry.linked()))
 		}
 	}
 }
 
-// serveLink takes what a control instance sends until the link fails.
-func (w *linkManager) serveLink(ctx, rootCtx context.Context, address string, backoff *redial) error {
-	raw, err := backoff.dial(ctx, w.entry.config.Dial, address, !w.entry.linked())
+// serveLink connects to a control instance and handles its frames until the link fails.
+func (m *linkManager) serveLink(ctx, rootCtx context.Context, address string, backoff *redial) error {
+	raw, err := backoff.dial(ctx, m.entry.config.Dial, address, !m.entry.linked())
 	if err != nil {
 		return fault.Wrap(fault.Unreachable, err)
 	}
@@ -36,34 +36,34 @@
 	}
 	defer done()
 	backoff.reached()
-	link := &entryLink{manager: w, address: address, stream: stream, finishLoad: func() {}}
+	link := &entryLink{manager: m, address: address, stream: stream, finishLoad: func() {}}
 	err = link.serve(ctx, rootCtx)
 	link.finishLoad()
 	if link.active {
-		w.entry.forget(address)
+		m.entry.forget(address)
 	}
-	w.setRoster(rootCtx, address, nil)
+	m.setRoster(rootCtx, address, nil)
 	if ctx.Err() == nil {
-		w.entry.config.Log.Warn("control instance lost", "control", address, "error", err)
+		m.entry.config.Log.Warn("control instance lost", "control", address, "error", err)
 	}
 	return err
 }
 
-// acquireLoadSlot lets links load their first table one after the other, so that the
-// first one is not held up by the others on a small link, and what it brought need
-// not come again. It returns what gives the turn on; nobody waits for longer than
-// turnMost for one that has not begun, or than turnLoads.
-func (w *linkManager) acquireLoadSlot(ctx context.Context) (finish func()) {
+// acquireLoadSlot waits until no other link loads its initial endpoint list, so that the
+// first load gets the full bandwidth and later ones transfer only what differs. It returns
+// the function that releases the slot. The wait ends without the slot after
+// maxLoadStartWait if the other load has not started, and after maxLoadWait in any case.
+func (m *linkManager) acquireLoadSlot(ctx context.Context) (finish func()) {
 	startDeadline, loadDeadline := time.After(maxLoadStartWait), time.After(maxLoadWait)
 	for {
 		select {
-		case w.loadSlot <- struct{}{}:
+		case m.loadSlot <- struct{}{}:
 			return sync.OnceFunc(func() {
-				w.loadStarted.Store(false)
-				<-w.loadSlot
+				m.loadStarted.Store(false)
+				<-m.loadSlot
 			})
 		case <-startDeadline:
-			if !w.loadStarted.Load() {
+			if !m.loadStarted.Load() {
 				return func() {}
 			}
 		case <-loadDeadline:
--- a/internal/node/linkmanager.go
+++ b/internal/node/linkmanager.go
@@ -15,42 +15,41 @@
 )
 
 const (
-	// maxLoadStartWait is how long a link waits until another one has begun to load its first
-	// table, and turnLoads until that has come: the list of the largest fleet, over its
-	// links.
+	// maxLoadStartWait and maxLoadWait bound how long a link waits for another link to start
+	// and to finish loading its initial endpoint list.
 	maxLoadStartWait = 150 * time.Millisecond
 	maxLoadWait      = linkIdle
-	// leaderlessTimeout is for how long a control instance must say that it hears no leader
-	// before another one is used beside it: longer than an election.
+	// leaderlessTimeout is how long a control instance may be without a leader before
+	// another one is used in addition. It exceeds the duration of an election.
 	leaderlessTimeout = 2 * time.Second
-	// unreachableRetryDelay is how long an address that could not be reached, and is no longer
-	// tried, counts as out of reach.
+	// unreachableRetryDelay is how long an address counts as unreachable after the last
+	// failure if no link to it is being attempted.
 	unreachableRetryDelay = 2 * time.Second
 )
 
 type (
-	// linkManager keeps links from an entry to a few control instances: whichever can be
-	// reached tells what is in force, so that no single one can hold news back.
+	// linkManager maintains links from an entry to several control instances, so that no
+	// single instance can delay an update.
 	linkManager struct {
 		entry *Entry
 		plan  attachment.Config
 
 		mu        sync.Mutex
 		seeds     []string
-		links     map[string]*managedLink           // by address, those that are kept up
-		rosters   map[string][]attachment.Candidate // by the address of the roster's sender
+		links     map[string]*managedLink           // by address
+		rosters   map[string][]attachment.Candidate // instances listed by each sender's roster, by its address
 		announced announce.Heard
-		failedAt  map[string]time.Time // when an address was found out of reach
-		loadSlot  chan struct{}        // held by the link that loads its first table
+		failedAt  map[string]time.Time // last failure by address
+		loadSlot  chan struct{}        // held by the link that loads its initial endpoint list
 
-		loadStarted atomic.Bool // it has begun to come
+		loadStarted atomic.Bool // the holder of loadSlot has received a first part
 	}
 
-	// managedLink is the link that is kept up to one address.
+	// managedLink is the link that is maintained to one address.
 	managedLink struct {
 		cancel          context.CancelFunc
-		active          bool      // it stands and carries what is told
-		leaderlessSince time.Time // since when the instance has heard no leader, zero where it has
+		active          bool      // connected and subscribed to updates
+		leaderlessSince time.Time // since when the instance has had no leader, zero if it has one
 	}
 )
 
@@ -62,72 +61,72 @@
 	}
 }
 
-// setSeeds takes the addresses that the settings name now.
-func (w *linkManager) setSeeds(rootCtx context.Context, seeds []netip.AddrPort) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.seeds = nil
+// setSeeds replaces the seed addresses from the settings.
+func (m *linkManager) setSeeds(rootCtx context.Context, seeds []netip.AddrPort) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.seeds = nil
 	for _, s := range seeds {
-		w.seeds = append(w.seeds, s.String())
+		m.seeds = append(m.seeds, s.String())
 	}
-	w.reconcileLocked(rootCtx)
+	m.reconcileLocked(rootCtx)
 }
 
-// setRoster takes the roster of a control instance; nil is that it is out of reach.
-func (w *linkManager) setRoster(rootCtx context.Context, source string, roster *wire.Roster) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	delete(w.rosters, source)
+// setRoster replaces the roster received from source; nil drops it, as source is unreachable.
+func (m *linkManager) setRoster(rootCtx context.Context, source string, roster *wire.Roster) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	delete(m.rosters, source)
 	if roster != nil {
 		for _, c := range roster.Instances {
-			w.rosters[source] = append(w.rosters[source], attachment.Candidate{Address: c.Address, Domain: c.Domain})
+			m.rosters[source] = append(m.rosters[source], attachment.Candidate{Address: c.Address, Domain: c.Domain})
 		}
 	}
-	w.reconcileLocked(rootCtx)
+	m.reconcileLocked(rootCtx)
 }
 
-// reconcile looks whether links are wanted that do not stand.
-func (w *linkManager) reconcile(rootCtx context.Context) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.reconcileLocked(rootCtx)
+// reconcile starts and stops links as needed.
+func (m *linkManager) reconcile(rootCtx context.Context) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.reconcileLocked(rootCtx)
 }
 
-// handleAnnouncement takes that a control instance has announced itself. After a
-// loss of power it may be up before any seed, and after an exchange of the seeds
-// none of those that the settings name may be one.
-func (w *linkManager) handleAnnouncement(rootCtx context.Context, now time.Time, addr netip.AddrPort) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.announced.Take(now, addr)
-	w.reconcileLocked(rootCtx)
+// handleAnnouncement records the announcement of a control instance. The instance may be
+// the only one reachable: after a power failure it may be up before any seed, and the
+// settings may name seeds that have since been replaced.
+func (m *linkManager) handleAnnouncement(rootCtx context.Context, now time.Time, addr netip.AddrPort) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	m.announced.Take(now, addr)
+	m.reconcileLocked(rootCtx)
 }
 
-// setFollowsLeader takes whether the instance at an address follows a leader.
-func (w *linkManager) setFollowsLeader(address string, followsLeader bool) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	link := w.links[address]
+// setFollowsLeader records whether the instance at an address follows a leader.
+func (m *linkManager) setFollowsLeader(address string, followsLeader bool) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	link := m.links[address]
 	switch {
 	case link == nil:
 	case followsLeader:
 		link.leaderlessSince = time.Time{}
 	case link.leaderlessSince.IsZero():
-		link.leaderlessSince = w.entry.config.Now()
+		link.leaderlessSince = m.entry.config.Now()
 	}
 }
 
-// candidates returns whatever is a seed, listed by anybody in reach or has announced
-// itself lately.
-func (w *linkManager) candidates(now time.Time) []attachment.Candidate {
+// candidates returns the seeds, the instances listed in rosters, and the senders of recent
+// announcements.
+func (m *linkManager) candidates(now time.Time) []attachment.Candidate {
 	domains := map[string]string{}
-	for _, address := range w.seeds {
+	for _, address := range m.seeds {
 		domains[address] = ""
 	}
-	for _, addr := range w.announced.Recent(now) {
+	for _, addr := range m.announced.Recent(now) {
 		domains[addr.String()] = ""
 	}
-	for _, list := range w.rosters {
+	for _, list := range m.rosters {
 		for _, c := range list {
 			domains[c.Address] = c.Domain
 		}
@@ -139,66 +138,69 @@
 	return all
 }
 
-// usable reports whether the instance at an address may be counted on, as far as known.
-func (w *linkManager) usable(now time.Time, address string) bool {
-	link := w.links[address]
+// usable reports whether the instance at an address is believed reachable and has, or may
+// soon have, a leader.
+func (m *linkManager) usable(now time.Time, address string) bool {
+	link := m.links[address]
 	if link != nil && link.active {
 		return link.leaderlessSince.IsZero() || now.Sub(link.leaderlessSince) < leaderlessTimeout
 	}
-	at, lost := w.failedAt[address]
+	at, lost := m.failedAt[address]
 	return !lost || link == nil && now.Sub(at) >= unreachableRetryDelay
 }
 
-// reconcileLocked keeps links to the control instances that are chosen among the candidates.
-// One that is no longer chosen ends only once those that are carry what is told.
-func (w *linkManager) reconcileLocked(rootCtx context.Context) {
-	now := w.entry.config.Now()
-	candidates := w.candidates(now)
+// reconcileLocked starts links to the targets among the candidates. A link to an instance
+// that is no longer a target is stopped once enough links to targets are active. The caller
+// holds mu.
+func (m *linkManager) reconcileLocked(rootCtx context.Context) {
+	now := m.entry.config.Now()
+	candidates := m.candidates(now)
 	chosen, healthy := map[string]bool{}, 0
-	for _, address := range w.targets(now, candidates) {
+	for _, address := range m.targets(now, candidates) {
 		chosen[address] = true
-		if link := w.links[address]; link == nil {
-			w.startLink(rootCtx, address)
-		} else if link.active && w.usable(now, address) {
+		if link := m.links[address]; link == nil {
+			m.startLink(rootCtx, address)
+		} else if link.active && m.usable(now, address) {
 			healthy++
 		}
 	}
-	enough := healthy >= min(w.plan.Links, len(candidates))
+	enough := healthy >= min(m.plan.Links, len(candidates))
 	isCandidate := map[string]bool{}
 	for _, c := range candidates {
 		isCandidate[c.Address] = true
 	}
-	for address, link := range w.links {
-		if !isCandidate[address] || !chosen[address] && (enough || !link.active && w.anyActive()) {
+	for address, link := range m.links {
+		if !isCandidate[address] || !chosen[address] && (enough || !link.active && m.anyActive()) {
 			link.cancel()
-			delete(w.links, address)
+			delete(m.links, address)
 		}
 	}
-	maps.DeleteFunc(w.failedAt, func(address string, _ time.Time) bool { return !isCandidate[address] })
+	maps.DeleteFunc(m.failedAt, func(address string, _ time.Time) bool { return !isCandidate[address] })
 }
 
-// preferred returns where links are to be used, those out of use beside them.
-func (w *linkManager) preferred(now time.Time, candidates []attachment.Candidate) []string {
-	return w.plan.Choose(candidates, func(address string) bool { return w.usable(now, address) })
+// preferred returns the candidates whose links should be active, including unusable ones
+// for which others stand in.
+func (m *linkManager) preferred(now time.Time, candidates []attachment.Candidate) []string {
+	return m.plan.Choose(candidates, func(address string) bool { return m.usable(now, address) })
 }
 
-// targets returns where links are kept to: while nothing is told by any, also to all seeds
-// and to whatever has announced itself lately.
-func (w *linkManager) targets(now time.Time, candidates []attachment.Candidate) []string {
-	chosen := w.preferred(now, candidates)
-	if w.anyActive() {
+// targets returns the addresses to maintain links to: the preferred candidates and, while no
+// link is active, all seeds and the senders of recent announcements.
+func (m *linkManager) targets(now time.Time, candidates []attachment.Candidate) []string {
+	chosen := m.preferred(now, candidates)
+	if m.anyActive() {
 		return chosen
 	}
-	chosen = append(chosen, w.seeds...)
-	for _, addr := range w.announced.Recent(now) {
+	chosen = append(chosen, m.seeds...)
+	for _, addr := range m.announced.Recent(now) {
 		chosen = append(chosen, addr.String())
 	}
 	return chosen
 }
 
-// anyActive reports whether any link carries what is anyActive.
-func (w *linkManager) anyActive() bool {
-	for _, link := range w.links {
+// anyActive reports whether any link is active.
+func (m *linkManager) anyActive() bool {
+	for _, link := range m.links {
 		if link.active {
 			return true
 		}
@@ -206,39 +208,39 @@
 	return false
 }
 
-// startLink has a link to an address kept up.
-func (w *linkManager) startLink(rootCtx context.Context, address string) {
+// startLink starts a goroutine that maintains a link to an address.
+func (m *linkManager) startLink(rootCtx context.Context, address string) {
 	linkCtx, cancel := context.WithCancel(rootCtx)
 	link := &managedLink{cancel: cancel}
-	w.links[address] = link
-	go w.maintainLink(linkCtx, rootCtx, address, link)
+	m.links[address] = link
+	go m.maintainLink(linkCtx, rootCtx, address, link)
 }
 
-// activate has the link to an address carry what is told from now on, and reports whether
-// it is to: it is chosen, or it has been there for a while and no link does yet. Ctx is
-// that of the link, all that of every link.
-func (w *linkManager) activate(ctx, rootCtx context.Context, address string, rosterSeen bool) bool {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	link := w.links[address]
+// activate marks the link to an address as active if the address is preferred, or if a
+// roster has been seen on the link before and no link is active yet. It reports whether the
+// link is now active. ctx is the context of the link, rootCtx the parent of all links.
+func (m *linkManager) activate(ctx, rootCtx context.Context, address string, rosterSeen bool) bool {
+	m.mu.Lock()
+	defer m.mu.Unlock()
+	link := m.links[address]
 	if link == nil || ctx.Err() != nil {
 		return false
 	}
-	now := w.entry.config.Now()
-	if !slices.Contains(w.preferred(now, w.candidates(now)), address) && (!rosterSeen || w.anyActive()) {
+	now := m.entry.config.Now()
+	if !slices.Contains(m.preferred(now, m.candidates(now)), address) && (!rosterSeen || m.anyActive()) {
 		return false
 	}
 	link.active, link.leaderlessSince = true, time.Time{}
-	delete(w.failedAt, address)
-	w.reconcileLocked(rootCtx)
+	delete(m.failedAt, address)
+	m.reconcileLocked(rootCtx)
 	return true
 }
 
-// markUnreachable notes that an address is out of reach, and has another one tried.
-func (w *linkManager) markUnreachable(rootCtx context.Context, address string, link *managedLink) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
+// markUnreachable records that an address is unreachable and starts links to others if needed.
+func (m *linkManager) markUnreachable(rootCtx context.Context, address string, link *managedLink) {
+	m.mu.Lock()
+	defer m.mu.Unlock()
 	link.active = false
-	w.failedAt[address] = w.entry.config.Now()
-	w.reconcileLocked(rootCtx)
+	m.failedAt[address] = m.entry.config.Now()
+	m.reconcileLocked(rootCtx)
 }
--- a/internal/node/packets.go
+++ b/internal/node/packets.go
@@ -10,25 +10,25 @@
 )
 
 const (
-	// maxPacketSize is the largest datagram that is read.
+	// maxPacketSize is the size of the read buffer in bytes.
 	maxPacketSize = 2048
-	// flowLogRate and flowLinesAtOnce bound the log lines about flows:
-	// a line costs some 10 µs, so at most 0.1% of a core.
+	// flowLogRate and flowLogBurst limit the log lines about flows, in lines per second and
+	// lines, to at most 0.1% of a core.
 	flowLogRate  = 100
 	flowLogBurst = 300
 )
 
-// Codec reads and writes packets as the fabric carries them.
+// Codec decodes and encodes the datagrams of the network.
 type Codec struct {
-	// Decode reads a caller's packet; false where it is none.
+	// Decode parses a caller's packet; false means that it is malformed.
 	Decode func(raw []byte) (steer.Packet, bool)
-	// Forward appends the datagram for an endpoint.
+	// Forward appends to buf the datagram that carries raw to an endpoint.
 	Forward func(buf, raw []byte, number uint64, tag uint32) []byte
-	// Reset appends a reset to the caller of a packet.
+	// Reset appends to buf a reset for the caller of a packet.
 	Reset func(buf []byte, p steer.Packet, seq uint32) []byte
 }
 
-// packetLoop carries packets until the context ends.
+// packetLoop reads and handles packets until the context is done.
 func (e *Entry) packetLoop(ctx context.Context, conn *net.UDPConn) error {
 	raw, out := make([]byte, maxPacketSize), make([]byte, 0, maxPacketSize)
 	for {
@@ -37,13 +37,13 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			continue // an earlier send found a closed port
+			continue // such as an ICMP port-unreachable error from an earlier send
 		}
 		e.handlePacket(conn, raw[:n], out)
 	}
 }
 
-// handlePacket decides about one packet and does it.
+// handlePacket forwards, resets or drops one packet.
 func (e *Entry) handlePacket(conn *net.UDPConn, raw, out []byte) {
 	p, ok := e.config.Codec.Decode(raw)
 	if !ok {
@@ -58,7 +58,7 @@
 	e.counts.add(d)
 	switch d.Action {
 	case steer.Forward:
-		// A datagram that cannot be sent is lost, as on any link; its sender repeats it.
+		// Send errors count as packet loss: the caller retransmits.
 		_, _ = conn.WriteToUDPAddrPort(e.config.Codec.Forward(out, raw, d.Number, d.Tag), d.To)
 	case steer.Reset:
 		e.sendReset(conn, out, p, d.Seq)
@@ -66,14 +66,14 @@
 	e.logDecision(now, p, d)
 }
 
-// sendReset resets the flow of a packet at its caller. A reset that cannot be sent
-// is lost, as on any link; the flow's next packet is reset again.
+// sendReset sends a reset for the flow of a packet to its caller. Send errors are ignored:
+// the next packet of the flow triggers another reset.
 func (e *Entry) sendReset(conn *net.UDPConn, buf []byte, p steer.Packet, seq uint32) {
 	caller := netip.AddrPortFrom(p.Src.Addr(), e.config.Packets.Port())
 	_, _ = conn.WriteToUDPAddrPort(e.config.Codec.Reset(buf, p, seq), caller)
 }
 
-// sampleDecisionTime takes the time of one decision in timeOneIn.
+// sampleDecisionTime records the duration of one in timeOneIn decisions.
 func (e *Entry) sampleDecisionTime(start time.Time) {
 	if e.untimedPackets++; e.untimedPackets >= timeOneIn {
 		e.untimedPackets = 0
@@ -81,14 +81,14 @@
 	}
 }
 
-// logDecision keeps what complaints ask for, and writes a line for it: each
-// flow that is opened or is not just steered. Lines beyond the rate are left
-// out, and the next one says how many.
+// logDecision stores a decision for operators and writes a log line for it. Packets that
+// follow an existing flow are skipped. Lines beyond the rate limit are dropped; the next
+// line has their number.
 func (e *Entry) logDecision(now time.Time, p steer.Packet, d steer.Decision) {
 	if !isRecorded(d) {
 		return
 	}
-	e.decisions.add(time.Now(), p, d) // operators ask by the time of day
+	e.decisions.add(time.Now(), p, d) // operators see wall-clock times
 	if !e.flowLogLimiter.AllowN(now, 1) {
 		e.droppedFlowLines++
 		return
--- a/internal/node/primary.go
+++ b/internal/node/primary.go
@@ -7,27 +7,27 @@
 	"oxbowsaddle/internal/attachment"
 )
 
-// primary decides from which control instance an entry is told every change of
-// endpoints as it comes. The others tell it sums of what has changed, so that it
-// notices soon what the primary does not tell, without being told all of it by
-// each.
+// primary chooses the control instance that sends an entry every change of endpoints. The
+// others send digests only, which reveal soon what the primary has missed without the cost
+// of sending every change several times.
 type primary struct {
-	entry   string            // name of the entry, by which entries spread
+	entry   string            // name of the entry; ranks control instances differently for each entry
 	domain  string            // failure domain of the entry
 	domains map[string]string // failure domain of a control instance, by address
-	chosen  string            // address, "" for none
+	chosen  string            // address of the primary, "" for none
 }
 
 func newPrimary(entry, domain string) *primary {
 	return &primary{entry: entry, domain: domain, domains: map[string]string{}}
 }
 
-// setDomain notes in which failure domain a control instance is.
+// setDomain records the failure domain of a control instance.
 func (p *primary) setDomain(address, domain string) { p.domains[address] = domain }
 
-// choose chooses among the control instances that are linked: the present one
-// as long as it is and none is nearer, else one of the own failure domain, else
-// any. It reports the one before where that changes.
+// choose chooses the primary among the linked control instances. It prefers those in the
+// entry's own failure domain, keeps the current primary if it is among the preferred, and
+// otherwise takes the one of the highest rank. It returns the previous primary and whether
+// the choice has changed.
 func (p *primary) choose(linked []string) (previous string, changed bool) {
 	previous = p.chosen
 	local := slices.DeleteFunc(slices.Clone(linked), func(address string) bool { return p.domains[address] != p.domain })
--- a/internal/node/primary_test.go
+++ b/internal/node/primary_test.go
@@ -7,7 +7,7 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("the control instance that tells an entry every change", func() {
+var _ = ginkgo.Describe("the primary control instance of an entry", func() {
 	var p *primary
 	ginkgo.BeforeEach(func() {
 		p = newPrimary("plateau-1", "plateau")
@@ -18,7 +18,7 @@
 		return p.chosen
 	}
 
-	ginkgo.It("is one of the own failure domain, once it is known where they are", func() {
+	ginkgo.It("is in the entry's own failure domain, once the failure domains are known", func() {
 		Expect(choose("far")).To(Equal("far"))
 		p.setDomain("near", "plateau")
 		before, changed := p.choose([]string{"far", "near"})
@@ -27,7 +27,7 @@
 		Expect(p.chosen).To(Equal("near"))
 	})
 
-	ginkgo.It("stays while it is linked", func() {
+	ginkgo.It("does not change while it is linked", func() {
 		p.setDomain("near", "plateau")
 		p.setDomain("near-2", "plateau")
 		first := choose("near", "near-2", "far")
@@ -35,12 +35,12 @@
 		Expect(changed).To(BeFalse())
 		other := map[string]string{"near": "near-2", "near-2": "near"}[first]
 		Expect(choose(other, "far")).To(Equal(other))
-		Expect(choose("near", "near-2", "far")).To(Equal(other), "no change for the sake of order")
+		Expect(choose("near", "near-2", "far")).To(Equal(other), "a returning instance of higher rank does not replace it")
 		Expect(choose("far")).To(Equal("far"))
 		Expect(choose()).To(BeEmpty())
 	})
 
-	ginkgo.It("differs from entry to entry where none is near", func() {
+	ginkgo.It("is spread evenly over entries if none is in their failure domain", func() {
 		chosen := map[string]int{}
 		for n := range 300 {
 			p := newPrimary(fmt.Sprint("entry-", n), "nowhere")
--- a/internal/node/probes.go
+++ b/internal/node/probes.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// pauseCheckInterval is how often this process looks whether it runs while a
-	// question is under way, and pausePart which part of the question's time it
-	// may stand still: a connection that was accepted meanwhile is found too late.
+	// During a probe, this process checks every pauseCheckInterval that it has not been
+	// paused for more than the probe's timeout divided by maxPauseDivisor: after a longer
+	// pause, a timeout says nothing about the endpoint.
 	pauseCheckInterval = 5 * time.Millisecond
 	maxPauseDivisor    = 3
-	// maxConcurrentProbes bounds the questions that are under way.
+	// maxConcurrentProbes bounds both the running and the queued probes.
 	maxConcurrentProbes = 32
 )
 
 type (
-	// Knock reports whether a connection to an address is accepted in time; it is
-	// closed at once, and carries nothing.
+	// Knock reports whether a TCP connection to an address is accepted before the timeout.
+	// The connection is closed at once, without sending data.
 	Knock func(ctx context.Context, addr netip.AddrPort, timeout time.Duration) bool
 
-	// probeTask settles one question beside others.
+	// probeTask runs one probe concurrently with others.
 	probeTask struct {
 		entry *Entry
-		conn  *net.UDPConn // that resets are sent by
+		conn  *net.UDPConn // for sending resets
 		probe steer.Question
-		slots <-chan struct{} // holds a value for each question that is under way
+		slots <-chan struct{} // holds a value for each running probe
 	}
 
-	// connectAttempt is the connection that one question attempts.
+	// connectAttempt is the connection attempt of one probe.
 	connectAttempt struct {
 		connect  Knock
 		probe    steer.Question
@@ -40,19 +40,18 @@
 	}
 )
 
-// KnockTCP is the Knock that processes use.
+// KnockTCP is the Knock for use outside tests.
 func KnockTCP(ctx context.Context, addr netip.AddrPort, timeout time.Duration) bool {
 	dialer := net.Dialer{Timeout: timeout}
 	conn, err := dialer.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
 		return false
 	}
-	_ = conn.Close() // nothing was sent
+	_ = conn.Close() // no data was sent
 	return true
 }
 
-// queueProbe queues a question without waiting; one that finds the queue full counts
-// as one without an outcome.
+// queueProbe queues a probe without blocking, and reports false if the queue is full.
 func (e *Entry) queueProbe(q steer.Question) bool {
 	select {
 	case e.probeQueue <- q:
@@ -62,7 +61,7 @@
 	}
 }
 
-// probeLoop asks endpoints whether they can be reached until the context ends.
+// probeLoop runs queued probes until the context is done.
 func (e *Entry) probeLoop(ctx context.Context, conn *net.UDPConn) error {
 	slots := make(chan struct{}, maxConcurrentProbes)
 	for {
@@ -76,19 +75,20 @@
 	}
 }
 
-// run settles the question and makes room for the next one.
+// run completes the probe and frees its slot.
 func (r probeTask) run(ctx context.Context) {
 	r.entry.resolveProbe(ctx, r.conn, r.probe)
 	<-r.slots
 }
 
-// run knocks once.
+// run attempts the connection and sends the result.
 func (a connectAttempt) run(ctx context.Context) {
 	a.accepted <- a.connect(ctx, a.probe.Addr, a.probe.Within)
 }
 
-// runProbe asks one question and returns what came of it. A refusal comes at once;
-// the time shows whether other endpoints answer meanwhile.
+// runProbe probes an endpoint and returns the outcome. A refused connection is reported as
+// missed only after the timeout, so that answers of other endpoints in the meantime can
+// show that the network is not at fault.
 func (e *Entry) runProbe(ctx context.Context, q steer.Question) steer.Outcome {
 	accepted := make(chan bool, 1)
 	go connectAttempt{e.config.Knock, q, accepted}.run(ctx)
@@ -117,7 +117,7 @@
 	return steer.Unsure
 }
 
-// resolveProbe asks one question, and resets the flows that end by its outcome.
+// resolveProbe runs a probe, applies its outcome, and resets the flows that it ends.
 func (e *Entry) resolveProbe(ctx context.Context, conn *net.UDPConn, q steer.Question) {
 	start := e.config.Now()
 	outcome := e.runProbe(ctx, q)
--- a/internal/node/suspicions.go
+++ b/internal/node/suspicions.go
@@ -11,21 +11,22 @@
 )
 
 const (
-	// suspicionBatchInterval is how long doubts gather before entries are told of them again; the first
-	// is told at once.
+	// suspicionBatchInterval is the minimum time between two batches sent to entries.
 	suspicionBatchInterval = 50 * time.Millisecond
-	// suspicionRepeatInterval is for how long all entries are told of an endpoint once.
+	// suspicionRepeatInterval is the minimum time between two reports of an unanswered probe
+	// of the same endpoint.
 	suspicionRepeatInterval = 2 * time.Second
-	// maxPendingSuspicions bounds the endpoints that gather: a tenth of the largest fleet's, which
-	// may be lost at once.
+	// maxPendingSuspicions bounds a batch: a tenth of the endpoints of the largest fleet,
+	// which may fail at once.
 	maxPendingSuspicions = 5500
 )
 
-// reportUnanswered queues that other entries are told of an endpoint, without waiting; where
-// the queue is full they find out for themselves.
+// reportUnanswered queues a report to other entries that an endpoint did not answer a probe.
+// It does not block: a report that finds the queue full is dropped.
 func (e *Entry) reportUnanswered(id string) { e.queueSuspicion(&wire.Doubt{Id: id}) }
 
-// reportHung queues that an endpoint does not answer a request, without waiting.
+// reportHung queues a report that an endpoint accepts connections but fails requests.
+// It does not block.
 func (e *Entry) reportHung(id string) { e.queueSuspicion(&wire.Doubt{Id: id, Hung: true}) }
 
 func (e *Entry) queueSuspicion(d *wire.Doubt) {
@@ -35,9 +36,8 @@
 	}
 }
 
-// suspicionLoop tells one control instance, which tells the other entries, of
-// endpoints that left a question or a request without an answer, until the context
-// ends.
+// suspicionLoop sends queued suspicions to the primary control instance, which forwards
+// them to the other entries, until the context is done.
 func (e *Entry) suspicionLoop(ctx context.Context) error {
 	for {
 		select {
@@ -48,14 +48,14 @@
 			link := e.links[e.primary.chosen]
 			e.mu.Unlock()
 			if link != nil {
-				_ = link.send(suspicionFrame(d)) // a link that fails is noticed where it is read
+				_ = link.send(suspicionFrame(d)) // the reader of the link handles its failure
 			}
 		}
 	}
 }
 
-// handleSuspicions has endpoints asked that another entry missed an answer of, and has new
-// flows avoid those that several entries say fail requests.
+// handleSuspicions probes endpoints that did not answer another entry, and keeps new flows
+// off endpoints that several entries have reported as failing requests.
 func (e *Entry) handleSuspicions(d *wire.Doubts) {
 	now := e.config.Now()
 	e.mu.Lock()
@@ -65,20 +65,19 @@
 	}
 	for _, id := range d.Hung {
 		if e.steerer.TakeHung(now, id) {
-			e.config.Log.Warn("endpoint avoided", "endpoint", id, "why", "several entries say that it fails requests")
+			e.config.Log.Warn("endpoint avoided", "endpoint", id, "why", "several entries report that it fails requests")
 		}
 	}
 }
 
-// suspicionBatcher gathers what entries say of endpoints, so that all of it is told in few
-// frames, and of each endpoint once.
+// suspicionBatcher collects suspicions of entries into batches and drops duplicates.
 type suspicionBatcher struct {
 	now func() time.Time
 
 	mu         sync.Mutex
 	unanswered map[string]bool
 	hung       map[string]bool
-	sentAt     map[string]time.Time // of those that left a question without an answer
+	sentAt     map[string]time.Time // last report of an unanswered probe, by endpoint
 	pending    notifier
 }
 
@@ -86,7 +85,8 @@
 	return &suspicionBatcher{now: now, unanswered: map[string]bool{}, hung: map[string]bool{}, sentAt: map[string]time.Time{}}
 }
 
-// add has others told of an endpoint, unless they were told of the same a moment ago.
+// add adds a suspicion to the next batch, unless it was reported a moment ago or the batch
+// is full.
 func (b *suspicionBatcher) add(d *wire.Doubt) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -104,7 +104,7 @@
 	b.pending.notify()
 }
 
-// flush returns the frame that tells of what has gathered, nil for nothing.
+// flush returns a frame with the collected suspicions and clears them, nil if there are none.
 func (b *suspicionBatcher) flush() *wire.Frame {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -119,8 +119,8 @@
 	return pack(&wire.Frame{Body: &wire.Frame_Doubts{Doubts: batch}}, packFast)
 }
 
-// suspicionLoop tells the entries of this instance, and by the others theirs, of endpoints
-// until the context ends.
+// suspicionLoop sends batches of suspicions to the linked entries, and to the peers, which
+// forward them to theirs, until the context is done.
 func (c *Control) suspicionLoop(ctx context.Context) error {
 	pending, cancel := c.doubts.pending.subscribe()
 	defer cancel()
@@ -142,9 +142,9 @@
 	}
 }
 
-// handleSuspicion takes what an entry says of an endpoint. Others are told that it
-// left a question without an answer, which each asks again by itself; that it fails
-// requests that it took only once several entries have said so.
+// handleSuspicion handles a suspicion from an entry. One report of an
+// unanswered probe is enough to forward it, since the other entries then probe the endpoint
+// themselves; failed requests are forwarded once several entries have reported them.
 func (c *Control) handleSuspicion(from *entryFeed, d *wire.Doubt) {
 	if !d.Hung {
 		c.doubts.add(d)
@@ -160,8 +160,7 @@
 	}
 }
 
-// broadcast tells all entries that are linked. One that has not taken the frames before
-// finds out for itself.
+// broadcast queues a frame for every linked entry. It skips entries whose queue is full.
 func (l *entryList) broadcast(frame *wire.Frame) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -173,7 +172,7 @@
 	}
 }
 
-// suspicionFrame returns the frame by which an entry tells of a doubt.
+// suspicionFrame returns the frame that carries one suspicion.
 func suspicionFrame(d *wire.Doubt) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_Doubt{Doubt: d}}
 }
--- a/internal/node/suspicions_test.go
+++ b/internal/node/suspicions_test.go
@@ -14,30 +14,30 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var _ = ginkgo.Describe("doubts about endpoints", func() {
-	ginkgo.It("go by a control instance to every entry but the one that tells, which asks for itself", func() {
+var _ = ginkgo.Describe("suspicions of endpoints", func() {
+	ginkgo.It("are forwarded by a control instance to other entries, which probe the endpoint themselves", func() {
 		fleet := startFleet(33, 3, 3, ginkgo.GinkgoT().TempDir, log.New(io.Discard))
 		ginkgo.DeferCleanup(fleet.stop)
-		teller, other := startFleetEntry(fleet, "e1", DialTCP), startFleetEntry(fleet, "e2", DialTCP)
-		known := &wire.Reports{Whole: true, Endpoints: []*wire.EndpointReport{{Id: "i-1", Service: "a", Address: "127.0.0.1:1", Sequence: 1, Slots: 1}}}
-		asks := make(chan steer.Question, 1)
+		reporter, other := startFleetEntry(fleet, "e1", DialTCP), startFleetEntry(fleet, "e2", DialTCP)
+		reports := &wire.Reports{Whole: true, Endpoints: []*wire.EndpointReport{{Id: "i-1", Service: "a", Address: "127.0.0.1:1", Sequence: 1, Slots: 1}}}
+		probes := make(chan steer.Question, 1)
 		other.mu.Lock()
 		other.steerer = steer.New(steer.Config{MaxFlow: patience, MaxFlows: 9, Ask: func(q steer.Question) bool {
-			asks <- q
+			probes <- q
 			return true
 		}})
-		other.steerer.Learn(other.config.Now(), "c", known)
+		other.steerer.Learn(other.config.Now(), "c", reports)
 		other.steerer.Decide(other.config.Now(), steer.Packet{
 			Src: netip.MustParseAddrPort("127.0.0.3:1"), Dst: netip.MustParseAddrPort("127.0.0.4:1"), Flags: steer.Ack, Tag: steer.Tag("i-1"), Len: 1,
-		}) // a flow on it
+		}) // opens a flow on the endpoint, so that it is probed
 		other.mu.Unlock()
 		for _, r := range fleet {
 			Eventually(r.entries.count, patience).Should(Equal(2))
 		}
 		Eventually(func() bool {
-			teller.reportUnanswered("i-1")
+			reporter.reportUnanswered("i-1")
 			select {
-			case q := <-asks:
+			case q := <-probes:
 				return q.ID == "i-1" && q.Why == steer.Told
 			default:
 				return false
@@ -45,7 +45,7 @@
 		}, patience).Should(BeTrue())
 	})
 
-	ginkgo.It("hold nobody up whose queue is full", func() {
+	ginkgo.It("do not block on an entry whose queue is full", func() {
 		l := newEntryList(SteadyClock())
 		slow := newEntryFeed(nil, nil, &wire.Hello{Id: "slow"})
 		l.heard(slow, &wire.Receipt{Version: 1})
@@ -55,10 +55,10 @@
 		Expect(slow.doubts).To(HaveLen(doubtsWaiting))
 	})
 
-	ginkgo.It("are gathered: of each endpoint once in a while, in one frame", func() {
+	ginkgo.It("are sent in batches, without repeating an endpoint within suspicionRepeatInterval", func() {
 		now := time.Unix(1000, 0)
 		b := newSuspicionBatcher(func() time.Time { return now })
-		take := func() *wire.Doubts {
+		flush := func() *wire.Doubts {
 			frame := b.flush()
 			if frame == nil {
 				return nil
@@ -69,28 +69,28 @@
 			b.add(&wire.Doubt{Id: id})
 		}
 		b.add(&wire.Doubt{Id: "i-3", Hung: true})
-		told := take()
-		Expect(told.Unanswered).To(Equal([]string{"i-1", "i-2"}))
-		Expect(told.Hung).To(Equal([]string{"i-3"}))
+		batch := flush()
+		Expect(batch.Unanswered).To(Equal([]string{"i-1", "i-2"}))
+		Expect(batch.Hung).To(Equal([]string{"i-3"}))
 		b.add(&wire.Doubt{Id: "i-1"})
-		Expect(take()).To(BeNil())
+		Expect(flush()).To(BeNil())
 		now = now.Add(suspicionRepeatInterval)
 		b.add(&wire.Doubt{Id: "i-1"})
-		Expect(take().Unanswered).To(Equal([]string{"i-1"}))
+		Expect(flush().Unanswered).To(Equal([]string{"i-1"}))
 		for n := range 2 * maxPendingSuspicions {
 			b.add(&wire.Doubt{Id: fmt.Sprint(n)})
 		}
 		Expect(b.unanswered).To(HaveLen(maxPendingSuspicions))
 	})
 
-	ginkgo.It("reach the entries of other control instances", func() {
+	ginkgo.It("reach the entries linked to other control instances", func() {
 		fleet := startFleet(34, 3, 3, ginkgo.GinkgoT().TempDir, log.New(io.Discard))
 		ginkgo.DeferCleanup(fleet.stop)
 		feed := newEntryFeed(fleet[2].Control, nil, &wire.Hello{Id: "e"})
 		fleet[2].entries.heard(feed, &wire.Receipt{})
 		n := 0
 		Eventually(func() bool {
-			n++ // of one endpoint they are told once
+			n++ // a new endpoint each time, since repeats are suppressed
 			fleet[0].handleSuspicion(nil, &wire.Doubt{Id: fmt.Sprint("i-", n)})
 			select {
 			case <-feed.doubts:
--- a/internal/node/updates.go
+++ b/internal/node/updates.go
@@ -7,8 +7,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// handleOffer notes which version a control instance has in force, and asks for
-// it where it is newer than the one held.
+// handleOffer records the document version that a control instance has in force, and
+// requests the document if it is newer than the latest one here.
 func (e *Entry) handleOffer(source string, offer *wire.DocumentOffer) {
 	now := e.config.Now()
 	e.applyEvacuations(source, offer.Evacuations)
@@ -23,8 +23,8 @@
 	e.requestDocument()
 }
 
-// requestDocument asks for the newest document that is on offer, if any is newer
-// than what is held.
+// requestDocument requests the newest document on offer, if it is newer than the latest
+// one here and no request is pending.
 func (e *Entry) requestDocument() {
 	now := e.config.Now()
 	e.mu.Lock()
@@ -37,13 +37,13 @@
 	if link == nil {
 		return
 	}
-	// A link that fails is noticed where it is read; another one is asked then.
+	// If the link has failed, its reader calls forget, which sends another request.
 	_ = link.send(&wire.Frame{Body: &wire.Frame_Want{Want: &wire.DocumentWant{Held: held}}})
 }
 
-// handleDocument takes a committed document from a control instance.
+// handleDocument applies a committed document from a control instance.
 func (e *Entry) handleDocument(source string, frame *wire.DocumentFrame) {
-	e.applyEvacuations(source, frame.Evacuations) // before the document, which may be of a later place in the log
+	e.applyEvacuations(source, frame.Evacuations) // first: the document may be from a later log index
 	e.mu.Lock()
 	e.fetcher.markAnswered(source)
 	doc, err := document.FromFrame(e.latest, frame)
@@ -56,8 +56,8 @@
 		e.requestDocument()
 		return
 	}
-	// After a loss of power everywhere none is confirmed until a leader is elected;
-	// callers are served meanwhile, though routers are told that this entry is not ready.
+	// After a restart of all control instances no document is confirmed until a leader is
+	// elected. Callers are served meanwhile, but the entry does not report itself ready.
 	e.applyDocument(doc, frame.Confirmed)
 	if frame.Confirmed {
 		e.markConfirmed(doc.Version())
@@ -65,8 +65,8 @@
 	e.requestDocument()
 }
 
-// applyEvacuations has new flows avoid the failure domains that are evacuated,
-// unless what is known already is as new.
+// applyEvacuations keeps new flows off the evacuated failure domains, unless the set is
+// not newer than the one in force.
 func (e *Entry) applyEvacuations(source string, m *wire.Evacuations) {
 	set := evacuation.FromMessage(m)
 	e.mu.Lock()
@@ -77,15 +77,14 @@
 	}
 }
 
-// markConfirmed notes that a document is known to be the newest of its term.
+// markConfirmed makes the entry ready once the document in force is known to be current.
 func (e *Entry) markConfirmed(version uint64) {
 	if !e.confirmed.Swap(true) {
 		e.config.Log.Info("ready", "version", version)
 	}
 }
 
-// applyDocument has new flows placed by a document, unless a newer one is in
-// force already.
+// applyDocument places new flows according to a document, unless a newer one is in force.
 func (e *Entry) applyDocument(doc *document.Document, confirmed bool) {
 	now := e.config.Now()
 	e.mu.Lock()
@@ -100,8 +99,8 @@
 	}
 }
 
-// handleReports takes what a control instance reports of endpoints. It returns what it
-// must be asked for, nil for nothing.
+// handleReports applies endpoint reports of a control instance. It returns a request for
+// missing records, nil if none are missing.
 func (e *Entry) handleReports(source string, reports *wire.Reports) *wire.RecordsWant {
 	now := e.config.Now()
 	e.mu.Lock()
@@ -122,14 +121,14 @@
 	}
 }
 
-// appliedReceipt tells which document and evacuations are in force.
+// appliedReceipt returns a receipt with the document version and evacuations in force.
 func (e *Entry) appliedReceipt() *wire.Receipt {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return &wire.Receipt{Version: e.steerer.Version(), Evacuations: e.steerer.Evacuations().Revision()}
 }
 
-// digest sums up what is known of endpoints.
+// digest returns the digest of all known endpoint records.
 func (e *Entry) digest() registry.Digest {
 	e.mu.Lock()
 	defer e.mu.Unlock()
