--- a/internal/node/announcements.go
+++ b/internal/node/announcements.go
@@ -13,17 +13,17 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// audience is the entries that a control instance announces itself to.
-type audience struct {
+// announceTargets tracks the entries that a control instance announces itself to.
+type announceTargets struct {
 	now func() time.Time
 
 	mu       sync.Mutex
 	schedule announce.Schedule
 }
 
-// link notes that an entry which listens at an address is linked, and returns
-// what notes the end of the link. An address that cannot be read is nowhere.
-func (a *audience) link(address string) (end func()) {
+// trackLink records a link to the entry that listens for announcements at address, and
+// returns the function that records the end of the link. An invalid address is ignored.
+func (a *announceTargets) trackLink(address string) (untrack func()) {
 	addr, _ := netip.ParseAddrPort(address)
 	a.update(func(now time.Time, s *announce.Schedule) { s.Linked(now, addr) })
 	return func() {
@@ -31,15 +31,15 @@
 	}
 }
 
-// update changes the schedule.
-func (a *audience) update(change func(now time.Time, s *announce.Schedule)) {
+// update calls change with the schedule while holding the lock.
+func (a *announceTargets) update(change func(now time.Time, s *announce.Schedule)) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	change(a.now(), &a.schedule)
 }
 
-// remember takes the entries that hints name; what cannot be read is left out.
-func (a *audience) remember(addresses []string) {
+// restore adds the entry addresses that were saved in the hints, and skips invalid ones.
+func (a *announceTargets) restore(addresses []string) {
 	var all []netip.AddrPort
 	for _, address := range addresses {
 		if addr, err := netip.ParseAddrPort(address); err == nil {
@@ -49,8 +49,8 @@
 	a.update(func(now time.Time, s *announce.Schedule) { s.Remember(now, all) })
 }
 
-// known returns the entries for the hints.
-func (a *audience) known() (addresses []string) {
+// addresses returns the entry addresses to save in the hints.
+func (a *announceTargets) addresses() (addresses []string) {
 	a.update(func(_ time.Time, s *announce.Schedule) {
 		for _, addr := range s.Known() {
 			addresses = append(addresses, addr.String())
@@ -59,26 +59,26 @@
 	return addresses
 }
 
-// count returns how many entries known names.
-func (a *audience) count() (n int) {
+// count returns the number of addresses that addresses returns.
+func (a *announceTargets) count() (n int) {
 	a.update(func(_ time.Time, s *announce.Schedule) { n = s.Len() })
 	return n
 }
 
-// changes rises with what known returns.
-func (a *audience) changes() (number uint64) {
+// revision increases whenever the result of addresses changes.
+func (a *announceTargets) revision() (number uint64) {
 	a.update(func(_ time.Time, s *announce.Schedule) { number = s.Changes() })
 	return number
 }
 
-// due returns whom to tell now.
-func (a *audience) due() (addrs []netip.AddrPort) {
+// due returns the entries to send an announcement to now.
+func (a *announceTargets) due() (addrs []netip.AddrPort) {
 	a.update(func(now time.Time, s *announce.Schedule) { addrs = s.Due(now) })
 	return addrs
 }
 
-// announceLoop announces the instance to entries that are not linked to it until
-// the context ends. A socket that cannot be had costs the announcements only.
+// announceLoop sends announcements to entries that have no link to this instance, until
+// the context is done. Without a socket the instance runs on without announcements.
 func (c *Control) announceLoop(ctx context.Context) error {
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(c.config.Peer.Addr(), 0)))
 	if err != nil {
@@ -99,50 +99,50 @@
 		case <-ticker.C:
 		}
 		for _, addr := range c.audience.due() {
-			_, _ = conn.WriteToUDPAddrPort(datagram, addr) // one that is lost is repeated
+			_, _ = conn.WriteToUDPAddrPort(datagram, addr) // lost datagrams are repeated
 		}
 	}
 }
 
-// announcementLoop takes announcements of control instances until the context
-// ends. An address that is taken costs the announcements only.
+// announcementLoop receives announcements of control instances until the context is
+// done. If the address is in use, the entry runs on without announcements.
 func (e *Entry) announcementLoop(ctx context.Context) error {
 	if !e.config.Operators.IsValid() {
 		return nil
 	}
 	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.config.Operators))
 	if err != nil {
-		e.config.Log.Error("announcements cannot be heard", "address", e.config.Operators, "error", err)
+		e.config.Log.Error("cannot listen for announcements", "address", e.config.Operators, "error", err)
 		return nil
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	raw := make([]byte, packetMost)
+	raw := make([]byte, maxPacketSize)
 	for {
 		n, _, err := conn.ReadFromUDPAddrPort(raw)
 		if ctx.Err() != nil {
 			return ctx.Err()
 		}
 		if err == nil {
-			e.hearAnnouncement(ctx, raw[:n])
+			e.handleAnnouncement(ctx, raw[:n])
 		}
 	}
 }
 
-// hearAnnouncement takes one datagram. An entry that is linked learns of control
-// instances by rosters.
-func (e *Entry) hearAnnouncement(ctx context.Context, raw []byte) {
+// handleAnnouncement handles one datagram. It is ignored while the entry is linked, since
+// control instances are then known from rosters.
+func (e *Entry) handleAnnouncement(ctx context.Context, raw []byte) {
 	var instance wire.ControlInstance
 	addr, err := netip.AddrPort{}, proto.Unmarshal(raw, &instance)
 	if err == nil {
 		addr, err = netip.ParseAddrPort(instance.Address)
 	}
 	if err != nil {
-		e.announced.malformed.Add(1)
+		e.announcements.malformed.Add(1)
 		return
 	}
-	e.announced.heard.Add(1)
+	e.announcements.heard.Add(1)
 	if !e.linked() {
-		e.watch.takeAnnouncement(ctx, e.config.Now(), addr)
+		e.uplinks.handleAnnouncement(ctx, e.config.Now(), addr)
 	}
 }
--- a/internal/node/primary.go
+++ b/internal/node/primary.go
@@ -7,41 +7,41 @@
 	"oxbowsaddle/internal/attachment"
 )
 
-// primary decides from which control instance an entry is told every change of
-// endpoints as it comes. The others tell it sums of what has changed, so that it
-// notices soon what the primary does not tell, without being told all of it by
-// each.
+// primary chooses the control instance that sends an entry every change of endpoints. The
+// others send digests only, which reveal soon what the primary has missed without the cost
+// of sending every change several times.
 type primary struct {
-	entry   string            // name of the entry, by which entries spread
+	entry   string            // name of the entry; ranks control instances differently for each entry
 	domain  string            // failure domain of the entry
 	domains map[string]string // failure domain of a control instance, by address
-	chosen  string            // address, "" for none
+	chosen  string            // address of the primary, "" for none
 }
 
 func newPrimary(entry, domain string) *primary {
 	return &primary{entry: entry, domain: domain, domains: map[string]string{}}
 }
 
-// locate notes in which failure domain a control instance is.
-func (p *primary) locate(address, domain string) { p.domains[address] = domain }
+// setDomain records the failure domain of a control instance.
+func (p *primary) setDomain(address, domain string) { p.domains[address] = domain }
 
-// choose chooses among the control instances that are linked: the present one
-// as long as it is and none is nearer, else one of the own failure domain, else
-// any. It reports the one before where that changes.
-func (p *primary) choose(linked []string) (before string, changed bool) {
-	before = p.chosen
-	near := slices.DeleteFunc(slices.Clone(linked), func(address string) bool { return p.domains[address] != p.domain })
-	if len(near) == 0 {
-		near = linked
+// choose chooses the primary among the linked control instances. It prefers those in the
+// entry's own failure domain, keeps the current primary if it is among the preferred, and
+// otherwise takes the one of the highest rank. It returns the previous primary and whether
+// the choice has changed.
+func (p *primary) choose(linked []string) (previous string, changed bool) {
+	previous = p.chosen
+	local := slices.DeleteFunc(slices.Clone(linked), func(address string) bool { return p.domains[address] != p.domain })
+	if len(local) == 0 {
+		local = linked
 	}
-	if slices.Contains(near, before) {
-		return before, false
+	if slices.Contains(local, previous) {
+		return previous, false
 	}
 	p.chosen = ""
-	if len(near) > 0 {
-		p.chosen = slices.MaxFunc(near, func(a, b string) int {
+	if len(local) > 0 {
+		p.chosen = slices.MaxFunc(local, func(a, b string) int {
 			return cmp.Compare(attachment.Rank(p.entry, a), attachment.Rank(p.entry, b))
 		})
 	}
-	return before, p.chosen != before
+	return previous, p.chosen != previous
 }
