--- a/internal/announce/schedule_test.go
+++ b/internal/announce/schedule_test.go
@@ -38,8 +38,8 @@
 		Expect(s.Due(start)).To(ConsistOf(addr(0), addr(1)))
 		Expect(s.Due(start.Add(Tick))).To(BeEmpty(), "a moment ago")
 		s.Linked(start.Add(Tick), addr(0))
-		Expect(s.Due(start.Add(every))).To(ConsistOf(addr(1)))
-		Expect(s.Due(start.Add(tellFor+time.Second))).To(BeEmpty(), "it has gone, as it seems")
+		Expect(s.Due(start.Add(resendInterval))).To(ConsistOf(addr(1)))
+		Expect(s.Due(start.Add(announceDuration+time.Second))).To(BeEmpty(), "it has gone, as it seems")
 		Expect(s.Known()).To(Equal(addrs(2)), "and may come back")
 	})
 
@@ -68,17 +68,17 @@
 	})
 
 	It("forgets entries that were not linked for long, and has room again", func() {
-		s.Remember(start, addrs(keepMost))
+		s.Remember(start, addrs(maxEntries))
 		s.Linked(start, netip.AddrPort{})
-		s.Linked(start, addr(keepMost))
-		Expect(s.Known()).To(HaveLen(keepMost))
-		Expect(s.Len()).To(Equal(keepMost))
+		s.Linked(start, addr(maxEntries))
+		Expect(s.Known()).To(HaveLen(maxEntries))
+		Expect(s.Len()).To(Equal(maxEntries))
 		s.Linked(start, addr(3))
 		before := s.Changes()
-		s.Due(start.Add(keepFor + 2*forgetEvery))
+		s.Due(start.Add(retention + 2*pruneInterval))
 		Expect(s.Known()).To(ConsistOf(addr(3)))
 		Expect(s.Changes()).To(BeNumerically(">", before))
-		s.Linked(start.Add(keepFor+2*forgetEvery), addr(keepMost))
+		s.Linked(start.Add(retention+2*pruneInterval), addr(maxEntries))
 		Expect(s.Known()).To(HaveLen(2))
 	})
 
@@ -102,10 +102,10 @@
 				default:
 					now = now.Add(time.Duration(rapid.IntRange(0, 4000).Draw(t, "ms")) * time.Millisecond)
 				}
-				now = now.Add(every)
+				now = now.Add(resendInterval)
 				var wanted []netip.AddrPort
 				for n, at := range since {
-					if links[n] == 0 && now.Sub(at) <= tellFor {
+					if links[n] == 0 && now.Sub(at) <= announceDuration {
 						wanted = append(wanted, addr(n))
 					}
 				}
@@ -141,8 +141,8 @@
 			h.Take(start.Add(time.Duration(n)), addr(n))
 		}
 		Expect(h.Recent(start)).To(Equal([]netip.AddrPort{addr(2), addr(3), addr(4)}))
-		h.Take(start.Add(heardFor), addr(3))
-		Expect(h.Recent(start.Add(heardFor + time.Second))).To(Equal([]netip.AddrPort{addr(3)}))
+		h.Take(start.Add(announcementTTL), addr(3))
+		Expect(h.Recent(start.Add(announcementTTL + time.Second))).To(Equal([]netip.AddrPort{addr(3)}))
 	})
 
 	It("is nothing that names no place", func() {
--- a/internal/attachment/attachment.go
+++ b/internal/attachment/attachment.go
@@ -19,9 +19,9 @@
 	// LinksLeast is how few links an entry keeps at least: with one lost and one that is
 	// behind, another still tells what is new.
 	LinksLeast = 3
-	// triedMost bounds the instances out of use that are tried beside the links in use:
+	// maxUnusable bounds the instances out of use that are tried beside the links in use:
 	// those of a failure domain.
-	triedMost = 5
+	maxUnusable = 5
 )
 
 type (
@@ -54,57 +54,57 @@
 // as far as known, is kept in its place, so that it is used again once it is back,
 // and another one beside it.
 func (c Config) Choose(candidates []Candidate, usable func(address string) bool) []string {
-	near, far, unknown := c.divide(candidates)
-	p := picking{usable: usable}
-	near = p.take(near, c.Links-1)
-	p.take(far, c.Links)
-	p.take(near, c.Links)
-	p.take(unknown, c.Links)
-	return p.picked
+	local, remote, unknown := c.partition(candidates)
+	s := selection{usable: usable}
+	local = s.takeUntil(local, c.Links-1)
+	s.takeUntil(remote, c.Links)
+	s.takeUntil(local, c.Links)
+	s.takeUntil(unknown, c.Links)
+	return s.chosen
 }
 
-// divide returns the candidates by where they are, each list by rank.
-func (c Config) divide(candidates []Candidate) (near, far, unknown []string) {
-	for _, each := range candidates {
-		switch each.Domain {
+// partition returns the candidates by where they are, each list by rank.
+func (c Config) partition(candidates []Candidate) (local, remote, unknown []string) {
+	for _, candidate := range candidates {
+		switch candidate.Domain {
 		case c.Domain:
-			near = append(near, each.Address)
+			local = append(local, candidate.Address)
 		case "":
-			unknown = append(unknown, each.Address)
+			unknown = append(unknown, candidate.Address)
 		default:
-			far = append(far, each.Address)
+			remote = append(remote, candidate.Address)
 		}
 	}
-	for _, list := range [][]string{near, far, unknown} {
+	for _, list := range [][]string{local, remote, unknown} {
 		slices.SortFunc(list, func(a, b string) int {
 			return cmp.Or(cmp.Compare(Rank(c.Entry, b), Rank(c.Entry, a)), cmp.Compare(a, b))
 		})
 	}
-	return near, far, unknown
+	return local, remote, unknown
 }
 
-// picking is what has been chosen so far.
-type picking struct {
-	usable func(address string) bool
-	picked []string
-	inUse  int
-	tried  int // that are not usable
+// selection is what has been chosen so far.
+type selection struct {
+	usable      func(address string) bool
+	chosen      []string
+	usableCount int
+	unusable    int // that are not usable
 }
 
-// take chooses from a list until enough are usable, and returns what is left of it.
-func (p *picking) take(list []string, enough int) []string {
+// takeUntil chooses from a list until enough are usable, and returns what is left of it.
+func (s *selection) takeUntil(list []string, enough int) []string {
 	for i, address := range list {
 		switch {
-		case p.inUse >= enough:
+		case s.usableCount >= enough:
 			return list[i:]
-		case p.usable(address):
-			p.inUse++
-		case p.tried < triedMost:
-			p.tried++
+		case s.usable(address):
+			s.usableCount++
+		case s.unusable < maxUnusable:
+			s.unusable++
 		default:
 			continue
 		}
-		p.picked = append(p.picked, address)
+		s.chosen = append(s.chosen, address)
 	}
 	return nil
 }
--- a/internal/attachment/attachment_test.go
+++ b/internal/attachment/attachment_test.go
@@ -33,15 +33,15 @@
 
 // without returns the fleet without the instances that are lost, and which these are.
 func (f fleet) without(lost func(n int, c Candidate) bool) (fleet, map[string]bool) {
-	left, gone := fleet{entries: f.entries}, map[string]bool{}
+	remaining, lostAddresses := fleet{entries: f.entries}, map[string]bool{}
 	for n, c := range f.candidates {
 		if lost(n, c) {
-			gone[c.Address] = true
+			lostAddresses[c.Address] = true
 		} else {
-			left.candidates = append(left.candidates, c)
+			remaining.candidates = append(remaining.candidates, c)
 		}
 	}
-	return left, gone
+	return remaining, lostAddresses
 }
 
 func always(string) bool { return true }
@@ -137,7 +137,7 @@
 
 	ginkgo.It("are bounded while nobody is usable", func() {
 		f := newFleet(1, 100, 5, 2)
-		Expect(f.links(func(string) bool { return false })[0]).To(HaveLen(triedMost))
+		Expect(f.links(func(string) bool { return false })[0]).To(HaveLen(maxUnusable))
 	})
 
 	ginkgo.It("go to those whose failure domain is not known only where others do not suffice", func() {
--- a/internal/document/delta.go
+++ b/internal/document/delta.go
@@ -21,15 +21,15 @@
 		return f
 	}
 	f.Base = base.Version()
-	held := base.byAddr()
+	baseRoutes := base.byAddr()
 	for i, r := range d.Routes() {
-		if other, ok := held[r.Addr]; !ok || !reflect.DeepEqual(other, r) {
+		if previous, ok := baseRoutes[r.Addr]; !ok || !reflect.DeepEqual(previous, r) {
 			m.Routes = append(m.Routes, whole.Routes[i])
 		}
-		delete(held, r.Addr)
+		delete(baseRoutes, r.Addr)
 	}
 	for i, r := range base.Routes() {
-		if _, gone := held[r.Addr]; gone {
+		if _, removed := baseRoutes[r.Addr]; removed {
 			f.Removed = append(f.Removed, base.message.Routes[i].Address)
 		}
 	}
@@ -48,11 +48,11 @@
 // FromFrame returns the document of a frame; held is what the entry has, nil
 // for none. A frame against another base is refused with an error of kind
 // Conflict.
-func FromFrame(held *Document, f *wire.DocumentFrame) (*Document, error) {
+func FromFrame(base *Document, f *wire.DocumentFrame) (*Document, error) {
 	if f.Base == 0 {
 		return FromMessage(f.Document)
 	}
-	if held == nil || held.Version() != f.Base {
+	if base == nil || base.Version() != f.Base {
 		return nil, fault.New(fault.Conflict, "document %d differs from version %d, which is not held", f.Document.Version, f.Base)
 	}
 	replaced := map[string]bool{}
@@ -62,13 +62,13 @@
 	for _, r := range f.Document.Routes {
 		replaced[r.Address] = true
 	}
-	whole := &wire.Document{
+	merged := &wire.Document{
 		Version: f.Document.Version, Services: f.Document.Services, IdleNanos: f.Document.IdleNanos, Routes: slices.Clone(f.Document.Routes),
 	}
-	for _, r := range held.message.Routes {
+	for _, r := range base.message.Routes {
 		if !replaced[r.Address] {
-			whole.Routes = append(whole.Routes, r)
+			merged.Routes = append(merged.Routes, r)
 		}
 	}
-	return FromMessage(whole)
+	return FromMessage(merged)
 }
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -62,7 +62,7 @@
 	if faults := check(c); len(faults) > 0 {
 		return nil, faults
 	}
-	return &Document{config: c, message: message(c)}, nil
+	return &Document{config: c, message: toMessage(c)}, nil
 }
 
 // Version returns the number that says which of two documents is newer.
@@ -97,14 +97,14 @@
 		}
 		services[s.Name] = true
 	}
-	taken := map[netip.AddrPort]string{}
+	routeByAddr := map[netip.AddrPort]string{}
 	for i, r := range c.Routes {
-		found := checkRoute(r, services)
-		if other, ok := taken[r.Addr]; ok && r.Addr.IsValid() {
-			found = append(found, fmt.Sprintf("address %s belongs to route %q too", r.Addr, other))
+		routeFaults := checkRoute(r, services)
+		if other, ok := routeByAddr[r.Addr]; ok && r.Addr.IsValid() {
+			routeFaults = append(routeFaults, fmt.Sprintf("address %s belongs to route %q too", r.Addr, other))
 		}
-		taken[r.Addr] = r.Name
-		for _, f := range found {
+		routeByAddr[r.Addr] = r.Name
+		for _, f := range routeFaults {
 			faults = append(faults, fmt.Sprintf("routes[%d] %q: %s", i, r.Name, f))
 		}
 	}
@@ -112,7 +112,7 @@
 }
 
 // checkRoute returns what is wrong with a route by itself.
-func checkRoute(r Route, services map[string]bool) []string {
+func checkRoute(r Route, known map[string]bool) []string {
 	var faults []string
 	if !r.Addr.IsValid() || r.Addr.Port() == 0 {
 		faults = append(faults, "no valid address and port")
@@ -124,7 +124,7 @@
 		faults = append(faults, "names no service")
 	}
 	for _, s := range r.Shares {
-		if !services[s.Service] {
+		if !known[s.Service] {
 			faults = append(faults, fmt.Sprintf("service %q is not known", s.Service))
 		}
 		if s.Weight == 0 {
@@ -138,11 +138,11 @@
 // not change it.
 func (d *Document) Message() *wire.Document { return d.message }
 
-// message returns a configuration as it travels and is stored.
-func message(c Config) *wire.Document {
-	m := &wire.Document{Version: c.Version, IdleNanos: int64(c.Idle), Source: c.Source}
+// toMessage returns a configuration as it travels and is stored.
+func toMessage(c Config) *wire.Document {
+	message := &wire.Document{Version: c.Version, IdleNanos: int64(c.Idle), Source: c.Source}
 	for _, s := range c.Services {
-		m.Services = append(m.Services, &wire.DocumentService{Name: s.Name, HealthPath: s.HealthPath, Connections: uint32(s.Connections), ColdRate: s.ColdRate})
+		message.Services = append(message.Services, &wire.DocumentService{Name: s.Name, HealthPath: s.HealthPath, Connections: uint32(s.Connections), ColdRate: s.ColdRate})
 	}
 	for _, r := range c.Routes {
 		route := &wire.DocumentRoute{
@@ -152,9 +152,9 @@
 		for _, s := range r.Shares {
 			route.Shares = append(route.Shares, &wire.Share{Service: s.Service, Weight: s.Weight})
 		}
-		m.Routes = append(m.Routes, route)
+		message.Routes = append(message.Routes, route)
 	}
-	return m
+	return message
 }
 
 // FromMessage returns the document that a message holds; one that does not
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -44,18 +44,18 @@
 	}
 
 	endpoint struct {
-		firstSeen time.Time
-		checkers  map[string]*checker
-		share     float64
-		tilt      float64
+		firstSeen  time.Time
+		checkers   map[string]*checker
+		share      float64
+		loadFactor float64
 	}
 
 	// Assessor holds the reports of a fleet. One goroutine uses it.
 	Assessor struct {
 		config    Config
 		endpoints map[uint32]*endpoint
-		began     time.Time
-		panicked  map[uint32]bool
+		started   time.Time
+		panicking map[uint32]bool
 	}
 )
 
@@ -71,16 +71,16 @@
 // New returns an assessor. Endpoints that it first meets within one ramp of
 // the start are not taken for cold: it is the assessor that is new.
 func New(c Config, now time.Time) *Assessor {
-	return &Assessor{config: c, endpoints: map[uint32]*endpoint{}, began: now, panicked: map[uint32]bool{}}
+	return &Assessor{config: c, endpoints: map[uint32]*endpoint{}, started: now, panicking: map[uint32]bool{}}
 }
 
 // Take notes a report.
-func (a *Assessor) Take(now time.Time, from string, r Report) {
+func (a *Assessor) Take(now time.Time, source string, r Report) {
 	e := a.endpoint(now, r.Endpoint)
-	c := e.checkers[from]
+	c := e.checkers[source]
 	if c == nil {
 		c = &checker{}
-		e.checkers[from] = c
+		e.checkers[source] = c
 	}
 	c.at, c.last = now, r
 	if r.Healthy != c.down {
@@ -98,17 +98,17 @@
 }
 
 // Forget drops a checker that is no more.
-func (a *Assessor) Forget(from string) {
+func (a *Assessor) Forget(source string) {
 	for _, e := range a.endpoints {
-		delete(e.checkers, from)
+		delete(e.checkers, source)
 	}
 }
 
 func (a *Assessor) endpoint(now time.Time, id uint32) *endpoint {
 	e := a.endpoints[id]
 	if e == nil {
-		e = &endpoint{firstSeen: now, checkers: map[string]*checker{}, share: 1, tilt: 1}
-		if now.Sub(a.began) < a.config.Ramp {
+		e = &endpoint{firstSeen: now, checkers: map[string]*checker{}, share: 1, loadFactor: 1}
+		if now.Sub(a.started) < a.config.Ramp {
 			e.firstSeen = now.Add(-a.config.Ramp)
 		}
 		a.endpoints[id] = e
@@ -119,23 +119,23 @@
 // Weights returns the share of each endpoint of a service, in order.
 func (a *Assessor) Weights(now time.Time, s *route.Service, endpoints []*route.Endpoint) []placement.Weight {
 	weights := make([]placement.Weight, len(endpoints))
-	mean := a.meanLoad(now, endpoints)
+	medianLoad := a.medianLoad(now, endpoints)
 	usable, down := 0, 0
 	for i, e := range endpoints {
-		weights[i] = placement.Weight{Endpoint: e.ID(), Share: a.share(now, s, e, mean)}
-		if a.leaving(now, e) {
+		weights[i] = placement.Weight{Endpoint: e.ID(), Share: a.share(now, s, e, medianLoad)}
+		if a.isLeaving(now, e) {
 			weights[i].Share = 0
 			continue
 		}
 		usable++
-		if a.down(now, e.ID()) {
+		if a.isDown(now, e.ID()) {
 			down++
 		}
 	}
-	believe := usable > 0 && float64(down)/float64(usable) <= a.config.MostDown
-	a.panicked[s.ID()] = usable > 0 && !believe
+	trusted := usable > 0 && float64(down)/float64(usable) <= a.config.MostDown
+	a.panicking[s.ID()] = usable > 0 && !trusted
 	for i, e := range endpoints {
-		if believe && a.down(now, e.ID()) {
+		if trusted && a.isDown(now, e.ID()) {
 			weights[i].Share = 0
 		}
 	}
@@ -144,30 +144,32 @@
 
 // Disbelieved reports whether so much of a service is reported down that the
 // reports are not believed.
-func (a *Assessor) Disbelieved(service uint32) bool { return a.panicked[service] }
+func (a *Assessor) Disbelieved(service uint32) bool { return a.panicking[service] }
 
-// leaving reports whether an endpoint takes no new work, by the operator's
+// isLeaving reports whether an endpoint takes no new work, by the operator's
 // word or by its own.
-func (a *Assessor) leaving(now time.Time, e *route.Endpoint) bool {
+func (a *Assessor) isLeaving(now time.Time, e *route.Endpoint) bool {
 	if e.Leaving() {
 		return true
 	}
 	for _, c := range a.endpoint(now, e.ID()).checkers {
-		if a.fresh(now, c) && c.last.Leaving {
+		if a.isFresh(now, c) && c.last.Leaving {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *Assessor) fresh(now time.Time, c *checker) bool { return now.Sub(c.at) <= a.config.FreshFor }
+func (a *Assessor) isFresh(now time.Time, c *checker) bool {
+	return now.Sub(c.at) <= a.config.FreshFor
+}
 
-// down reports whether more than half of the fresh checkers find it down.
+// isDown reports whether more than half of the fresh checkers find it isDown.
 // Without a fresh report nothing is known, and nothing is changed.
-func (a *Assessor) down(now time.Time, id uint32) bool {
+func (a *Assessor) isDown(now time.Time, id uint32) bool {
 	fresh, down := 0, 0
 	for _, c := range a.endpoint(now, id).checkers {
-		if !a.fresh(now, c) {
+		if !a.isFresh(now, c) {
 			continue
 		}
 		fresh++
@@ -182,7 +184,7 @@
 // highest of them, discounted by age.
 func (a *Assessor) load(now time.Time, id uint32) (connections float64, known bool) {
 	for _, c := range a.endpoint(now, id).checkers {
-		if a.fresh(now, c) {
+		if a.isFresh(now, c) {
 			connections = max(connections, float64(c.last.Connections))
 			known = true
 		}
@@ -190,32 +192,32 @@
 	return connections, known
 }
 
-// meanLoad is the median of the endpoints' connections: one that lies moves
+// medianLoad is the median of the endpoints' connections: one that lies moves
 // it little.
-func (a *Assessor) meanLoad(now time.Time, endpoints []*route.Endpoint) float64 {
+func (a *Assessor) medianLoad(now time.Time, endpoints []*route.Endpoint) float64 {
 	var loads []float64
 	for _, e := range endpoints {
-		if n, known := a.load(now, e.ID()); known && !a.leaving(now, e) {
+		if n, known := a.load(now, e.ID()); known && !a.isLeaving(now, e) {
 			loads = append(loads, n)
 		}
 	}
 	return median(loads)
 }
 
-func (a *Assessor) share(now time.Time, s *route.Service, e *route.Endpoint, mean float64) float64 {
+func (a *Assessor) share(now time.Time, s *route.Service, e *route.Endpoint, medianLoad float64) float64 {
 	state := a.endpoint(now, e.ID())
-	n, known := a.load(now, e.ID())
-	if known && e.Connections() > 0 && n >= float64(e.Connections()) {
+	load, known := a.load(now, e.ID())
+	if known && e.Connections() > 0 && load >= float64(e.Connections()) {
 		return 0 // full: no new flow
 	}
-	want := a.ramp(now, state) * float64(max(e.Connections(), 1)) * a.tilt(state, s.Policy().Balance, n, known, mean)
+	want := a.rampFactor(now, state) * float64(max(e.Connections(), 1)) * a.loadFactor(state, s.Policy().Balance, load, known, medianLoad)
 	if math.Abs(want-state.share) > a.config.Hysteresis*state.share {
 		state.share = want
 	}
 	return state.share
 }
 
-func (a *Assessor) ramp(now time.Time, e *endpoint) float64 {
+func (a *Assessor) rampFactor(now time.Time, e *endpoint) float64 {
 	age := now.Sub(e.firstSeen)
 	if age >= a.config.Ramp {
 		return 1
@@ -223,17 +225,17 @@
 	return a.config.RampFrom + (1-a.config.RampFrom)*float64(age)/float64(a.config.Ramp)
 }
 
-// tilt is the factor by which measured load changes a share. It follows the
+// loadFactor is the factor by which measured load changes a share. It follows the
 // load slowly, and the balance of the template scales it.
-func (a *Assessor) tilt(e *endpoint, balance, n float64, known bool, mean float64) float64 {
+func (a *Assessor) loadFactor(e *endpoint, balance, load float64, known bool, medianLoad float64) float64 {
 	const (
-		gain     = 0.02
-		leastUse = 50 // below this the difference is noise
+		gain          = 0.02
+		minMedianLoad = 50 // below this the difference is noise
 	)
-	if known && mean >= leastUse {
-		e.tilt *= 1 + gain*balance*(1-n/mean)
+	if known && medianLoad >= minMedianLoad {
+		e.loadFactor *= 1 + gain*balance*(1-load/medianLoad)
 	}
-	most := 1 + (a.config.MostTilt-1)*balance
-	e.tilt = min(max(e.tilt, 1/most), most)
-	return e.tilt
+	maxFactor := 1 + (a.config.MostTilt-1)*balance
+	e.loadFactor = min(max(e.loadFactor, 1/maxFactor), maxFactor)
+	return e.loadFactor
 }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -22,8 +22,8 @@
 	return t.Service(1), t.EndpointsOf(1)
 }
 
-func report(a *Assessor, now time.Time, times int, r Report) {
-	for range times {
+func takeFromBoth(a *Assessor, now time.Time, count int, r Report) {
+	for range count {
 		a.Take(now, "one", r)
 		a.Take(now, "two", r)
 	}
@@ -37,21 +37,21 @@
 	return all
 }
 
-func TestOneBadReportDoesNothingAndSeveralDo(t *testing.T) {
+func TestEndpointChangesStateOnlyAfterThresholdReports(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, endpoints := newService(4, 0)
 	a := New(DefaultConfig(), start)
-	report(a, start, 1, Report{Endpoint: 1})
+	takeFromBoth(a, start, 1, Report{Endpoint: 1})
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeNumerically(">", 0))
-	report(a, start, 3, Report{Endpoint: 1})
+	takeFromBoth(a, start, 3, Report{Endpoint: 1})
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeZero())
-	report(a, start, 1, Report{Endpoint: 1, Healthy: true})
+	takeFromBoth(a, start, 1, Report{Endpoint: 1, Healthy: true})
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeZero(), "one good report is not enough either")
-	report(a, start, 2, Report{Endpoint: 1, Healthy: true})
+	takeFromBoth(a, start, 2, Report{Endpoint: 1, Healthy: true})
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeNumerically(">", 0))
 }
 
-func TestDisagreeingCheckersAndOldReports(t *testing.T) {
+func TestSplitVotesAndStaleReportsAreIgnored(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, endpoints := newService(4, 0)
 	a := New(DefaultConfig(), start)
@@ -60,17 +60,17 @@
 		a.Take(start, "two", Report{Endpoint: 1, Healthy: true})
 	}
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeNumerically(">", 0), "one checker of two may be cut off")
-	report(a, start, 5, Report{Endpoint: 2})
-	late := start.Add(time.Minute)
-	g.Expect(shares(a.Weights(late, s, endpoints))[1]).To(gomega.BeNumerically(">", 0), "old reports say nothing")
+	takeFromBoth(a, start, 5, Report{Endpoint: 2})
+	later := start.Add(time.Minute)
+	g.Expect(shares(a.Weights(later, s, endpoints))[1]).To(gomega.BeNumerically(">", 0), "old reports say nothing")
 }
 
-func TestAServiceIsNeverEmptiedByBadReports(t *testing.T) {
+func TestPanicModeKeepsEndpointsOfAMostlyDownService(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, endpoints := newService(4, 0)
 	a := New(DefaultConfig(), start)
 	for id := range uint32(3) {
-		report(a, start, 5, Report{Endpoint: id + 1})
+		takeFromBoth(a, start, 5, Report{Endpoint: id + 1})
 	}
 	for _, share := range shares(a.Weights(start, s, endpoints)) {
 		g.Expect(share).To(gomega.BeNumerically(">", 0))
@@ -78,7 +78,7 @@
 	g.Expect(a.Disbelieved(1)).To(gomega.BeTrue())
 }
 
-func TestALyingLoadReportIsBounded(t *testing.T) {
+func TestFalseLoadReportsShiftSharesWithinBound(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, endpoints := newService(4, 1)
 	a := New(DefaultConfig(), start)
@@ -91,14 +91,14 @@
 			if id == 0 {
 				connections = 0 // it says that it is idle, for ever
 			}
-			report(a, now, 1, Report{Endpoint: id + 1, Healthy: true, Connections: connections})
+			takeFromBoth(a, now, 1, Report{Endpoint: id + 1, Healthy: true, Connections: connections})
 		}
 		last = shares(a.Weights(now, s, endpoints))
 	}
 	g.Expect(last[0] / last[1]).To(gomega.BeNumerically("<=", DefaultConfig().MostTilt*DefaultConfig().MostTilt+0.01))
 }
 
-func TestANewEndpointIsRampedUpAndAFullOneGetsNothing(t *testing.T) {
+func TestNewEndpointRampsUpAndFullEndpointGetsNoShare(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s, endpoints := newService(2, 0)
 	a := New(DefaultConfig(), start)
@@ -108,6 +108,6 @@
 	g.Expect(first[1]).To(gomega.BeNumerically("<", 0.3*first[0]))
 	ramped := shares(a.Weights(later.Add(time.Minute), s, endpoints))
 	g.Expect(ramped[1]).To(gomega.Equal(ramped[0]))
-	report(a, later.Add(time.Minute), 1, Report{Endpoint: 2, Healthy: true, Connections: 1000})
+	takeFromBoth(a, later.Add(time.Minute), 1, Report{Endpoint: 2, Healthy: true, Connections: 1000})
 	g.Expect(shares(a.Weights(later.Add(time.Minute), s, endpoints))[1]).To(gomega.BeZero())
 }
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -13,20 +13,20 @@
 	// Window is how long a report counts: three times what a request of a busy service
 	// waits at most. An endpoint of 120 that hangs is reported eight times a second.
 	Window = 3 * time.Second
-	// enough entries that report an endpoint are a verdict: one report may be a lost
+	// minReporters entries that report an endpoint are a verdict: one report may be a lost
 	// packet or a long request, and an entry may be to blame for all of its own, also
 	// beside one of those. A fleet with fewer entries in a failure domain judges none.
-	enough = 3
-	// tracked bounds the endpoints of which reports are kept, for 55,000 of which a
+	minReporters = 3
+	// maxTracked bounds the endpoints of which reports are kept, for 55,000 of which a
 	// tenth fail at once; those beyond it are not judged until others are forgotten.
-	tracked = 5500
+	maxTracked = 5500
 )
 
 type (
 	// Tracker is what the entries that report to one control instance have said.
 	Tracker struct {
-		reports  map[string][]report // by endpoint, the oldest first
-		forgetAt time.Time
+		reports   map[string][]report // by endpoint, the oldest first
+		nextPrune time.Time
 	}
 
 	// report is one of an entry.
@@ -42,12 +42,12 @@
 // Report takes that an endpoint failed a request of an entry, and reports whether that makes
 // enough for others to avoid it. After a verdict it takes as many reports again.
 func (t *Tracker) Report(now time.Time, endpoint, entry string) bool {
-	t.forget(now)
-	if _, known := t.reports[endpoint]; !known && len(t.reports) >= tracked {
+	t.prune(now)
+	if _, known := t.reports[endpoint]; !known && len(t.reports) >= maxTracked {
 		return false
 	}
-	recent := append(others(since(t.reports[endpoint], now.Add(-Window)), entry), report{entry, now})
-	if len(recent) < enough {
+	recent := append(fromOthers(reportsAfter(t.reports[endpoint], now.Add(-Window)), entry), report{entry, now})
+	if len(recent) < minReporters {
 		t.reports[endpoint] = recent
 		return false
 	}
@@ -55,28 +55,28 @@
 	return true
 }
 
-// forget drops endpoints of which nothing was reported within the window.
-func (t *Tracker) forget(now time.Time) {
-	if now.Before(t.forgetAt) {
+// prune drops endpoints of which nothing was reported within the window.
+func (t *Tracker) prune(now time.Time) {
+	if now.Before(t.nextPrune) {
 		return
 	}
-	t.forgetAt = now.Add(Window)
+	t.nextPrune = now.Add(Window)
 	for endpoint, all := range t.reports {
-		if len(since(all, now.Add(-Window))) == 0 {
+		if len(reportsAfter(all, now.Add(-Window))) == 0 {
 			delete(t.reports, endpoint)
 		}
 	}
 }
 
-// since returns the reports after a time.
-func since(all []report, after time.Time) []report {
+// reportsAfter returns the reports after a time.
+func reportsAfter(all []report, after time.Time) []report {
 	for len(all) > 0 && !all[0].at.After(after) {
 		all = all[1:]
 	}
 	return all
 }
 
-// others returns the reports of other entries: only the last one of each counts.
-func others(all []report, entry string) []report {
+// fromOthers returns the reports of other entries: only the last one of each counts.
+func fromOthers(all []report, entry string) []report {
 	return slices.DeleteFunc(slices.Clone(all), func(r report) bool { return r.entry == entry })
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -42,11 +42,11 @@
 	})
 
 	It("keeps endpoints apart, and forgets those of which nothing is reported", func() {
-		for n := range tracked {
+		for n := range maxTracked {
 			Expect(t.Report(start, fmt.Sprint("i-", n), "a")).To(BeFalse())
 		}
 		Expect(t.Report(start, "one more", "a")).To(BeFalse())
-		Expect(t.reports).To(HaveLen(tracked))
+		Expect(t.reports).To(HaveLen(maxTracked))
 		Expect(t.Report(start.Add(Window), "one more", "a")).To(BeFalse())
 		Expect(t.reports).To(HaveLen(1))
 	})
--- a/internal/registry/address.go
+++ b/internal/registry/address.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// excusedAfter is the longest time between two sweeps that does not count as
+// pauseThreshold is the longest time between two sweeps that does not count as
 // a pause of this process: several times their period of 0.2 s. Heartbeats may
 // have been missed in a longer one.
-const excusedAfter = time.Second
+const pauseThreshold = time.Second
 
 // An address is given away only after its endpoint has ended, so of the
 // incarnations at one address one lives at most. Heartbeats do not tell which: a
@@ -19,70 +19,70 @@
 // reset them by that. Flows name the incarnation that they are for, so that none
 // reaches the other one.
 
-// settle keeps the index of the living by address, and notes where two claim one.
-func (r *Registry) settle(now time.Time, held *record) {
-	addr := held.endpoint.Addr
-	if held.endpoint.Gone || !addr.IsValid() {
-		r.vacate(held)
+// claimAddr keeps the index of the living by address, and notes where two claim one.
+func (r *Registry) claimAddr(now time.Time, rec *record) {
+	addr := rec.endpoint.Addr
+	if rec.endpoint.Gone || !addr.IsValid() {
+		r.releaseAddr(rec)
 		return
 	}
-	there := r.living[addr]
-	if slices.Contains(there, held) {
+	claimants := r.liveByAddr[addr]
+	if slices.Contains(claimants, rec) {
 		return
 	}
-	there = append(there, held)
-	r.living[addr] = there
-	if len(there) == 1 {
+	claimants = append(claimants, rec)
+	r.liveByAddr[addr] = claimants
+	if len(claimants) == 1 {
 		return
 	}
-	for _, rival := range there {
-		rival.rivalSince, rival.heardAgain = now, false
-		rival.incumbent = rival != held
+	for _, rival := range claimants {
+		rival.conflictSince, rival.heardSinceConflict = now, false
+		rival.incumbent = rival != rec
 	}
 }
 
-// vacate takes a record out of the index of the living; whoever is left alone
+// releaseAddr takes a record out of the index of the living; whoever is left alone
 // at the address is in doubt no longer.
-func (r *Registry) vacate(held *record) {
-	addr := held.endpoint.Addr
-	there := slices.DeleteFunc(r.living[addr], func(other *record) bool { return other == held })
-	held.rivalSince, held.heardAgain = time.Time{}, false
-	if len(there) == 0 {
-		delete(r.living, addr)
+func (r *Registry) releaseAddr(rec *record) {
+	addr := rec.endpoint.Addr
+	claimants := slices.DeleteFunc(r.liveByAddr[addr], func(other *record) bool { return other == rec })
+	rec.conflictSince, rec.heardSinceConflict = time.Time{}, false
+	if len(claimants) == 0 {
+		delete(r.liveByAddr, addr)
 		return
 	}
-	r.living[addr] = there
-	if len(there) == 1 {
-		there[0].rivalSince, there[0].heardAgain = time.Time{}, false
+	r.liveByAddr[addr] = claimants
+	if len(claimants) == 1 {
+		claimants[0].conflictSince, claimants[0].heardSinceConflict = time.Time{}, false
 	}
 }
 
-// doubted reports whether new flows avoid an incarnation, as one that is silent,
+// losesConflict reports whether new flows avoid an incarnation, as one that is silent,
 // since another one claims the address: the one that was known first, or after it
 // was heard again the other one.
-func (r *Registry) doubted(held *record) bool {
-	if held.rivalSince.IsZero() || held.heardAgain {
+func (r *Registry) losesConflict(rec *record) bool {
+	if rec.conflictSince.IsZero() || rec.heardSinceConflict {
 		return false
 	}
-	return held.incumbent || slices.ContainsFunc(r.living[held.endpoint.Addr], func(rival *record) bool { return rival.heardAgain })
+	return rec.incumbent || slices.ContainsFunc(r.liveByAddr[rec.endpoint.Addr], func(rival *record) bool { return rival.heardSinceConflict })
 }
 
-// excuse begins conflicts about addresses anew after a pause of this process, in
+// restartConflictsAfterPause begins conflicts about addresses anew after a pause of this process, in
 // which it may have missed heartbeats of either side.
-func (r *Registry) excuse(now time.Time) {
-	paused := now.Sub(r.swept) > excusedAfter
-	r.swept = now
+func (r *Registry) restartConflictsAfterPause(now time.Time) {
+	paused := now.Sub(r.lastSweep) > pauseThreshold
+	r.lastSweep = now
 	if !paused {
 		return
 	}
-	for _, held := range r.records {
-		if !held.rivalSince.IsZero() {
-			held.rivalSince, held.heardAgain = now, false
+	for _, rec := range r.records {
+		if !rec.conflictSince.IsZero() {
+			rec.conflictSince, rec.heardSinceConflict = now, false
 		}
 	}
 }
 
-// span returns a number of heartbeat periods.
-func (r *Registry) span(beats float64) time.Duration {
-	return time.Duration(beats * float64(r.config.Beat))
+// periods returns a number of heartbeat periods.
+func (r *Registry) periods(n float64) time.Duration {
+	return time.Duration(n * float64(r.config.Beat))
 }
--- a/internal/registry/address_test.go
+++ b/internal/registry/address_test.go
@@ -11,39 +11,39 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// tick is how often a registry is swept.
-const tick = 200 * time.Millisecond
+// sweepInterval is how often a registry is swept.
+const sweepInterval = 200 * time.Millisecond
 
 // delivery is a heartbeat on its way to one of the control instances.
 type delivery struct {
-	at   time.Time
-	to   int
-	beat Endpoint
+	at        time.Time
+	to        int
+	heartbeat Endpoint
 }
 
-// pair is two control instances that tell each other what they hear.
-type pair struct {
+// peers is two control instances that tell each other what they hear.
+type peers struct {
 	now        time.Time
 	registries [2]*Registry
-	sent       [2]uint64
+	exchanged  [2]uint64
 }
 
-func newPair() *pair {
-	return &pair{now: start, registries: [2]*Registry{New(Config{Beat: beat}, start), New(Config{Beat: beat}, start)}}
+func newPeers() *peers {
+	return &peers{now: start, registries: [2]*Registry{New(Config{Beat: heartbeatPeriod}, start), New(Config{Beat: heartbeatPeriod}, start)}}
 }
 
-// run lets time pass until the end, with the deliveries that fall due, an
+// runUntil lets time pass until the end, with the deliveries that fall due, an
 // exchange and a sweep each tick; each is called after every tick.
-func (p *pair) run(end time.Time, due []delivery, each func()) {
-	for ; p.now.Before(end); p.now = p.now.Add(tick) {
+func (p *peers) runUntil(end time.Time, due []delivery, each func()) {
+	for ; p.now.Before(end); p.now = p.now.Add(sweepInterval) {
 		for _, d := range due {
-			if !d.at.Before(p.now) && d.at.Before(p.now.Add(tick)) {
-				p.registries[d.to].Hear(p.now, d.beat)
+			if !d.at.Before(p.now) && d.at.Before(p.now.Add(sweepInterval)) {
+				p.registries[d.to].Hear(p.now, d.heartbeat)
 			}
 		}
 		for i, r := range p.registries {
-			reports := r.Beats(p.now, p.sent[i])
-			p.sent[i] = reports.Number
+			reports := r.Beats(p.now, p.exchanged[i])
+			p.exchanged[i] = reports.Number
 			p.registries[1-i].Merge(p.now, reports)
 		}
 		for _, r := range p.registries {
@@ -53,16 +53,16 @@
 	}
 }
 
-// beats returns the heartbeats of an endpoint that lives from begin to end.
-func beats(id string, begin, end time.Time, change func(*Endpoint)) []delivery {
+// heartbeats returns the heartbeats of an endpoint that lives from begin to end.
+func heartbeats(id string, begin, end time.Time, change func(*Endpoint)) []delivery {
 	var all []delivery
-	for at, sequence := begin, uint64(1); at.Before(end); at, sequence = at.Add(beat), sequence+1 {
-		all = append(all, delivery{at: at, to: int(sequence % 2), beat: endpoint(id, sequence, change)})
+	for at, sequence := begin, uint64(1); at.Before(end); at, sequence = at.Add(heartbeatPeriod), sequence+1 {
+		all = append(all, delivery{at: at, to: int(sequence % 2), heartbeat: endpoint(id, sequence, change)})
 	}
 	return all
 }
 
-func (p *pair) gone(id string) []bool {
+func (p *peers) gone(id string) []bool {
 	var all []bool
 	for _, r := range p.registries {
 		m := find(r.Changes(p.now, 0), id)
@@ -71,7 +71,7 @@
 	return all
 }
 
-func (p *pair) silent(id string) []bool {
+func (p *peers) silent(id string) []bool {
 	var all []bool
 	for _, r := range p.registries {
 		all = append(all, find(r.Changes(p.now, 0), id).Silent)
@@ -83,32 +83,32 @@
 	yes, no := []bool{true, true}, []bool{false, false}
 
 	It("does not end the one that lives by a heartbeat that was held back", func() {
-		r := New(Config{Beat: beat}, start)
+		r := New(Config{Beat: heartbeatPeriod}, start)
 		r.Hear(start, endpoint("new", 1, nil))
-		r.Hear(start.Add(beat), endpoint("new", 2, nil))
-		r.Hear(start.Add(beat+time.Millisecond), endpoint("old", 1, nil))
-		_, taken := r.Hear(start.Add(2*beat), endpoint("new", 3, nil))
+		r.Hear(start.Add(heartbeatPeriod), endpoint("new", 2, nil))
+		r.Hear(start.Add(heartbeatPeriod+time.Millisecond), endpoint("old", 1, nil))
+		_, taken := r.Hear(start.Add(2*heartbeatPeriod), endpoint("new", 3, nil))
 		Expect(taken).To(BeTrue())
 		Expect(find(r.Changes(start, 0), "new").Gone).To(BeFalse())
 	})
 
 	It("does not end it by one that is repeated, nor by several that come together", func() {
-		living := beats("new", start, start.Add(time.Minute), nil)
-		for _, at := range []time.Duration{5 * beat, 5*beat + tick, 6 * beat, 9 * beat} {
+		living := heartbeats("new", start, start.Add(time.Minute), nil)
+		for _, at := range []time.Duration{5 * heartbeatPeriod, 5*heartbeatPeriod + sweepInterval, 6 * heartbeatPeriod, 9 * heartbeatPeriod} {
 			for sequence := uint64(1); sequence <= 3; sequence++ {
-				living = append(living, delivery{at: start.Add(at), to: int(sequence % 2), beat: endpoint("old", sequence, nil)})
+				living = append(living, delivery{at: start.Add(at), to: int(sequence % 2), heartbeat: endpoint("old", sequence, nil)})
 			}
 		}
-		p := newPair()
-		p.run(start.Add(20*beat), living, func() { Expect(p.gone("new")).To(Equal(no)) })
+		p := newPeers()
+		p.runUntil(start.Add(20*heartbeatPeriod), living, func() { Expect(p.gone("new")).To(Equal(no)) })
 		Expect(p.silent("old")).To(Equal(yes))
 		Expect(p.silent("new")).To(Equal(no))
 	})
 
 	It("turns new flows to the one that goes on, and ends neither by that", func() {
-		p := newPair()
-		due := append(beats("old", start, start.Add(4*beat), nil), beats("new", start.Add(7*beat), start.Add(time.Minute), nil)...)
-		p.run(start.Add(14*beat), due, func() {})
+		p := newPeers()
+		due := append(heartbeats("old", start, start.Add(4*heartbeatPeriod), nil), heartbeats("new", start.Add(7*heartbeatPeriod), start.Add(time.Minute), nil)...)
+		p.runUntil(start.Add(14*heartbeatPeriod), due, func() {})
 		Expect(p.silent("old")).To(Equal(yes))
 		Expect(p.silent("new")).To(Equal(no))
 		Expect(p.gone("old")).To(Equal(no))
@@ -117,19 +117,19 @@
 
 	It("holds with the address in another service, and with a late leaving one", func() {
 		other := func(e *Endpoint) { e.Service = "documents" }
-		due := beats("new", start, start.Add(time.Minute), other)
-		due = append(due, delivery{at: start.Add(5 * beat), to: 0, beat: endpoint("old", 4, leaving)})
-		p := newPair()
-		p.run(start.Add(5*beat+2*tick), due, func() { Expect(p.gone("new")).To(Equal(no)) })
+		due := heartbeats("new", start, start.Add(time.Minute), other)
+		due = append(due, delivery{at: start.Add(5 * heartbeatPeriod), to: 0, heartbeat: endpoint("old", 4, leaving)})
+		p := newPeers()
+		p.runUntil(start.Add(5*heartbeatPeriod+2*sweepInterval), due, func() { Expect(p.gone("new")).To(Equal(no)) })
 		Expect(find(p.registries[1].Changes(p.now, 0), "old").Leaving).To(BeTrue())
 		Expect(find(p.registries[1].Changes(p.now, 0), "new").Leaving).To(BeFalse())
-		p.run(start.Add(20*beat), due, func() { Expect(p.gone("new")).To(Equal(no)) })
+		p.runUntil(start.Add(20*heartbeatPeriod), due, func() { Expect(p.gone("new")).To(Equal(no)) })
 		Expect(p.silent("old")).To(Equal(yes))
 		Expect(p.silent("new")).To(Equal(no))
 	})
 
 	It("takes the leave of one of them for that one alone", func() {
-		r := New(Config{Beat: beat}, start)
+		r := New(Config{Beat: heartbeatPeriod}, start)
 		r.Hear(start, endpoint("new", 1, nil))
 		r.Hear(start, endpoint("old", 1, nil))
 		number := r.Leave(start, "old")
@@ -138,12 +138,12 @@
 	})
 
 	It("doubts the one that was known first until it is heard again, and from then on the other", func() {
-		p := newPair()
-		due := append(beats("new", start, start.Add(time.Minute), nil), delivery{at: start.Add(5*beat + tick), to: 1, beat: endpoint("old", 1, nil)})
-		p.run(start.Add(5*beat+3*tick), due, func() {})
+		p := newPeers()
+		due := append(heartbeats("new", start, start.Add(time.Minute), nil), delivery{at: start.Add(5*heartbeatPeriod + sweepInterval), to: 1, heartbeat: endpoint("old", 1, nil)})
+		p.runUntil(start.Add(5*heartbeatPeriod+3*sweepInterval), due, func() {})
 		Expect(p.silent("old")).To(Equal(no))
 		Expect(p.silent("new")).To(Equal(yes))
-		p.run(start.Add(6*beat+3*tick), due, func() {})
+		p.runUntil(start.Add(6*heartbeatPeriod+3*sweepInterval), due, func() {})
 		Expect(p.silent("new")).To(Equal(no))
 		Expect(p.silent("old")).To(Equal(yes))
 	})
@@ -152,15 +152,15 @@
 	// crashed and started again: the late heartbeat of the one that ended is the last that
 	// is heard there for longer than 2.6 periods.
 	It("does not end the one that lives while its own heartbeats are lost and a late one of the other comes", func() {
-		due := beats("old", start, start.Add(4*beat), nil)
-		for _, d := range beats("new", start.Add(8*beat), start.Add(time.Minute), nil) {
-			if lost := d.at.After(start.Add(9*beat)) && d.at.Before(start.Add(13*beat)); !lost {
+		due := heartbeats("old", start, start.Add(4*heartbeatPeriod), nil)
+		for _, d := range heartbeats("new", start.Add(8*heartbeatPeriod), start.Add(time.Minute), nil) {
+			if lost := d.at.After(start.Add(9*heartbeatPeriod)) && d.at.Before(start.Add(13*heartbeatPeriod)); !lost {
 				due = append(due, d)
 			}
 		}
-		due = append(due, delivery{at: start.Add(11 * beat), to: 0, beat: endpoint("old", 5, nil)})
-		p := newPair()
-		p.run(start.Add(40*beat), due, func() {
+		due = append(due, delivery{at: start.Add(11 * heartbeatPeriod), to: 0, heartbeat: endpoint("old", 5, nil)})
+		p := newPeers()
+		p.runUntil(start.Add(40*heartbeatPeriod), due, func() {
 			Expect(p.gone("new")).To(Equal(no), "its open flows would be reset")
 		})
 		Expect(p.silent("new")).To(Equal(no))
@@ -168,48 +168,48 @@
 	})
 
 	It("begins anew after a pause of the process, which may have missed heartbeats", func() {
-		r := New(Config{Beat: beat}, start)
+		r := New(Config{Beat: heartbeatPeriod}, start)
 		r.Hear(start, endpoint("new", 5, nil))
 		r.Hear(start, endpoint("old", 1, nil))
 		r.Hear(start, endpoint("old", 2, nil))
-		thawed := start.Add(10 * beat)
+		thawed := start.Add(10 * heartbeatPeriod)
 		r.Hear(thawed, endpoint("old", 3, nil)) // was held back too
 		r.Sweep(thawed)
 		Expect(find(r.Changes(thawed, 0), "new").Gone).To(BeFalse())
-		r.Hear(thawed.Add(beat/2), endpoint("new", 18, nil))
-		r.Sweep(thawed.Add(beat))
+		r.Hear(thawed.Add(heartbeatPeriod/2), endpoint("new", 18, nil))
+		r.Sweep(thawed.Add(heartbeatPeriod))
 		Expect(find(r.Changes(thawed, 0), "new").Silent).To(BeFalse())
 	})
 
 	It("never ends the one that lives, whatever the order in which the other's heartbeats come", func() {
 		for seed := range uint64(200) {
 			random := rand.New(rand.NewPCG(seed, 1))
-			born := start.Add(time.Duration(random.Int64N(int64(6 * beat))))
-			due := beats("new", born, start.Add(time.Minute), nil)
+			born := start.Add(time.Duration(random.Int64N(int64(6 * heartbeatPeriod))))
+			due := heartbeats("new", born, start.Add(time.Minute), nil)
 			for range 1 + random.IntN(12) {
-				at := start.Add(time.Duration(random.Int64N(int64(24 * beat))))
+				at := start.Add(time.Duration(random.Int64N(int64(24 * heartbeatPeriod))))
 				late := endpoint("old", 1+random.Uint64N(9), nil)
 				if random.IntN(4) == 0 {
 					late.Leaving = true
 				}
-				due = append(due, delivery{at: at, to: random.IntN(2), beat: late})
+				due = append(due, delivery{at: at, to: random.IntN(2), heartbeat: late})
 			}
 			random.Shuffle(len(due), func(i, j int) { due[i], due[j] = due[j], due[i] })
-			p := newPair()
-			p.run(start.Add(40*beat), due, func() { Expect(p.gone("new")).To(Equal(no), fmt.Sprint("seed ", seed)) })
+			p := newPeers()
+			p.runUntil(start.Add(40*heartbeatPeriod), due, func() { Expect(p.gone("new")).To(Equal(no), fmt.Sprint("seed ", seed)) })
 			Expect(p.silent("old")).To(Equal(yes), fmt.Sprint("seed ", seed))
 			Expect(p.silent("new")).To(Equal(no), fmt.Sprint("seed ", seed))
 		}
 	})
 
 	It("tells a control instance that joins both, and lets it settle them itself", func() {
-		first := New(Config{Beat: beat}, start)
+		first := New(Config{Beat: heartbeatPeriod}, start)
 		first.Hear(start, endpoint("new", 2, nil))
 		first.Hear(start, endpoint("old", 1, nil))
-		joined := New(Config{Beat: beat}, start.Add(tick))
-		joined.Merge(start.Add(tick), &wire.Reports{Endpoints: first.Changes(start.Add(tick), 0).Endpoints})
+		joined := New(Config{Beat: heartbeatPeriod}, start.Add(sweepInterval))
+		joined.Merge(start.Add(sweepInterval), &wire.Reports{Endpoints: first.Changes(start.Add(sweepInterval), 0).Endpoints})
 		for _, id := range []string{"new", "old"} {
-			Expect(find(joined.Changes(start.Add(tick), 0), id).Gone).To(BeFalse(), id)
+			Expect(find(joined.Changes(start.Add(sweepInterval), 0), id).Gone).To(BeFalse(), id)
 		}
 	})
 })
--- a/internal/registry/digest.go
+++ b/internal/registry/digest.go
@@ -55,8 +55,8 @@
 	if e.ID == "" {
 		return 0
 	}
-	const roomFor = 128
-	b := make([]byte, 0, roomFor)
+	const initialCap = 128
+	b := make([]byte, 0, initialCap)
 	b = append(b, e.ID...)
 	if e.Gone {
 		return siphash.Hash(digestKey0, digestKey1, append(b, 0, 'g'))
--- a/internal/registry/incarnation.go
+++ b/internal/registry/incarnation.go
@@ -7,11 +7,11 @@
 )
 
 const (
-	// bornMark stands between the id that several incarnations of an endpoint share and
+	// incarnationSeparator stands between the id that several incarnations of an endpoint share and
 	// when each was born.
-	bornMark = "~"
-	// bornBase is the base of the number after it: milliseconds in few letters.
-	bornBase = 36
+	incarnationSeparator = "~"
+	// timestampBase is the base of the number after it: milliseconds in few letters.
+	timestampBase = 36
 )
 
 // Incarnation returns the id of an incarnation of an endpoint whose id others share:
@@ -21,17 +21,17 @@
 	if born <= 0 {
 		return id
 	}
-	return id + bornMark + strconv.FormatInt(born, bornBase)
+	return id + incarnationSeparator + strconv.FormatInt(born, timestampBase)
 }
 
-// splitIncarnation returns the id that incarnations share and when this one was born, 0
+// parseIncarnation returns the id that incarnations share and when this one was born, 0
 // where that is not said.
-func splitIncarnation(id string) (name string, born int64) {
-	name, text, found := strings.Cut(id, bornMark)
+func parseIncarnation(id string) (name string, born int64) {
+	name, text, found := strings.Cut(id, incarnationSeparator)
 	if !found {
 		return id, 0
 	}
-	born, err := strconv.ParseInt(text, bornBase, 64)
+	born, err := strconv.ParseInt(text, timestampBase, 64)
 	if err != nil {
 		return id, 0
 	}
@@ -42,31 +42,31 @@
 // the same id that was born earlier has ended; one that was born later is returned, and
 // says that this one has ended.
 func (r *Registry) supersede(now time.Time, id string) (later *record) {
-	name, born := splitIncarnation(id)
-	newest := r.newest[name]
+	name, born := parseIncarnation(id)
+	newest := r.newestByName[name]
 	if born == 0 || newest == nil {
 		return nil
 	}
-	if _, other := splitIncarnation(newest.endpoint.ID); other > born {
+	if _, other := parseIncarnation(newest.endpoint.ID); other > born {
 		return newest
 	}
 	if !newest.endpoint.Gone {
-		r.end(now, newest)
-		newest.untold = true // peers work it out as this one does
+		r.markGone(now, newest)
+		newest.relayPending = true // peers work it out as this one does
 	}
 	return nil
 }
 
-// noteNewest keeps the index of the incarnation that was born last, by name.
-func (r *Registry) noteNewest(id string, held *record) {
-	name, born := splitIncarnation(id)
+// indexNewest keeps the index of the incarnation that was born last, by name.
+func (r *Registry) indexNewest(id string, rec *record) {
+	name, born := parseIncarnation(id)
 	if born == 0 {
 		return
 	}
-	if newest := r.newest[name]; newest != nil {
-		if _, other := splitIncarnation(newest.endpoint.ID); other >= born {
+	if newest := r.newestByName[name]; newest != nil {
+		if _, other := parseIncarnation(newest.endpoint.ID); other >= born {
 			return
 		}
 	}
-	r.newest[name] = held
+	r.newestByName[name] = rec
 }
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -14,12 +14,12 @@
 var _ = Describe("incarnations that share an id", func() {
 	var r *Registry
 	first, second := Incarnation("a", 1000), Incarnation("a", 2000)
-	BeforeEach(func() { r = New(Config{Beat: beat}, start) })
+	BeforeEach(func() { r = New(Config{Beat: heartbeatPeriod}, start) })
 	known := func(r *Registry, id string) *wire.EndpointReport { return find(r.Changes(start, 0), id) }
 
 	It("begin anew: the later one lives, whatever the earlier one said and counted", func() {
 		r.Hear(start, endpoint(first, 50, leaving))
-		_, taken := r.Hear(start.Add(beat), endpoint(second, 1, nil))
+		_, taken := r.Hear(start.Add(heartbeatPeriod), endpoint(second, 1, nil))
 		Expect(taken).To(BeTrue())
 		Expect(known(r, first).Gone).To(BeTrue())
 		Expect(known(r, second)).To(And(HaveField("Gone", false), HaveField("Leaving", false), HaveField("Silent", false)))
@@ -60,7 +60,7 @@
 		const rounds, steps = 200, 60
 		for seed := range uint64(rounds) {
 			random := rand.New(rand.NewPCG(seed, 17))
-			all := []*Registry{New(Config{Beat: beat}, start), New(Config{Beat: beat}, start), New(Config{Beat: beat}, start)}
+			all := []*Registry{New(Config{Beat: heartbeatPeriod}, start), New(Config{Beat: heartbeatPeriod}, start), New(Config{Beat: heartbeatPeriod}, start)}
 			for n, each := range all {
 				each.SetRelay(n == 0)
 			}
@@ -73,7 +73,7 @@
 				all[to].Merge(now, reports)
 			}
 			for range steps {
-				now = now.Add(beat / 4)
+				now = now.Add(heartbeatPeriod / 4)
 				switch random.IntN(6) {
 				case 0: // it starts again
 					born, sequence = born+1+random.Int64N(2000), 0
@@ -138,10 +138,10 @@
 
 	It("are not taken for silent by a process that stood still itself", func() {
 		r.Hear(start, endpoint("b", 1, nil))
-		r.Excuse(3 * beat)
-		r.Sweep(start.Add(4 * beat))
+		r.Excuse(3 * heartbeatPeriod)
+		r.Sweep(start.Add(4 * heartbeatPeriod))
 		Expect(known(r, "b").Silent).To(BeFalse())
-		r.Sweep(start.Add(6 * beat))
+		r.Sweep(start.Add(6 * heartbeatPeriod))
 		Expect(known(r, "b").Silent).To(BeTrue())
 	})
 })
--- a/internal/registry/merge.go
+++ b/internal/registry/merge.go
@@ -17,7 +17,7 @@
 		}
 		age := time.Duration(m.AgeNanos)
 		e.Warm += age
-		r.hear(now, e, age)
+		r.apply(now, e, age)
 	}
 	for _, b := range reports.Beats {
 		r.mergeBeat(now, b)
@@ -27,12 +27,12 @@
 // mergeBeat takes the heartbeat of an endpoint that is known; of another one
 // the peer tells more when it tells all, on its next link.
 func (r *Registry) mergeBeat(now time.Time, b *wire.Beat) {
-	held := r.records[b.Id]
-	if held == nil {
+	rec := r.records[b.Id]
+	if rec == nil {
 		return
 	}
-	e, age := held.endpoint, time.Duration(b.AgeNanos)
+	e, age := rec.endpoint, time.Duration(b.AgeNanos)
 	e.Sequence = b.Sequence
-	e.Warm = max(0, e.Warm-now.Add(-age).Sub(held.heard))
-	r.hear(now, e, age)
+	e.Warm = max(0, e.Warm-now.Add(-age).Sub(rec.heard))
+	r.apply(now, e, age)
 }
--- a/internal/registry/merge_test.go
+++ b/internal/registry/merge_test.go
@@ -11,17 +11,17 @@
 
 var _ = Describe("a Registry that hears of another one", func() {
 	var r *Registry
-	BeforeEach(func() { r = New(Config{Beat: beat}, start) })
+	BeforeEach(func() { r = New(Config{Beat: heartbeatPeriod}, start) })
 
 	It("does not take the living one for ended when it hears late of its predecessor", func() {
-		now := start.Add(10 * beat)
+		now := start.Add(10 * heartbeatPeriod)
 		r.Hear(now, endpoint("b", 1, nil))
 		r.Merge(now, &wire.Reports{Endpoints: []*wire.EndpointReport{
-			{Id: "a", Sequence: 9, Address: "10.0.0.1:80", AgeNanos: int64(5 * beat)},
+			{Id: "a", Sequence: 9, Address: "10.0.0.1:80", AgeNanos: int64(5 * heartbeatPeriod)},
 		}})
 		Expect(find(r.Changes(now, 0), "a").Silent).To(BeTrue())
 		for n := range uint64(4) {
-			now = now.Add(beat)
+			now = now.Add(heartbeatPeriod)
 			r.Hear(now, endpoint("b", n+2, nil))
 			r.Sweep(now)
 		}
@@ -33,12 +33,12 @@
 
 	It("counts the age that a peer tells", func() {
 		r.Merge(start, &wire.Reports{Endpoints: []*wire.EndpointReport{
-			{Id: "a", Sequence: 1, Address: "10.0.0.1:80", AgeNanos: int64(3 * beat), WarmNanos: int64(beat)},
+			{Id: "a", Sequence: 1, Address: "10.0.0.1:80", AgeNanos: int64(3 * heartbeatPeriod), WarmNanos: int64(heartbeatPeriod)},
 		}})
 		r.Sweep(start)
 		m := find(r.Changes(start, 0), "a")
 		Expect(m.Silent).To(BeTrue())
-		Expect(time.Duration(m.WarmNanos)).To(Equal(beat), "it was counted off by the sender already")
+		Expect(time.Duration(m.WarmNanos)).To(Equal(heartbeatPeriod), "it was counted off by the sender already")
 	})
 
 	It("tells peers on of a change that a peer told of, not of a heartbeat", func() {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -12,15 +12,15 @@
 )
 
 const (
-	// silentBeats is how many heartbeat periods without a heartbeat make an
+	// silentAfterPeriods is how many heartbeat periods without a heartbeat make an
 	// endpoint silent: two lost ones and the spread of the third.
-	silentBeats = 2.6
-	// forgetBeats is how many periods after its last heartbeat a record is
+	silentAfterPeriods = 2.6
+	// forgetAfterPeriods is how many periods after its last heartbeat a record is
 	// dropped: a flow's longest life of 60 s at a period of 0.77 s.
-	forgetBeats = 80
-	// coolingAfter is by how much longer an endpoint must say that it is cold than it said
+	forgetAfterPeriods = 80
+	// coldMargin is by how much longer an endpoint must say that it is cold than it said
 	// last to have become cold again: more than the error in what peers tell of that.
-	coolingAfter = 300 * time.Millisecond
+	coldMargin = 300 * time.Millisecond
 )
 
 type (
@@ -49,46 +49,46 @@
 	// Registry is the set of records of one control instance. One goroutine
 	// at a time uses it.
 	Registry struct {
-		config  Config
-		started time.Time
-		records map[string]*record
-		living  map[netip.AddrPort][]*record // by address, those that are not known to have ended
-		changes *list.List                   // records, the one that changed last at the back
-		beats   *list.List                   // records, the one that was heard last at the back
-		number  uint64                       // of the last heartbeat or change
-		swept   time.Time                    // when silence was last looked for
-		late    time.Duration                // how long this process has stood still, in sum
-		digest  Digest                       // of all records
-		relays  bool                         // tells peers on of what other peers told
-		newest  map[string]*record           // by name, of those whose incarnations share an id
+		config       Config
+		started      time.Time
+		records      map[string]*record
+		liveByAddr   map[netip.AddrPort][]*record // by address, those that are not known to have ended
+		changeOrder  *list.List                   // records, the one that changed last at the back
+		heardOrder   *list.List                   // records, the one that was heard last at the back
+		revision     uint64                       // of the last heartbeat or change
+		lastSweep    time.Time                    // when silence was last looked for
+		stalled      time.Duration                // how long this process has stood still, in sum
+		digest       Digest                       // of all records
+		relays       bool                         // tells peers on of what other peers told
+		newestByName map[string]*record           // by name, of those whose incarnations share an id
 	}
 
 	// record is what is known of one incarnation.
 	record struct {
-		endpoint     Endpoint
-		heard        time.Time
-		late         time.Duration // Registry.late when it was heard
-		silent       bool
-		rivalSince   time.Time     // when another incarnation at the address was first known, zero for none
-		incumbent    bool          // known before the other one
-		heardAgain   bool          // heard with a higher sequence since then
-		sum          uint64        // as the registry's digest has it, 0 before that
-		changed      uint64        // number of the last change that entries must know
-		sumChanged   uint64        // number of the last change that sums show
-		viewChanged  uint64        // number of the last change that they do not: of silence, or to cold
-		peersChanged uint64        // number of the last heartbeat or change that peers must know
-		peersWhole   uint64        // number of the last one of which they must know all
-		untold       bool          // peers were not told on of a change that a peer told of
-		inChanges    *list.Element // of Registry.changes
-		inBeats      *list.Element // of Registry.beats
+		endpoint           Endpoint
+		heard              time.Time
+		stalledWhenHeard   time.Duration // Registry.late when it was heard
+		silent             bool
+		conflictSince      time.Time     // when another incarnation at the address was first known, zero for none
+		incumbent          bool          // known before the other one
+		heardSinceConflict bool          // heard with a higher sequence since then
+		sum                uint64        // as the registry's digest has it, 0 before that
+		changeRev          uint64        // number of the last change that entries must know
+		sumRev             uint64        // number of the last change that sums show
+		viewRev            uint64        // number of the last change that they do not: of silence, or to cold
+		peerRev            uint64        // number of the last heartbeat or change that peers must know
+		peerFullRev        uint64        // number of the last one of which they must know all
+		relayPending       bool          // peers were not told on of a change that a peer told of
+		changeElem         *list.Element // of Registry.changes
+		heardElem          *list.Element // of Registry.beats
 	}
 )
 
 // New returns an empty registry.
 func New(c Config, now time.Time) *Registry {
 	return &Registry{
-		config: c, started: now, swept: now, records: map[string]*record{}, living: map[netip.AddrPort][]*record{},
-		changes: list.New(), beats: list.New(), relays: true, newest: map[string]*record{},
+		config: c, started: now, lastSweep: now, records: map[string]*record{}, liveByAddr: map[netip.AddrPort][]*record{},
+		changeOrder: list.New(), heardOrder: list.New(), relays: true, newestByName: map[string]*record{},
 	}
 }
 
@@ -100,9 +100,9 @@
 	if r.relays = relays; !relays {
 		return
 	}
-	for _, held := range r.records {
-		if held.untold {
-			r.tellWhole(held)
+	for _, rec := range r.records {
+		if rec.relayPending {
+			r.resendFull(rec)
 		}
 	}
 }
@@ -110,133 +110,133 @@
 // Hear takes a heartbeat of an endpoint itself and returns the number of the
 // change. It reports false where the heartbeat is older than what is known.
 func (r *Registry) Hear(now time.Time, e Endpoint) (uint64, bool) {
-	number, taken := r.hear(now, e, 0)
-	held := r.records[e.ID]
+	revision, applied := r.apply(now, e, 0)
+	rec := r.records[e.ID]
 	switch {
-	case taken:
-		r.noteForPeers(held, false)
-	case held != nil && held.untold: // whoever told of it may have told nobody else
-		number = r.tellWhole(held)
+	case applied:
+		r.markForPeers(rec, false)
+	case rec != nil && rec.relayPending: // whoever told of it may have told nobody else
+		revision = r.resendFull(rec)
 	}
-	return number, taken
+	return revision, applied
 }
 
-// hear takes what an endpoint said age ago, to whomever. Peers are told of it
+// apply takes what an endpoint said age ago, to whomever. Peers are told of it
 // only if it changes what is known: whoever heard a heartbeat itself tells all.
-func (r *Registry) hear(now time.Time, e Endpoint, age time.Duration) (uint64, bool) {
-	held := r.records[e.ID]
-	if held != nil && (held.endpoint.Gone || e.Sequence <= held.endpoint.Sequence) {
-		return max(held.changed, held.peersChanged), false
+func (r *Registry) apply(now time.Time, e Endpoint, age time.Duration) (uint64, bool) {
+	rec := r.records[e.ID]
+	if rec != nil && (rec.endpoint.Gone || e.Sequence <= rec.endpoint.Sequence) {
+		return max(rec.changeRev, rec.peerRev), false
 	}
-	if held == nil {
+	if rec == nil {
 		if later := r.supersede(now, e.ID); later != nil {
-			return max(later.changed, later.peersChanged), false
+			return max(later.changeRev, later.peerRev), false
 		}
 	}
-	r.number++
-	again := held != nil && cooled(held, e)
-	changed := held == nil || again || material(held.endpoint, e)
-	if held == nil {
-		held = &record{}
-		r.records[e.ID] = held
-		r.noteNewest(e.ID, held)
+	r.revision++
+	coldAgain := rec != nil && becameCold(rec, e)
+	changed := rec == nil || coldAgain || differsForEntries(rec.endpoint, e)
+	if rec == nil {
+		rec = &record{}
+		r.records[e.ID] = rec
+		r.indexNewest(e.ID, rec)
 	} else {
-		held.heardAgain = !held.rivalSince.IsZero()
+		rec.heardSinceConflict = !rec.conflictSince.IsZero()
 	}
-	if held.endpoint.Addr != e.Addr {
-		r.vacate(held)
+	if rec.endpoint.Addr != e.Addr {
+		r.releaseAddr(rec)
 	}
-	if again {
-		held.viewChanged = r.number
+	if coldAgain {
+		rec.viewRev = r.revision
 	}
-	held.endpoint = e
-	if heard := now.Add(-age); heard.After(held.heard) {
-		held.heard, held.late = heard, r.late
+	rec.endpoint = e
+	if heard := now.Add(-age); heard.After(rec.heard) {
+		rec.heard, rec.stalledWhenHeard = heard, r.stalled
 	}
-	r.settle(now, held)
+	r.claimAddr(now, rec)
 	if changed {
-		r.relay(held)
+		r.relayToPeers(rec)
 	}
-	if r.quiet(now, held) != held.silent {
-		r.setSilent(held, !held.silent)
+	if r.avoided(now, rec) != rec.silent {
+		r.setSilent(rec, !rec.silent)
 		changed = true
 	}
 	if changed {
-		r.noteForEntries(now, held)
+		r.markForEntries(now, rec)
 	}
-	return r.number, true
+	return r.revision, true
 }
 
-// cooled reports whether an incarnation became cold again: it says that it stays cold for
+// becameCold reports whether an incarnation became cold again: it says that it stays cold for
 // longer than it said last. What it says is compared, and not when that was heard: of
 // heartbeats that wait for a busy control instance each would seem to say so, and have every
 // entry told, which makes it busier.
-func cooled(held *record, e Endpoint) bool { return e.Warm > held.endpoint.Warm+coolingAfter }
+func becameCold(rec *record, e Endpoint) bool { return e.Warm > rec.endpoint.Warm+coldMargin }
 
-// cold reports whether an endpoint said that it is still cold.
-func (held *record) cold(now time.Time) bool {
-	return held.endpoint.Warm > 0 && now.Sub(held.heard) < held.endpoint.Warm
+// isCold reports whether an endpoint said that it is still isCold.
+func (rec *record) isCold(now time.Time) bool {
+	return rec.endpoint.Warm > 0 && now.Sub(rec.heard) < rec.endpoint.Warm
 }
 
-// material reports whether entries must learn of the difference.
-func material(a, b Endpoint) bool {
+// differsForEntries reports whether entries must learn of the difference.
+func differsForEntries(a, b Endpoint) bool {
 	a.Sequence, b.Sequence = 0, 0
 	a.Warm, b.Warm = 0, 0
 	return a != b
 }
 
-// relay has peers told on of a change of the record, if this registry does that.
-func (r *Registry) relay(held *record) {
-	if held.untold = !r.relays; r.relays {
-		r.noteForPeers(held, true)
+// relayToPeers has peers told on of a change of the record, if this registry does that.
+func (r *Registry) relayToPeers(rec *record) {
+	if rec.relayPending = !r.relays; r.relays {
+		r.markForPeers(rec, true)
 	}
 }
 
-// tellWhole has peers told all of a record under a number of its own, which it returns.
-func (r *Registry) tellWhole(held *record) uint64 {
-	r.number++
-	r.noteForPeers(held, true)
-	return r.number
+// resendFull has peers told all of a record under a number of its own, which it returns.
+func (r *Registry) resendFull(rec *record) uint64 {
+	r.revision++
+	r.markForPeers(rec, true)
+	return r.revision
 }
 
-// noteForPeers notes that peers must learn of the record: that it was heard, or, where
+// markForPeers notes that peers must learn of the record: that it was heard, or, where
 // they may not know the rest, all of it.
-func (r *Registry) noteForPeers(held *record, whole bool) {
-	if whole || held.untold {
-		held.peersWhole, held.untold = r.number, false
+func (r *Registry) markForPeers(rec *record, full bool) {
+	if full || rec.relayPending {
+		rec.peerFullRev, rec.relayPending = r.revision, false
 	}
-	held.peersChanged = r.number
-	held.inBeats = toBack(r.beats, held.inBeats, held)
+	rec.peerRev = r.revision
+	rec.heardElem = moveToBack(r.heardOrder, rec.heardElem, rec)
 }
 
-// toBack moves a record's element to the back, or makes it.
-func toBack(l *list.List, e *list.Element, held *record) *list.Element {
+// moveToBack moves a record's element to the back, or makes it.
+func moveToBack(l *list.List, e *list.Element, rec *record) *list.Element {
 	if e == nil {
-		return l.PushBack(held)
+		return l.PushBack(rec)
 	}
 	l.MoveToBack(e)
 	return e
 }
 
-// end marks an incarnation as gone.
-func (r *Registry) end(now time.Time, held *record) {
-	r.number++
-	held.endpoint.Gone, held.silent = true, false
-	r.settle(now, held)
-	r.noteForEntries(now, held)
+// markGone marks an incarnation as gone.
+func (r *Registry) markGone(now time.Time, rec *record) {
+	r.revision++
+	rec.endpoint.Gone, rec.silent = true, false
+	r.claimAddr(now, rec)
+	r.markForEntries(now, rec)
 }
 
-// noteForEntries notes that entries must learn of the record, and keeps the digest.
-func (r *Registry) noteForEntries(now time.Time, held *record) {
-	held.changed = r.number
-	held.inChanges = toBack(r.changes, held.inChanges, held)
-	r.digest.Toggle(held.endpoint.ID, held.sum)
-	if sum := Sum(held.endpoint); sum != held.sum {
-		held.sum, held.sumChanged = sum, r.number
+// markForEntries notes that entries must learn of the record, and keeps the digest.
+func (r *Registry) markForEntries(now time.Time, rec *record) {
+	rec.changeRev = r.revision
+	rec.changeElem = moveToBack(r.changeOrder, rec.changeElem, rec)
+	r.digest.Toggle(rec.endpoint.ID, rec.sum)
+	if sum := Sum(rec.endpoint); sum != rec.sum {
+		rec.sum, rec.sumRev = sum, r.revision
 	}
-	r.digest.Toggle(held.endpoint.ID, held.sum)
+	r.digest.Toggle(rec.endpoint.ID, rec.sum)
 	if r.config.Changed != nil {
-		r.config.Changed(held.endpoint, held.silent, now.Sub(held.heard))
+		r.config.Changed(rec.endpoint, rec.silent, now.Sub(rec.heard))
 	}
 }
 
@@ -246,78 +246,78 @@
 // until after the next start, whose open flows it must not end; one that ended without
 // having been heard to leave falls silent.
 func (r *Registry) Leave(now time.Time, id string) uint64 {
-	if newest := r.newest[id]; newest != nil {
+	if newest := r.newestByName[id]; newest != nil {
 		if !newest.endpoint.Leaving {
-			return max(newest.changed, newest.peersChanged)
+			return max(newest.changeRev, newest.peerRev)
 		}
 		id = newest.endpoint.ID
 	}
-	number := r.leave(now, Endpoint{ID: id})
-	if held := r.records[id]; held.untold {
-		number = r.tellWhole(held)
+	revision := r.leave(now, Endpoint{ID: id})
+	if rec := r.records[id]; rec.relayPending {
+		revision = r.resendFull(rec)
 	}
-	return number
+	return revision
 }
 
 // leave marks an incarnation as gone; e is what is known of it where this
 // registry knows nothing.
 func (r *Registry) leave(now time.Time, e Endpoint) uint64 {
-	held := r.records[e.ID]
-	if held == nil {
+	rec := r.records[e.ID]
+	if rec == nil {
 		e.Gone = false
 		r.supersede(now, e.ID)
-		r.number++
-		held = &record{endpoint: e, heard: now}
-		r.records[e.ID] = held
-		r.noteNewest(e.ID, held)
+		r.revision++
+		rec = &record{endpoint: e, heard: now}
+		r.records[e.ID] = rec
+		r.indexNewest(e.ID, rec)
 	}
-	if !held.endpoint.Gone {
-		held.heard = now
-		r.end(now, held)
-		r.relay(held)
+	if !rec.endpoint.Gone {
+		rec.heard = now
+		r.markGone(now, rec)
+		r.relayToPeers(rec)
 	}
-	return held.changed
+	return rec.changeRev
 }
 
 // Sweep marks endpoints that fell silent, and drops records that nothing needs.
 func (r *Registry) Sweep(now time.Time) {
-	r.excuse(now)
-	for id, held := range r.records {
-		if now.Sub(held.heard) > forgetBeats*r.config.Beat {
-			r.forget(id, held)
+	r.restartConflictsAfterPause(now)
+	for id, rec := range r.records {
+		if now.Sub(rec.heard) > forgetAfterPeriods*r.config.Beat {
+			r.remove(id, rec)
 			continue
 		}
-		if r.quiet(now, held) != held.silent {
-			r.number++
-			r.setSilent(held, !held.silent)
-			r.noteForEntries(now, held)
+		if r.avoided(now, rec) != rec.silent {
+			r.revision++
+			r.setSilent(rec, !rec.silent)
+			r.markForEntries(now, rec)
 		}
 	}
 }
 
-// quiet reports whether new flows avoid an endpoint, since heartbeats are
+// avoided reports whether new flows avoid an endpoint, since heartbeats are
 // missing or another one claims its address.
-func (r *Registry) quiet(now time.Time, held *record) bool {
-	missing := now.Sub(held.heard) - (r.late - held.late)
-	return !held.endpoint.Gone && (missing > r.span(silentBeats) || r.doubted(held))
+func (r *Registry) avoided(now time.Time, rec *record) bool {
+	missing := now.Sub(rec.heard) - (r.stalled - rec.stalledWhenHeard)
+	return !rec.endpoint.Gone && (missing > r.periods(silentAfterPeriods) || r.losesConflict(rec))
 }
 
 // setSilent notes a change of silence under the registry's present number.
-func (r *Registry) setSilent(held *record, silent bool) {
-	held.silent, held.viewChanged = silent, r.number
+func (r *Registry) setSilent(rec *record, silent bool) {
+	rec.silent, rec.viewRev = silent, r.revision
 }
 
-// forget drops a record that nothing needs.
-func (r *Registry) forget(id string, held *record) {
+// remove drops a record that nothing needs.
+func (r *Registry) remove(id string, rec *record) {
 	delete(r.records, id)
-	r.vacate(held)
-	r.digest.Toggle(id, held.sum)
-	r.changes.Remove(held.inChanges)
-	if held.inBeats != nil {
-		r.beats.Remove(held.inBeats)
+	r.releaseAddr(rec)
+	r.digest.Toggle(id, rec.sum)
+	r.changeOrder.Remove(rec.changeElem)
+	if rec.heardElem != nil {
+		r.heardOrder.Remove(rec.heardElem)
 	}
-	if name, _ := splitIncarnation(id); r.newest[name] == held {
-		delete(r.newest, name)
+	if name, _ := parseIncarnation(id); r.newestByName[name] == rec {
+		delete(r.newestByName, name)
 	}
 }
 
@@ -327,7 +327,7 @@
 // Excuse takes that this process stood still for a span. It counts for no endpoint's
 // silence: heartbeats wait meanwhile, or go elsewhere, and that this process is late is
 // the likelier cause than thousands of endpoints being so.
-func (r *Registry) Excuse(span time.Duration) { r.late += span }
+func (r *Registry) Excuse(span time.Duration) { r.stalled += span }
 
 // Whole reports whether every endpoint has had the time to send a heartbeat
 // since the registry began; until then a missing one means nothing.
@@ -337,8 +337,8 @@
 
 // Changed returns the number of the last change that entries must know.
 func (r *Registry) Changed() uint64 {
-	if last := r.changes.Back(); last != nil {
-		return last.Value.(*record).changed
+	if last := r.changeOrder.Back(); last != nil {
+		return last.Value.(*record).changeRev
 	}
 	return 0
 }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -16,7 +16,7 @@
 	RunSpecs(t, "registry")
 }
 
-const beat = 770 * time.Millisecond
+const heartbeatPeriod = 770 * time.Millisecond
 
 var start = time.Unix(5000, 0)
 
@@ -45,7 +45,7 @@
 
 var _ = Describe("a Registry", func() {
 	var r *Registry
-	BeforeEach(func() { r = New(Config{Beat: beat}, start) })
+	BeforeEach(func() { r = New(Config{Beat: heartbeatPeriod}, start) })
 
 	It("orders heartbeats by their sequence, not by when they come", func() {
 		r.Hear(start, endpoint("a", 5, leaving))
@@ -77,7 +77,7 @@
 	It("turns new flows away from an endpoint while another incarnation goes on at its address, and does not end it", func() {
 		r.Hear(start, endpoint("a", 9, nil))
 		for n := range uint64(5) {
-			now := start.Add(time.Duration(n) * beat)
+			now := start.Add(time.Duration(n) * heartbeatPeriod)
 			r.Hear(now, endpoint("b", n+1, nil))
 			r.Sweep(now)
 			Expect(find(r.Changes(now, 0), "a").Silent).To(BeTrue(), "heartbeat %d", n)
@@ -89,12 +89,12 @@
 
 	It("takes an endpoint for silent after some heartbeats are missing, and withdraws that at once", func() {
 		r.Hear(start, endpoint("a", 1, nil))
-		r.Sweep(start.Add(2 * beat))
+		r.Sweep(start.Add(2 * heartbeatPeriod))
 		Expect(find(r.Changes(start, 0), "a").Silent).To(BeFalse())
-		r.Sweep(start.Add(3 * beat))
+		r.Sweep(start.Add(3 * heartbeatPeriod))
 		silent := r.Changes(start, 0)
 		Expect(find(silent, "a").Silent).To(BeTrue())
-		r.Hear(start.Add(4*beat), endpoint("a", 2, nil))
+		r.Hear(start.Add(4*heartbeatPeriod), endpoint("a", 2, nil))
 		again := r.Changes(start, silent.Number)
 		Expect(again.Heard).To(ConsistOf("a"))
 		Expect(again.Endpoints).To(BeEmpty(), "nothing else has changed of it")
@@ -103,27 +103,27 @@
 	It("forgets what has not been heard of for a flow's longest life", func() {
 		r.Hear(start, endpoint("a", 1, nil))
 		r.Leave(start, "a")
-		r.Sweep(start.Add((forgetBeats + 1) * beat))
+		r.Sweep(start.Add((forgetAfterPeriods + 1) * heartbeatPeriod))
 		Expect(r.Len()).To(BeZero())
 	})
 
 	It("is whole once every endpoint could have been heard", func() {
-		Expect(r.Whole(start.Add(beat))).To(BeFalse())
-		Expect(r.Whole(start.Add(3 * beat))).To(BeTrue())
+		Expect(r.Whole(start.Add(heartbeatPeriod))).To(BeFalse())
+		Expect(r.Whole(start.Add(3 * heartbeatPeriod))).To(BeTrue())
 	})
 
 	It("settles who lives at an address by an index, also after one was forgotten", func() {
 		r.Hear(start, endpoint("a", 1, nil))
-		later := start.Add((forgetBeats + 1) * beat)
+		later := start.Add((forgetAfterPeriods + 1) * heartbeatPeriod)
 		r.Sweep(later)
 		r.Hear(later, endpoint("b", 1, nil))
 		Expect(find(r.Changes(later, 0), "b").Silent).To(BeFalse(), "nobody else claims the address")
-		r.Hear(later.Add(beat), endpoint("c", 1, nil))
-		r.Sweep(later.Add(beat))
+		r.Hear(later.Add(heartbeatPeriod), endpoint("c", 1, nil))
+		r.Sweep(later.Add(heartbeatPeriod))
 		Expect(find(r.Changes(later, 0), "b").Silent).To(BeTrue())
-		r.Leave(later.Add(beat), "c")
-		r.Sweep(later.Add(beat))
+		r.Leave(later.Add(heartbeatPeriod), "c")
+		r.Sweep(later.Add(heartbeatPeriod))
 		Expect(find(r.Changes(later, 0), "b").Silent).To(BeFalse(), "nobody else does any more")
-		Expect(r.living).To(HaveLen(1))
+		Expect(r.liveByAddr).To(HaveLen(1))
 	})
 })
--- a/internal/registry/reports.go
+++ b/internal/registry/reports.go
@@ -10,31 +10,31 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// sumsMost is how many sums are told at once: those of more endpoints are more than the
+// maxSums is how many sums are told at once: those of more endpoints are more than the
 // digest, and come while a fleet starts, when the entry is about to be told most of them.
-const sumsMost = 40
+const maxSums = 40
 
 // Changes returns the records that changed after a number, for an entry, the
 // last one first; of those that only fell silent, or no longer are, the id, since they
 // may be a failure domain's at once. Its work grows with their number, not with that of all.
 func (r *Registry) Changes(now time.Time, after uint64) *wire.Reports {
-	out := r.emptyReports(now)
-	for held := range r.changedAfter(after) {
-		if held.sumChanged > after || held.cold(now) {
-			out.Endpoints = append(out.Endpoints, message(now, held))
+	out := r.newReports(now)
+	for rec := range r.changedAfter(after) {
+		if rec.sumRev > after || rec.isCold(now) {
+			out.Endpoints = append(out.Endpoints, toMessage(now, rec))
 		} else {
-			noteSilence(out, held)
+			addLiveness(out, rec)
 		}
 	}
 	return out
 }
 
-// noteSilence adds whether an endpoint is silent to reports.
-func noteSilence(out *wire.Reports, held *record) {
-	if held.silent {
-		out.Silent = append(out.Silent, held.endpoint.ID)
+// addLiveness adds whether an endpoint is silent to reports.
+func addLiveness(out *wire.Reports, rec *record) {
+	if rec.silent {
+		out.Silent = append(out.Silent, rec.endpoint.ID)
 	} else {
-		out.Heard = append(out.Heard, held.endpoint.ID)
+		out.Heard = append(out.Heard, rec.endpoint.ID)
 	}
 }
 
@@ -44,21 +44,21 @@
 // registry's own view. Where more than sumsMost records have changed it leaves out the sums
 // and tells the digest.
 func (r *Registry) ChangesBriefly(now time.Time, after uint64) *wire.Reports {
-	out := r.emptyReports(now)
-	for held := range r.changedAfter(after) {
-		id := held.endpoint.ID
-		if held.sumChanged > after {
-			out.Sums = append(out.Sums, &wire.RecordSum{Id: id, Sum: held.sum})
+	out := r.newReports(now)
+	for rec := range r.changedAfter(after) {
+		id := rec.endpoint.ID
+		if rec.sumRev > after {
+			out.Sums = append(out.Sums, &wire.RecordSum{Id: id, Sum: rec.sum})
 		}
 		switch {
-		case held.viewChanged <= after:
-		case held.cold(now):
-			out.Endpoints = append(out.Endpoints, message(now, held))
+		case rec.viewRev <= after:
+		case rec.isCold(now):
+			out.Endpoints = append(out.Endpoints, toMessage(now, rec))
 		default:
-			noteSilence(out, held)
+			addLiveness(out, rec)
 		}
 	}
-	if len(out.Sums) > sumsMost {
+	if len(out.Sums) > maxSums {
 		out.Sums, out.Digest = nil, slices.Clone(r.digest[:])
 	}
 	return out
@@ -67,11 +67,11 @@
 // View returns the digest of what is known, and which endpoints are silent, for an entry
 // that is told briefly from now on.
 func (r *Registry) View(now time.Time) *wire.Reports {
-	out := r.emptyReports(now)
+	out := r.newReports(now)
 	out.Digest = slices.Clone(r.digest[:])
-	for held := range r.changedAfter(0) {
-		if held.silent {
-			out.Silent = append(out.Silent, held.endpoint.ID)
+	for rec := range r.changedAfter(0) {
+		if rec.silent {
+			out.Silent = append(out.Silent, rec.endpoint.ID)
 		}
 	}
 	return out
@@ -79,10 +79,10 @@
 
 // Records returns what is known of some endpoints.
 func (r *Registry) Records(now time.Time, ids []string) *wire.Reports {
-	out := r.emptyReports(now)
+	out := r.newReports(now)
 	for _, id := range ids {
-		if held := r.records[id]; held != nil {
-			out.Endpoints = append(out.Endpoints, message(now, held))
+		if rec := r.records[id]; rec != nil {
+			out.Endpoints = append(out.Endpoints, toMessage(now, rec))
 		}
 	}
 	return out
@@ -91,11 +91,11 @@
 // Lacking returns the records that an entry lacks which knows what its digest
 // says: the parts on which both differ, and of the others what is silent or cold.
 func (r *Registry) Lacking(now time.Time, known Digest) *wire.Reports {
-	out := r.emptyReports(now)
+	out := r.newReports(now)
 	out.Same = r.digest.Same(&known)
-	for held := range r.changedAfter(0) {
-		if held.silent || held.cold(now) || out.Same&PartBit(held.endpoint.ID) == 0 {
-			m := message(now, held)
+	for rec := range r.changedAfter(0) {
+		if rec.silent || rec.isCold(now) || out.Same&PartBit(rec.endpoint.ID) == 0 {
+			m := toMessage(now, rec)
 			m.AgeNanos = 0 // for peers; a fifth of the list once it is compressed
 			out.Endpoints = append(out.Endpoints, m)
 		}
@@ -108,54 +108,54 @@
 // were heard. That suffices since an incarnation never takes back that it leaves,
 // and nothing else of it changes. Its work grows with their number, not with that of all.
 func (r *Registry) Beats(now time.Time, after uint64) *wire.Reports {
-	out := r.emptyReports(now)
-	for held := range r.heardAfter(after) {
-		if held.peersWhole > after {
-			out.Endpoints = append(out.Endpoints, message(now, held))
+	out := r.newReports(now)
+	for rec := range r.heardAfter(after) {
+		if rec.peerFullRev > after {
+			out.Endpoints = append(out.Endpoints, toMessage(now, rec))
 			continue
 		}
 		out.Beats = append(out.Beats, &wire.Beat{
-			Id: held.endpoint.ID, Sequence: held.endpoint.Sequence, AgeNanos: int64(now.Sub(held.heard)),
+			Id: rec.endpoint.ID, Sequence: rec.endpoint.Sequence, AgeNanos: int64(now.Sub(rec.heard)),
 		})
 	}
 	return out
 }
 
-// emptyReports returns reports that tell of no endpoint yet.
-func (r *Registry) emptyReports(now time.Time) *wire.Reports {
-	return &wire.Reports{Number: r.number, Whole: r.Whole(now)}
+// newReports returns reports that tell of no endpoint yet.
+func (r *Registry) newReports(now time.Time) *wire.Reports {
+	return &wire.Reports{Number: r.revision, Whole: r.Whole(now)}
 }
 
 // changedAfter goes through the records that changed after a number, the last
 // one first.
 func (r *Registry) changedAfter(after uint64) iter.Seq[*record] {
-	return lastFirst(r.changes, func(held *record) bool { return held.changed > after })
+	return newestFirst(r.changeOrder, func(rec *record) bool { return rec.changeRev > after })
 }
 
 // heardAfter goes through the records that were heard or changed after a number,
 // the last one first.
 func (r *Registry) heardAfter(after uint64) iter.Seq[*record] {
-	return lastFirst(r.beats, func(held *record) bool { return held.peersChanged > after })
+	return newestFirst(r.heardOrder, func(rec *record) bool { return rec.peerRev > after })
 }
 
-// lastFirst goes through a list from its back as long as the records are wanted.
-func lastFirst(l *list.List, wanted func(*record) bool) iter.Seq[*record] {
+// newestFirst goes through a list from its back as long as the records are wanted.
+func newestFirst(l *list.List, wanted func(*record) bool) iter.Seq[*record] {
 	return func(yield func(*record) bool) {
 		for e := l.Back(); e != nil; e = e.Prev() {
-			if held := e.Value.(*record); !wanted(held) || !yield(held) {
+			if rec := e.Value.(*record); !wanted(rec) || !yield(rec) {
 				return
 			}
 		}
 	}
 }
 
-// message returns a record as it travels; its times count from now.
-func message(now time.Time, held *record) *wire.EndpointReport {
-	e, age := held.endpoint, now.Sub(held.heard)
+// toMessage returns a record as it travels; its times count from now.
+func toMessage(now time.Time, rec *record) *wire.EndpointReport {
+	e, age := rec.endpoint, now.Sub(rec.heard)
 	return &wire.EndpointReport{
 		Id: e.ID, Number: e.Number, Service: e.Service, Address: e.Addr.String(), Domain: e.Domain, Slots: uint32(e.Slots),
 		Leaving: e.Leaving, Gone: e.Gone, WarmNanos: int64(max(0, e.Warm-age)), Sequence: e.Sequence,
-		AgeNanos: int64(age), Silent: held.silent,
+		AgeNanos: int64(age), Silent: rec.silent,
 	}
 }
 
--- a/internal/registry/reports_test.go
+++ b/internal/registry/reports_test.go
@@ -14,20 +14,20 @@
 
 var _ = Describe("what a Registry tells", func() {
 	var r *Registry
-	BeforeEach(func() { r = New(Config{Beat: beat}, start) })
+	BeforeEach(func() { r = New(Config{Beat: heartbeatPeriod}, start) })
 
 	It("tells entries of what is new, not of every heartbeat", func() {
 		r.Hear(start, endpoint("a", 1, nil))
 		first := r.Changes(start, 0)
 		Expect(first.Endpoints).To(HaveLen(1))
-		r.Hear(start.Add(beat), endpoint("a", 2, nil))
+		r.Hear(start.Add(heartbeatPeriod), endpoint("a", 2, nil))
 		Expect(r.Changes(start, first.Number).Endpoints).To(BeEmpty())
 		Expect(r.Beats(start, first.Number).Beats).To(HaveLen(1), "peers must know that it was heard")
 	})
 
 	It("tells a change with work that does not grow with the number of endpoints", func() {
 		work := func(endpoints int) float64 {
-			r := New(Config{Beat: beat}, start)
+			r := New(Config{Beat: heartbeatPeriod}, start)
 			for n := range endpoints {
 				addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 80)
 				r.Hear(start, endpoint(fmt.Sprint(n), 1, func(e *Endpoint) { e.Addr = addr }))
@@ -42,15 +42,15 @@
 	})
 
 	It("tells a peer only that an endpoint was heard, where nothing else has changed", func() {
-		other := New(Config{Beat: beat}, start)
-		r.Hear(start, endpoint("a", 1, func(e *Endpoint) { e.Warm = 3 * beat }))
+		other := New(Config{Beat: heartbeatPeriod}, start)
+		r.Hear(start, endpoint("a", 1, func(e *Endpoint) { e.Warm = 3 * heartbeatPeriod }))
 		all := r.Beats(start, 0)
 		Expect(all.Endpoints).To(HaveLen(1))
 		Expect(all.Beats).To(BeEmpty())
 		other.Merge(start, all)
 
-		now := start.Add(2 * beat)
-		r.Hear(now, endpoint("a", 2, func(e *Endpoint) { e.Warm = beat }))
+		now := start.Add(2 * heartbeatPeriod)
+		r.Hear(now, endpoint("a", 2, func(e *Endpoint) { e.Warm = heartbeatPeriod }))
 		more := r.Beats(now, all.Number)
 		Expect(more.Endpoints).To(BeEmpty())
 		Expect(more.Beats).To(HaveLen(1))
@@ -58,24 +58,24 @@
 		m := find(other.Changes(now, 0), "a")
 		Expect(m.Sequence).To(Equal(uint64(2)))
 		Expect(time.Duration(m.AgeNanos)).To(BeZero())
-		Expect(time.Duration(m.WarmNanos)).To(Equal(beat), "what is left of it")
-		other.Sweep(start.Add(4 * beat))
+		Expect(time.Duration(m.WarmNanos)).To(Equal(heartbeatPeriod), "what is left of it")
+		other.Sweep(start.Add(4 * heartbeatPeriod))
 		Expect(find(other.Changes(now, 0), "a").Silent).To(BeFalse())
 	})
 
 	It("tells entries and peers of an endpoint that became cold again, not of one that warms up as it said", func() {
 		warm := func(span time.Duration) func(*Endpoint) { return func(e *Endpoint) { e.Warm = span } }
-		r.Hear(start, endpoint("a", 1, warm(2*beat)))
+		r.Hear(start, endpoint("a", 1, warm(2*heartbeatPeriod)))
 		before := r.Changed()
-		r.Hear(start.Add(beat), endpoint("a", 2, warm(beat+beat/10)))
-		r.Hear(start.Add(2*beat-time.Millisecond), endpoint("a", 3, warm(beat/2))) // waited for a busy control instance
-		r.Hear(start.Add(2*beat), endpoint("a", 4, nil))
+		r.Hear(start.Add(heartbeatPeriod), endpoint("a", 2, warm(heartbeatPeriod+heartbeatPeriod/10)))
+		r.Hear(start.Add(2*heartbeatPeriod-time.Millisecond), endpoint("a", 3, warm(heartbeatPeriod/2))) // waited for a busy control instance
+		r.Hear(start.Add(2*heartbeatPeriod), endpoint("a", 4, nil))
 		Expect(r.Changed()).To(Equal(before))
-		now := start.Add(5 * beat)
-		r.Hear(now, endpoint("a", 6, warm(2*beat)))
+		now := start.Add(5 * heartbeatPeriod)
+		r.Hear(now, endpoint("a", 6, warm(2*heartbeatPeriod)))
 		for _, told := range []*wire.Reports{r.Changes(now, before), r.ChangesBriefly(now, before), r.Beats(now, before)} {
 			Expect(told.Endpoints).To(HaveLen(1))
-			Expect(time.Duration(told.Endpoints[0].WarmNanos)).To(Equal(2 * beat))
+			Expect(time.Duration(told.Endpoints[0].WarmNanos)).To(Equal(2 * heartbeatPeriod))
 		}
 	})
 
@@ -95,24 +95,24 @@
 		})
 
 		It("tells it nothing that it knows, whatever the heartbeats since", func() {
-			r.Hear(start.Add(beat), endpoint(id(0), 7, func(e *Endpoint) {
+			r.Hear(start.Add(heartbeatPeriod), endpoint(id(0), 7, func(e *Endpoint) {
 				e.Addr = netip.MustParseAddrPort("10.0.0.0:80")
 			}))
 			told := r.Lacking(start, known)
 			Expect(told.Endpoints).To(BeEmpty())
 			Expect(told.Same).To(Equal(^uint64(0)))
-			Expect(told.Number).To(Equal(r.number))
+			Expect(told.Number).To(Equal(r.revision))
 		})
 
 		It("tells it of an endpoint that became cold again, for as long as that lasts", func() {
-			again := start.Add(beat)
+			again := start.Add(heartbeatPeriod)
 			r.Hear(again, endpoint(id(0), 7, func(e *Endpoint) {
-				e.Addr, e.Warm = netip.MustParseAddrPort("10.0.0.0:80"), 2*beat
+				e.Addr, e.Warm = netip.MustParseAddrPort("10.0.0.0:80"), 2*heartbeatPeriod
 			}))
-			told := r.Lacking(again.Add(beat), known)
+			told := r.Lacking(again.Add(heartbeatPeriod), known)
 			Expect(told.Endpoints).To(ConsistOf(HaveField("Id", id(0))))
-			Expect(time.Duration(told.Endpoints[0].WarmNanos)).To(Equal(beat))
-			Expect(r.Lacking(again.Add(2*beat), known).Endpoints).To(BeEmpty())
+			Expect(time.Duration(told.Endpoints[0].WarmNanos)).To(Equal(heartbeatPeriod))
+			Expect(r.Lacking(again.Add(2*heartbeatPeriod), known).Endpoints).To(BeEmpty())
 		})
 
 		It("tells all to one that knows nothing", func() {
@@ -142,7 +142,7 @@
 		})
 
 		It("tells what is silent in every part, since a digest does not say it", func() {
-			now := start.Add(3 * beat)
+			now := start.Add(3 * heartbeatPeriod)
 			r.Sweep(now)
 			told := r.Lacking(now, known)
 			Expect(told.Same).To(Equal(^uint64(0)))
@@ -153,12 +153,12 @@
 			for n := range endpoints {
 				r.Leave(start, id(n))
 			}
-			r.Sweep(start.Add((forgetBeats + 1) * beat))
+			r.Sweep(start.Add((forgetAfterPeriods + 1) * heartbeatPeriod))
 			Expect(r.digest).To(Equal(Digest{}))
 		})
 
 		It("knows as much of one that ended, wherever it learned that", func() {
-			other := New(Config{Beat: beat}, start)
+			other := New(Config{Beat: heartbeatPeriod}, start)
 			r.Leave(start, id(7))
 			other.Merge(start, r.Changes(start, 0))
 			Expect(other.digest).To(Equal(r.digest))
@@ -179,11 +179,11 @@
 
 		It("tells briefly what fell silent and what is heard again", func() {
 			before := r.Changed()
-			r.Sweep(start.Add(3 * beat))
+			r.Sweep(start.Add(3 * heartbeatPeriod))
 			silent := r.ChangesBriefly(start, before)
 			Expect(silent.Silent).To(HaveLen(endpoints))
 			Expect(silent.Sums).To(BeEmpty(), "nothing else has changed of them")
-			r.Hear(start.Add(3*beat), endpoint(id(4), 2, func(e *Endpoint) { e.Addr = netip.MustParseAddrPort("10.0.0.4:80") }))
+			r.Hear(start.Add(3*heartbeatPeriod), endpoint(id(4), 2, func(e *Endpoint) { e.Addr = netip.MustParseAddrPort("10.0.0.4:80") }))
 			again := r.ChangesBriefly(start, silent.Number)
 			Expect(again.Silent).To(BeEmpty())
 			Expect(again.Heard).To(ConsistOf(id(4)))
@@ -191,15 +191,15 @@
 
 		It("tells briefly of a change beside a silence both", func() {
 			before := r.Changed()
-			r.Sweep(start.Add(3 * beat))
-			r.Leave(start.Add(3*beat), id(4))
+			r.Sweep(start.Add(3 * heartbeatPeriod))
+			r.Leave(start.Add(3*heartbeatPeriod), id(4))
 			told := r.ChangesBriefly(start, before)
 			Expect(told.Sums).To(ConsistOf(HaveField("Id", id(4))))
 		})
 
 		It("tells the digest in place of more sums than it is worth", func() {
 			before := r.Changed()
-			for n := range sumsMost + 1 {
+			for n := range maxSums + 1 {
 				r.Leave(start, id(n))
 			}
 			told := r.ChangesBriefly(start, before)
