--- a/internal/announce/heard.go
+++ b/internal/announce/heard.go
@@ -8,21 +8,21 @@
 )
 
 const (
-	// announcementTTL is how long an announcement counts: a control instance that is up
-	// repeats it until there is a link.
+	// announcementTTL is how long an announcement stays valid; a running control
+	// instance repeats it until the entry has linked to it.
 	announcementTTL = 5 * time.Second
-	// maxRecent bounds how many count at once, so that whatever comes in such
-	// datagrams leaves room for the seeds; one more takes the place of the oldest.
+	// maxRecent bounds the valid announcements, so that forged datagrams cannot
+	// crowd out the configured seeds. A further one replaces the oldest.
 	maxRecent = 3
 )
 
-// Heard holds the control instances that have announced themselves lately to
-// an entry. The zero value has heard of none. One goroutine at a time uses it.
+// Heard holds the control instances that have recently announced themselves to
+// an entry. The zero value is empty. It is not safe for concurrent use.
 type Heard struct {
 	seenAt map[netip.AddrPort]time.Time
 }
 
-// Take takes an announcement.
+// Take adds an announcement. Addresses that are invalid or have no port are ignored.
 func (h *Heard) Take(now time.Time, addr netip.AddrPort) {
 	if !addr.IsValid() || addr.Port() == 0 {
 		return
@@ -40,13 +40,13 @@
 	h.seenAt[addr] = now
 }
 
-// Recent returns those whose announcement still counts, in order.
+// Recent returns the addresses of the valid announcements, sorted.
 func (h *Heard) Recent(now time.Time) []netip.AddrPort {
 	h.expire(now)
 	return slices.SortedFunc(maps.Keys(h.seenAt), netip.AddrPort.Compare)
 }
 
-// expire drops announcements that no longer count.
+// expire drops announcements that are older than announcementTTL.
 func (h *Heard) expire(now time.Time) {
 	maps.DeleteFunc(h.seenAt, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > announcementTTL })
 }
--- a/internal/announce/schedule.go
+++ b/internal/announce/schedule.go
@@ -1,8 +1,8 @@
-// Package announce has control instances make themselves known to entries, in
-// datagrams that carry their address. An entry that has lost everything knows
-// the control instances its settings name, and of these none may be up, or none
-// be a control instance any more; those that are up remember the entries. The
-// package has no I/O, and now is an argument.
+// Package announce lets control instances announce themselves to entries in
+// datagrams that carry their address. An entry that restarts without state knows
+// only the control instances in its settings, which may all be down or
+// decommissioned, whereas the running ones still know the entries. The package
+// performs no I/O, and callers pass in the current time.
 package announce
 
 import (
@@ -12,49 +12,47 @@
 )
 
 const (
-	// Tick is how often Due is asked.
+	// Tick is the interval between calls of Due.
 	Tick = 20 * time.Millisecond
-	// PerTick bounds the datagrams at once: 7,500 a second, 4% of a core (5 µs each
-	// on loopback). All of 352 entries are told within 60 ms, 6,800 within a second.
+	// PerTick bounds the datagrams sent in one tick, which is 7,500 a second.
 	PerTick = 150
-	// resendInterval is how soon an entry is told again, at the next Tick: entries start
-	// within 0.2 s of each other, and what is told before is lost.
+	// resendInterval is the minimum time between two datagrams to the same entry.
+	// It is short because datagrams that arrive before the entry listens are lost.
 	resendInterval = 50 * time.Millisecond
-	// announceDuration is how long an entry is told after it was linked last, or after the
-	// control instance started: several times what a restart takes.
+	// announceDuration is how long announcements are sent to an entry after its last
+	// link ended or the control instance started. It covers a restart of the entry.
 	announceDuration = 10 * time.Second
-	// retention is how long an entry that is not linked is remembered, so that a
-	// second loss of power soon after a first finds all of them.
+	// retention is how long an unlinked entry is remembered, so that a second power
+	// loss soon after the first still finds all entries.
 	retention = time.Hour
-	// maxEntries bounds how many are remembered, above the 6,800 nodes to design for:
-	// one entry more has to find a seed.
+	// maxEntries bounds the remembered entries. Entries beyond it depend on their seeds.
 	maxEntries = 10_000
-	// pruneInterval is how often those that were not linked for long are looked for.
+	// pruneInterval is the time between two searches for expired entries.
 	pruneInterval = time.Minute
 )
 
 type (
-	// Schedule says which entries a control instance announces itself to, and when.
-	// The zero value knows none. One goroutine at a time uses it.
+	// Schedule decides to which entries a control instance announces itself, and
+	// when. The zero value knows no entry. It is not safe for concurrent use.
 	Schedule struct {
 		known     map[netip.AddrPort]*listener
-		pending   []*listener // not linked, and told; looked through in turn
-		next      int         // index in waiting
+		pending   []*listener // unlinked entries that are sent announcements, in round-robin order
+		next      int         // index in pending
 		changes   uint64
 		nextPrune time.Time
 	}
 
-	// listener is where an entry listens for announcements.
+	// listener is the address on which an entry receives announcements.
 	listener struct {
 		addr          netip.AddrPort
 		links         int
-		unlinkedSince time.Time // when it was linked last, or remembered
+		unlinkedSince time.Time // when its last link ended or it was first known
 		lastSent      time.Time
-		pending       bool // it stands in Schedule.waiting
+		pending       bool // whether it is in Schedule.pending
 	}
 )
 
-// Remember takes entries that were known before a restart.
+// Remember adds entries that were known before a restart.
 func (s *Schedule) Remember(now time.Time, addrs []netip.AddrPort) {
 	for _, addr := range addrs {
 		if l := s.getOrAdd(now, addr); l != nil {
@@ -63,14 +61,14 @@
 	}
 }
 
-// Linked notes that an entry has a link.
+// Linked records a new link of an entry.
 func (s *Schedule) Linked(now time.Time, addr netip.AddrPort) {
 	if l := s.getOrAdd(now, addr); l != nil {
 		l.links++
 	}
 }
 
-// Unlinked notes that a link of an entry has ended.
+// Unlinked records that a link of an entry has ended.
 func (s *Schedule) Unlinked(now time.Time, addr netip.AddrPort) {
 	l := s.known[addr]
 	if l == nil || l.links == 0 {
@@ -82,7 +80,7 @@
 	}
 }
 
-// Due returns the entries to be told now, PerTick at most.
+// Due returns the entries to send an announcement to now, at most PerTick.
 func (s *Schedule) Due(now time.Time) []netip.AddrPort {
 	s.prune(now)
 	var due []netip.AddrPort
@@ -106,7 +104,7 @@
 	return due
 }
 
-// Known returns the entries to remember over a restart, in order.
+// Known returns all remembered entries, sorted, to be stored across a restart.
 func (s *Schedule) Known() []netip.AddrPort {
 	var all []netip.AddrPort
 	for addr := range s.known {
@@ -116,14 +114,14 @@
 	return all
 }
 
-// Len returns how many entries Known names.
+// Len returns the number of remembered entries.
 func (s *Schedule) Len() int { return len(s.known) }
 
-// Changes rises whenever what Known returns changes.
+// Changes returns a counter that increases whenever the result of Known changes.
 func (s *Schedule) Changes() uint64 { return s.changes }
 
-// getOrAdd returns what is known of an entry, which begins now; nil where there
-// is no room.
+// getOrAdd returns the listener at an address, adding it if it is unknown. It
+// returns nil if the address is invalid or maxEntries is reached.
 func (s *Schedule) getOrAdd(now time.Time, addr netip.AddrPort) *listener {
 	if l := s.known[addr]; l != nil {
 		return l
@@ -140,7 +138,7 @@
 	return l
 }
 
-// enqueue has an entry told.
+// enqueue adds a listener to the pending list.
 func (s *Schedule) enqueue(l *listener) {
 	if !l.pending {
 		l.pending = true
@@ -148,7 +146,8 @@
 	}
 }
 
-// prune forgets, now and then, entries that were not linked for long.
+// prune drops, once per pruneInterval, entries that have been unlinked for longer
+// than retention.
 func (s *Schedule) prune(now time.Time) {
 	if now.Before(s.nextPrune) {
 		return
--- a/internal/announce/schedule_test.go
+++ b/internal/announce/schedule_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Unix(5000, 0)
 
-// addr is where the n-th entry listens.
+// addr returns the listening address of the n-th entry.
 func addr(n int) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, byte(n >> 8), byte(n)}), 7001)
 }
@@ -33,17 +33,17 @@
 	var s *Schedule
 	BeforeEach(func() { s = &Schedule{} })
 
-	It("tells those that were known before a restart until they are linked", func() {
+	It("announces to entries restored after a restart until they are linked", func() {
 		s.Remember(start, addrs(2))
 		Expect(s.Due(start)).To(ConsistOf(addr(0), addr(1)))
-		Expect(s.Due(start.Add(Tick))).To(BeEmpty(), "a moment ago")
+		Expect(s.Due(start.Add(Tick))).To(BeEmpty(), "it was announced to within resendInterval")
 		s.Linked(start.Add(Tick), addr(0))
 		Expect(s.Due(start.Add(resendInterval))).To(ConsistOf(addr(1)))
-		Expect(s.Due(start.Add(announceDuration+time.Second))).To(BeEmpty(), "it has gone, as it seems")
-		Expect(s.Known()).To(Equal(addrs(2)), "and may come back")
+		Expect(s.Due(start.Add(announceDuration+time.Second))).To(BeEmpty(), "announceDuration has passed")
+		Expect(s.Known()).To(Equal(addrs(2)), "unlinked entries are remembered")
 	})
 
-	It("tells a whole fleet within 60 ms and never more than PerTick at once", func() {
+	It("announces to a fleet within 60 ms and to at most PerTick entries at once", func() {
 		s.Remember(start, addrs(352))
 		told := map[netip.AddrPort]int{}
 		for now := start; now.Sub(start) < 60*time.Millisecond; now = now.Add(Tick) {
@@ -56,9 +56,9 @@
 		Expect(told).To(HaveLen(352))
 	})
 
-	It("tells an entry whose last link has ended", func() {
+	It("announces to an entry whose last link has ended", func() {
 		s.Linked(start, addr(0))
-		s.Linked(start, addr(0)) // a second link, before the first was noticed to have ended
+		s.Linked(start, addr(0)) // the second link opens before the first is known to have ended
 		s.Unlinked(start, addr(0))
 		Expect(s.Due(start)).To(BeEmpty())
 		s.Unlinked(start.Add(time.Second), addr(0))
@@ -67,7 +67,7 @@
 		Expect(s.Known()).To(HaveLen(1))
 	})
 
-	It("forgets entries that were not linked for long, and has room again", func() {
+	It("drops entries that have been unlinked for long and accepts new ones again", func() {
 		s.Remember(start, addrs(maxEntries))
 		s.Linked(start, netip.AddrPort{})
 		s.Linked(start, addr(maxEntries))
@@ -82,7 +82,7 @@
 		Expect(s.Known()).To(HaveLen(2))
 	})
 
-	It("tells exactly those that are not linked, however links come and go", func() {
+	It("announces to exactly the entries without a link, for random link changes", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			const entries = 5
 			s, links, since, now := &Schedule{}, map[int]int{}, map[int]time.Time{}, start
@@ -110,7 +110,7 @@
 					}
 				}
 				if due := s.Due(now); len(wanted) == 0 && len(due) > 0 || len(wanted) > 0 && !sameSet(due, wanted) {
-					t.Fatalf("told %v, wanted %v", due, wanted)
+					t.Fatalf("due %v, want %v", due, wanted)
 				}
 			}
 		})
@@ -133,8 +133,8 @@
 	return true
 }
 
-var _ = Describe("what an entry has heard", func() {
-	It("counts for a while, and no more than a few at once, the latest ones", func() {
+var _ = Describe("a Heard", func() {
+	It("keeps the latest few announcements until they expire", func() {
 		var h Heard
 		Expect(h.Recent(start)).To(BeEmpty())
 		for n := range 5 {
@@ -145,7 +145,7 @@
 		Expect(h.Recent(start.Add(announcementTTL + time.Second))).To(Equal([]netip.AddrPort{addr(3)}))
 	})
 
-	It("is nothing that names no place", func() {
+	It("ignores invalid addresses and port 0", func() {
 		var h Heard
 		h.Take(start, netip.AddrPort{})
 		h.Take(start, netip.AddrPortFrom(addr(0).Addr(), 0))
--- a/internal/attachment/attachment.go
+++ b/internal/attachment/attachment.go
@@ -1,7 +1,7 @@
-// Package attachment decides which control instances an entry is linked to: a few,
-// ranked by a hash of entry and instance, so that entries spread evenly over all
-// instances, and what is lost or new moves its own share of the links alone. The
-// package has no I/O.
+// Package attachment decides which control instances an entry keeps links to.
+// It ranks them by a rendezvous hash of entry and instance, so that links spread
+// evenly over all instances, and the loss or addition of an instance moves only
+// its own share of the links. The package performs no I/O.
 package attachment
 
 import (
@@ -12,15 +12,15 @@
 )
 
 const (
-	// The keys by which entries spread over control instances.
+	// Keys of the hash that ranks control instances.
 	rankKey0 = 0x6f78626f77736164
 	rankKey1 = 0x7072696d61727900
 
-	// LinksLeast is how few links an entry keeps at least: with one lost and one that is
-	// behind, another still tells what is new.
+	// LinksLeast is the minimum number of links of an entry: with one lost and one
+	// lagging behind, another still delivers changes in time.
 	LinksLeast = 3
-	// maxUnusable bounds the instances out of use that are tried beside the links in use:
-	// those of a failure domain.
+	// maxUnusable bounds the unusable instances that are tried in addition to the
+	// links in use. It covers the instances of one failure domain.
 	maxUnusable = 5
 )
 
@@ -28,31 +28,31 @@
 	// Candidate is a control instance that an entry may link to.
 	Candidate struct {
 		Address string
-		Domain  string // failure domain, "" where it is not known
+		Domain  string // failure domain, empty if unknown
 	}
 
-	// Config sets who the entry is.
+	// Config describes the entry that chooses its links.
 	Config struct {
 		Entry  string // name
 		Domain string // failure domain
-		Links  int    // links in use that are wanted
+		Links  int    // desired number of links in use
 	}
 )
 
-// Rank returns a number for a control instance that differs by entry.
+// Rank returns the rendezvous hash of an entry and a control instance.
 func Rank(entry, address string) uint64 {
 	return siphash.Hash(rankKey0, rankKey1, []byte(entry+" "+address))
 }
 
-// Links returns how many links an entry keeps so that one is left after the
-// loss of some instances at once.
+// Links returns how many links an entry needs so that one remains after the
+// given number of instances is lost at once.
 func Links(losses int) int { return max(LinksLeast, losses+1) }
 
-// Choose returns the addresses that links are kept to, the preferred ones first:
-// those of the own failure domain but for one link at least, which leaves it, then
-// others, and those whose failure domain is not known last. One that is not usable,
-// as far as known, is kept in its place, so that it is used again once it is back,
-// and another one beside it.
+// Choose returns the addresses to keep links to, in order of preference. It takes
+// instances of the entry's own failure domain, except for at least one link to
+// another, then the others, and those of unknown failure domain last. An unusable
+// instance keeps its place, so that it is used again once it is back, and a usable
+// one is chosen in addition.
 func (c Config) Choose(candidates []Candidate, usable func(address string) bool) []string {
 	local, remote, unknown := c.partition(candidates)
 	s := selection{usable: usable}
@@ -63,7 +63,7 @@
 	return s.chosen
 }
 
-// partition returns the candidates by where they are, each list by rank.
+// partition groups the candidates by location, each group sorted by rank.
 func (c Config) partition(candidates []Candidate) (local, remote, unknown []string) {
 	for _, candidate := range candidates {
 		switch candidate.Domain {
@@ -83,15 +83,16 @@
 	return local, remote, unknown
 }
 
-// selection is what has been chosen so far.
+// selection accumulates the chosen addresses.
 type selection struct {
 	usable      func(address string) bool
 	chosen      []string
 	usableCount int
-	unusable    int // that are not usable
+	unusable    int // chosen addresses that are not usable
 }
 
-// takeUntil chooses from a list until enough are usable, and returns what is left of it.
+// takeUntil chooses from a list until the given number of addresses is usable, and
+// returns the rest of the list.
 func (s *selection) takeUntil(list []string, enough int) []string {
 	for i, address := range list {
 		switch {
--- a/internal/attachment/attachment_test.go
+++ b/internal/attachment/attachment_test.go
@@ -14,7 +14,7 @@
 	ginkgo.RunSpecs(t, "attachment")
 }
 
-// fleet is entries before control instances, both spread over failure domains.
+// fleet is a set of entries and control instances spread over failure domains.
 type fleet struct {
 	entries    []Config
 	candidates []Candidate
@@ -31,7 +31,7 @@
 	return f
 }
 
-// without returns the fleet without the instances that are lost, and which these are.
+// without returns the fleet without the lost instances, and the addresses of these.
 func (f fleet) without(lost func(n int, c Candidate) bool) (fleet, map[string]bool) {
 	remaining, lostAddresses := fleet{entries: f.entries}, map[string]bool{}
 	for n, c := range f.candidates {
@@ -46,7 +46,7 @@
 
 func always(string) bool { return true }
 
-// links returns what each entry is linked to.
+// links returns the addresses that each entry links to.
 func (f fleet) links(usable func(string) bool) [][]string {
 	var all [][]string
 	for _, e := range f.entries {
@@ -55,7 +55,7 @@
 	return all
 }
 
-// moved counts the links that are in b and not in a.
+// moved counts the links in b that are not in a.
 func moved(a, b [][]string) int {
 	n := 0
 	for i := range b {
@@ -72,12 +72,12 @@
 	for _, size := range []struct{ entries, instances, domains, losses int }{
 		{60, 6, 3, 2}, {1000, 25, 5, 2}, {6800, 96, 16, 2},
 	} {
-		ginkgo.Context(fmt.Sprintf("of %d before %d instances", size.entries, size.instances), func() {
+		ginkgo.Context(fmt.Sprintf("of %d entries to %d instances", size.entries, size.instances), func() {
 			f := newFleet(size.entries, size.instances, size.domains, size.losses)
 			before := f.links(always)
 			total := size.entries * Links(size.losses)
 
-			ginkgo.It("are as many as the losses need, near and in another failure domain", func() {
+			ginkgo.It("survive the configured losses and span two failure domains", func() {
 				domains := map[string]string{}
 				for _, c := range f.candidates {
 					domains[c.Address] = c.Domain
@@ -90,7 +90,7 @@
 				}
 			})
 
-			ginkgo.It("are spread evenly", func() {
+			ginkgo.It("are spread evenly over the instances", func() {
 				count := map[string]int{}
 				for _, links := range before {
 					for _, address := range links {
@@ -104,7 +104,7 @@
 				}
 			})
 
-			ginkgo.It("move no more than the share of what is lost or new", func() {
+			ginkgo.It("move only from lost or to new instances", func() {
 				check := func(lost func(n int, c Candidate) bool) {
 					left, gone := f.without(lost)
 					after := left.links(always)
@@ -116,8 +116,8 @@
 							}
 						}
 					}
-					Expect(moved(before, after)).To(Equal(onLost), "the links to the lost ones, and no other")
-					Expect(moved(after, before)).To(Equal(onLost), "and back")
+					Expect(moved(before, after)).To(Equal(onLost), "only the links to lost instances move")
+					Expect(moved(after, before)).To(Equal(onLost), "and they move back")
 				}
 				check(func(n int, _ Candidate) bool { return n < 2 })
 				check(func(n int, _ Candidate) bool { return n%size.domains == 1 && n < 5*size.domains })
@@ -125,7 +125,7 @@
 		})
 	}
 
-	ginkgo.It("keep the place of an instance that is out of use, and have another one beside it", func() {
+	ginkgo.It("keep an unusable instance in its place and add a usable one", func() {
 		f := newFleet(40, 25, 5, 2)
 		for i, links := range f.links(always) {
 			without := f.entries[i].Choose(f.candidates, func(address string) bool { return address != links[0] })
@@ -135,12 +135,12 @@
 		}
 	})
 
-	ginkgo.It("are bounded while nobody is usable", func() {
+	ginkgo.It("are bounded while no instance is usable", func() {
 		f := newFleet(1, 100, 5, 2)
 		Expect(f.links(func(string) bool { return false })[0]).To(HaveLen(maxUnusable))
 	})
 
-	ginkgo.It("go to those whose failure domain is not known only where others do not suffice", func() {
+	ginkgo.It("go to instances of unknown failure domain only if there are too few others", func() {
 		c := Config{Entry: "e", Domain: "d0", Links: 3}
 		known := []Candidate{{"a:1", "d0"}, {"b:1", "d1"}}
 		seeds := []Candidate{{"s:1", ""}, {"t:1", ""}}
--- a/internal/document/delta.go
+++ b/internal/document/delta.go
@@ -9,9 +9,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Frame returns the document as an entry is sent it: what differs from a
-// base that the entry holds, or the whole where there is none. An entry has no
-// use for the source.
+// Frame returns the document as it is sent to an entry: the difference from the
+// base that the entry holds, or all of it if base is nil. The source is left out,
+// since entries do not use it.
 func (d *Document) Frame(base *Document, confirmed bool) *wire.DocumentFrame {
 	whole := d.message
 	m := &wire.Document{Version: whole.Version, Services: whole.Services, IdleNanos: whole.IdleNanos}
@@ -36,7 +36,7 @@
 	return f
 }
 
-// byAddr returns the routes by their address.
+// byAddr returns the routes keyed by address.
 func (d *Document) byAddr() map[netip.AddrPort]Route {
 	routes := make(map[netip.AddrPort]Route, len(d.Routes()))
 	for _, r := range d.Routes() {
@@ -45,9 +45,8 @@
 	return routes
 }
 
-// FromFrame returns the document of a frame; held is what the entry has, nil
-// for none. A frame against another base is refused with an error of kind
-// Conflict.
+// FromFrame applies a frame to base, the document that the entry holds, which may
+// be nil. A frame made for another base returns an error of kind Conflict.
 func FromFrame(base *Document, f *wire.DocumentFrame) (*Document, error) {
 	if f.Base == 0 {
 		return FromMessage(f.Document)
--- a/internal/document/delta_test.go
+++ b/internal/document/delta_test.go
@@ -12,8 +12,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-var _ = Describe("what differs between documents", func() {
-	// random returns a document of some of 20 routes, with random timeouts.
+var _ = Describe("a DocumentFrame", func() {
+	// random returns a document with a random subset of 20 routes and random timeouts.
 	random := func(rng *rand.Rand, version uint64) *Document {
 		c := Config{Version: version, Services: []Service{{Name: "booking"}, {Name: "documents"}}}
 		for n := range 20 {
@@ -29,7 +29,7 @@
 		return d
 	}
 
-	It("leads from the one to the other", func() {
+	It("turns the base into the new document", func() {
 		rng := rand.New(rand.NewPCG(1, 1))
 		for version := range uint64(200) {
 			base, next := random(rng, version+1), random(rng, version+2)
@@ -41,24 +41,24 @@
 		}
 	})
 
-	It("is the whole for an entry that holds nothing", func() {
+	It("contains the whole document for an entry that holds none", func() {
 		next := random(rand.New(rand.NewPCG(1, 1)), 5)
 		got, err := FromFrame(nil, next.Frame(nil, true))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.Routes()).To(Equal(next.Routes()))
 	})
 
-	It("is refused by an entry that holds another base", func() {
+	It("is rejected by an entry that holds another base", func() {
 		rng := rand.New(rand.NewPCG(1, 1))
 		base, next, other := random(rng, 5), random(rng, 7), random(rng, 6)
 		frame := next.Frame(base, true)
-		for _, held := range []*Document{nil, other} {
-			_, err := FromFrame(held, frame)
+		for _, current := range []*Document{nil, other} {
+			_, err := FromFrame(current, frame)
 			Expect(err).To(MatchError(ContainSubstring("version 5, which is not held")))
 		}
 	})
 
-	It("takes work in proportion to the routes, also where all differ", func() {
+	It("costs linear work in the number of routes, even if all differ", func() {
 		of := func(routes int, timeout time.Duration) *Document {
 			c := Config{Version: uint64(timeout), Services: []Service{{Name: "booking"}}}
 			for n := range routes {
@@ -74,7 +74,7 @@
 		Expect(testing.AllocsPerRun(1, func() { next.Frame(base, true) })).To(BeNumerically("<", 10*2000))
 	})
 
-	It("is small where little differs", func() {
+	It("is small if few routes differ", func() {
 		c := valid()
 		for n := range 400 {
 			c.Routes = append(c.Routes, Route{
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -1,6 +1,6 @@
-// Package document holds a whole configuration under its version: routes, the
-// services they lead to, and limits. The one with the highest version is in
-// force. A Document is immutable once made.
+// Package document holds a versioned configuration: routes, the services they
+// lead to, and limits. The document with the highest version is in force. A
+// Document is immutable.
 package document
 
 import (
@@ -13,51 +13,52 @@
 )
 
 type (
-	// Share is one service that new flows of a route may go to; of all flows
-	// it gets its weight's part of the sum.
+	// Share is one service of a route's traffic split. It receives new flows in
+	// proportion to its weight.
 	Share struct {
 		Service string
 		Weight  uint32
 	}
 
-	// Route says where new flows to one address go.
+	// Route maps one address to the services that new flows to it go to.
 	Route struct {
 		Name       string
 		Addr       netip.AddrPort
-		Repeatable bool          // a request may run more than once
-		Bulk       bool          // answers are large
-		Timeout    time.Duration // a request is given up after it
-		Target     time.Duration // an answer is late after it
-		Priority   int           // 0 comes first
-		Shares     []Share       // one with weight 1 where there is no split
+		Repeatable bool          // whether a request may be retried
+		Bulk       bool          // whether responses are large
+		Timeout    time.Duration // deadline of a request
+		Target     time.Duration // target latency of a response
+		Priority   int           // 0 is the highest
+		Shares     []Share       // a single share of weight 1 without a split
 	}
 
-	// Service is a set of endpoints that do the same.
+	// Service is a set of interchangeable endpoints.
 	Service struct {
 		Name        string
 		HealthPath  string
-		Connections int // flows that an endpoint holds at most
-		// ColdRate is how many requests a second a cold endpoint carries, 0 for no bound.
+		Connections int // maximum number of flows of one endpoint
+		// ColdRate is how many requests a second a cold endpoint can serve, 0 for no limit.
 		ColdRate float64
 	}
 
-	// Config is what a Document is made from.
+	// Config is the content of a Document.
 	Config struct {
 		Version  uint64
 		Routes   []Route
 		Services []Service
-		Idle     time.Duration // a flow that rests longer may be forgotten
-		Source   []byte        // as the operator sent it, for reading it back
+		Idle     time.Duration // idle time after which a flow may be dropped
+		Source   []byte        // the text that the operator sent, returned when it is read back
 	}
 
-	// Document is one whole configuration.
+	// Document is a validated configuration.
 	Document struct {
 		config  Config
-		message *wire.Document // made once, since many are sent it
+		message *wire.Document // built once and shared by all recipients
 	}
 )
 
-// New checks a configuration and returns it, or every fault with its place.
+// New validates a configuration and returns its document, or a description of
+// every fault with its location.
 func New(c Config) (*Document, []string) {
 	if faults := check(c); len(faults) > 0 {
 		return nil, faults
@@ -65,23 +66,23 @@
 	return &Document{config: c, message: toMessage(c)}, nil
 }
 
-// Version returns the number that says which of two documents is newer.
+// Version returns the version; the document with the higher one is newer.
 func (d *Document) Version() uint64 { return d.config.Version }
 
-// Routes returns the routes; the caller must not change them.
+// Routes returns the routes, which the caller must not modify.
 func (d *Document) Routes() []Route { return d.config.Routes }
 
-// Services returns the services; the caller must not change them.
+// Services returns the services, which the caller must not modify.
 func (d *Document) Services() []Service { return d.config.Services }
 
-// Idle returns how long a flow may rest before it may be forgotten, 0 where
-// the document does not say.
+// Idle returns the idle time after which a flow may be dropped, or 0 if the
+// document does not set it.
 func (d *Document) Idle() time.Duration { return d.config.Idle }
 
-// Source returns the document as the operator sent it.
+// Source returns the text that the operator sent.
 func (d *Document) Source() []byte { return d.config.Source }
 
-// check returns every fault of a configuration with its place.
+// check describes every fault of a configuration with its location.
 func check(c Config) []string {
 	var faults []string
 	services := map[string]bool{}
@@ -90,10 +91,10 @@
 			faults = append(faults, fmt.Sprintf("services[%d]: name is empty", i))
 		}
 		if services[s.Name] {
-			faults = append(faults, fmt.Sprintf("services[%d]: name %q stands twice", i, s.Name))
+			faults = append(faults, fmt.Sprintf("services[%d]: name %q is duplicated", i, s.Name))
 		}
 		if !(s.ColdRate >= 0) {
-			faults = append(faults, fmt.Sprintf("services[%d] %q: rate of cold endpoints is below 0", i, s.Name))
+			faults = append(faults, fmt.Sprintf("services[%d] %q: rate of cold endpoints is negative", i, s.Name))
 		}
 		services[s.Name] = true
 	}
@@ -101,7 +102,7 @@
 	for i, r := range c.Routes {
 		routeFaults := checkRoute(r, services)
 		if other, ok := routeByAddr[r.Addr]; ok && r.Addr.IsValid() {
-			routeFaults = append(routeFaults, fmt.Sprintf("address %s belongs to route %q too", r.Addr, other))
+			routeFaults = append(routeFaults, fmt.Sprintf("address %s also belongs to route %q", r.Addr, other))
 		}
 		routeByAddr[r.Addr] = r.Name
 		for _, f := range routeFaults {
@@ -111,14 +112,14 @@
 	return faults
 }
 
-// checkRoute returns what is wrong with a route by itself.
+// checkRoute describes the faults of a single route.
 func checkRoute(r Route, known map[string]bool) []string {
 	var faults []string
 	if !r.Addr.IsValid() || r.Addr.Port() == 0 {
 		faults = append(faults, "no valid address and port")
 	}
 	if r.Timeout <= 0 {
-		faults = append(faults, "timeout is not above 0")
+		faults = append(faults, "timeout must be positive")
 	}
 	if len(r.Shares) == 0 {
 		faults = append(faults, "names no service")
@@ -134,11 +135,11 @@
 	return faults
 }
 
-// Message returns the document as it travels and is stored; the caller must
-// not change it.
+// Message returns the wire and storage form of the document, which the caller must
+// not modify.
 func (d *Document) Message() *wire.Document { return d.message }
 
-// toMessage returns a configuration as it travels and is stored.
+// toMessage returns the wire and storage form of a configuration.
 func toMessage(c Config) *wire.Document {
 	message := &wire.Document{Version: c.Version, IdleNanos: int64(c.Idle), Source: c.Source}
 	for _, s := range c.Services {
@@ -157,9 +158,8 @@
 	return message
 }
 
-// FromMessage returns the document that a message holds; one that does not
-// pass the check is refused with an error of kind InvalidChange, wherever it
-// came from.
+// FromMessage returns the document in a message. An invalid one returns an error
+// of kind InvalidChange.
 func FromMessage(m *wire.Document) (*Document, error) {
 	c := Config{Version: m.Version, Idle: time.Duration(m.IdleNanos), Source: m.Source}
 	for _, s := range m.Services {
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -29,7 +29,7 @@
 }
 
 var _ = Describe("a Document", func() {
-	It("is what it was after it has travelled", func() {
+	It("survives encoding and decoding", func() {
 		d, faults := New(valid())
 		Expect(faults).To(BeEmpty())
 		back, err := FromMessage(d.Message())
@@ -37,24 +37,24 @@
 		Expect(back).To(Equal(d))
 	})
 
-	DescribeTable("is refused with the place of each fault", func(break_ func(*Config), fault string) {
+	DescribeTable("is rejected with the location of each fault", func(mutate func(*Config), fault string) {
 		c := valid()
-		break_(&c)
+		mutate(&c)
 		d, faults := New(c)
 		Expect(d).To(BeNil())
 		Expect(faults).To(ContainElement(ContainSubstring(fault)))
 	},
 		Entry("unknown service", func(c *Config) { c.Routes[1].Shares[0].Service = "other" }, `routes[1] "r2": service "other" is not known`),
-		Entry("the same address twice", func(c *Config) { c.Routes[1].Addr = c.Routes[0].Addr }, `belongs to route "r1" too`),
+		Entry("the same address twice", func(c *Config) { c.Routes[1].Addr = c.Routes[0].Addr }, `also belongs to route "r1"`),
 		Entry("no timeout", func(c *Config) { c.Routes[0].Timeout = 0 }, `routes[0] "r1": timeout`),
 		Entry("no weight", func(c *Config) { c.Routes[0].Shares[1].Weight = 0 }, `service "documents" has no weight`),
 		Entry("no service", func(c *Config) { c.Routes[0].Shares = nil }, "names no service"),
 		Entry("no address", func(c *Config) { c.Routes[0].Addr = netip.AddrPort{} }, "no valid address"),
-		Entry("a service twice", func(c *Config) { c.Services[1].Name = "booking" }, `services[1]: name "booking" stands twice`),
+		Entry("a service twice", func(c *Config) { c.Services[1].Name = "booking" }, `services[1]: name "booking" is duplicated`),
 		Entry("a service without a name", func(c *Config) { c.Services[1].Name = "" }, "services[1]: name is empty"),
 	)
 
-	It("names every fault, not just the first", func() {
+	It("reports every fault, not only the first", func() {
 		c := valid()
 		c.Routes[0].Timeout, c.Routes[1].Timeout = 0, 0
 		_, faults := New(c)
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,6 +1,6 @@
-// Package evacuation holds which failure domains are evacuated: nothing further
-// is sent to their endpoints, until the operator takes that back. A Set is
-// immutable, and of two the one with the higher revision is in force.
+// Package evacuation tracks which failure domains are evacuated: their endpoints
+// receive no new flows until an operator ends the evacuation. A Set is immutable,
+// and the set with the higher revision is in force.
 package evacuation
 
 import (
@@ -10,22 +10,22 @@
 )
 
 type (
-	// Order is an operator's order about one failure domain.
+	// Order is an operator's order to evacuate one failure domain or to end its evacuation.
 	Order struct {
 		Domain string
-		Undo   bool // the failure domain may be sent to again
+		Undo   bool // whether the evacuation ends
 	}
 
-	// Set is the failure domains that are evacuated as of a revision. The nil Set
-	// is that of revision 0, which evacuates none.
+	// Set is the evacuated failure domains as of a revision. The nil Set has revision 0
+	// and evacuates none.
 	Set struct {
 		revision uint64
-		domains  []string // sorted, each once
+		domains  []string // sorted, without duplicates
 	}
 )
 
-// Revision returns the number that says which of two sets is newer: the index in
-// the log of the last order.
+// Revision returns the log index of the last applied order; the set with the
+// higher one is newer.
 func (s *Set) Revision() uint64 {
 	if s == nil {
 		return 0
@@ -33,8 +33,8 @@
 	return s.revision
 }
 
-// Domains returns the evacuated failure domains, sorted; the caller must not
-// change them.
+// Domains returns the evacuated failure domains, sorted, which the caller must not
+// modify.
 func (s *Set) Domains() []string {
 	if s == nil {
 		return nil
@@ -45,11 +45,11 @@
 // Has reports whether a failure domain is evacuated.
 func (s *Set) Has(domain string) bool { return slices.Contains(s.Domains(), domain) }
 
-// Holds reports whether an order would change nothing.
+// Holds reports whether the set already reflects an order.
 func (s *Set) Holds(o Order) bool { return s.Has(o.Domain) != o.Undo }
 
-// With returns the set after an order at a revision; one that is not later than
-// the set's own changes nothing, since the set holds it already.
+// With returns the set after applying an order at a revision. Orders up to the
+// set's own revision are already applied and return it unchanged.
 func (s *Set) With(revision uint64, o Order) *Set {
 	if revision <= s.Revision() {
 		return s
@@ -62,29 +62,29 @@
 	return &Set{revision: revision, domains: domains}
 }
 
-// Message returns the set as it travels and is stored.
+// Message returns the wire and storage form of the set.
 func (s *Set) Message() *wire.Evacuations {
 	return &wire.Evacuations{Revision: s.Revision(), Domains: s.Domains()}
 }
 
-// FromMessage returns the set of a message; nil is that of revision 0.
+// FromMessage returns the set in a message; a nil message gives revision 0.
 func FromMessage(m *wire.Evacuations) *Set {
 	domains := slices.Clone(m.GetDomains())
 	slices.Sort(domains)
 	return &Set{revision: m.GetRevision(), domains: slices.Compact(domains)}
 }
 
-// Message returns the order as it travels and is stored.
+// Message returns the wire and storage form of the order.
 func (o Order) Message() *wire.EvacuationOrder {
 	return &wire.EvacuationOrder{Domain: o.Domain, Undo: o.Undo}
 }
 
-// OrderFromMessage returns the order of a message.
+// OrderFromMessage returns the order in a message.
 func OrderFromMessage(m *wire.EvacuationOrder) Order {
 	return Order{Domain: m.Domain, Undo: m.Undo}
 }
 
-// String names the order for a log line.
+// String describes the order for log lines.
 func (o Order) String() string {
 	if o.Undo {
 		return "end evacuation of " + o.Domain
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -26,7 +26,7 @@
 	// Output: 5 [a b] [a]
 }
 
-// orders draws orders about few failure domains.
+// orders draws random orders about three failure domains.
 func orders(t *rapid.T) []Order {
 	one := rapid.Custom(func(t *rapid.T) Order {
 		return Order{Domain: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"), Undo: rapid.Bool().Draw(t, "undo")}
@@ -35,7 +35,7 @@
 }
 
 var _ = Describe("the set of evacuated failure domains", func() {
-	It("holds the last order about each, whatever was ordered before and again", func() {
+	It("reflects the last order for each failure domain and ignores repeated orders", func() {
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			all := orders(t)
 			var s *Set
@@ -44,30 +44,30 @@
 				s = s.With(uint64(i+1), o)
 				last[o.Domain] = o
 				if !s.Holds(o) {
-					t.Fatalf("%v is not held", o)
+					t.Fatalf("set does not reflect %v", o)
 				}
 			}
 			for domain, o := range last {
 				if s.Has(domain) == o.Undo {
-					t.Fatalf("%s: the last order was %v", domain, o)
+					t.Fatalf("%s: set contradicts the last order %v", domain, o)
 				}
 			}
 			for i, o := range all {
 				if again := s.With(uint64(i+1), o); again != s {
-					t.Fatalf("order %d of %d is taken twice", i+1, len(all))
+					t.Fatalf("order %d of %d is applied twice", i+1, len(all))
 				}
 			}
 		})
 	})
 
-	It("travels whole", func() {
+	It("survives encoding and decoding", func() {
 		s := (*Set)(nil).With(7, Order{Domain: "b"}).With(9, Order{Domain: "a"})
 		Expect(FromMessage(s.Message())).To(Equal(s))
 		Expect(FromMessage(nil).Revision()).To(BeZero())
 		Expect(FromMessage(nil).Has("a")).To(BeFalse())
 	})
 
-	It("is not taken from a message that names a failure domain twice or out of order", func() {
+	It("sorts and deduplicates the failure domains of a message", func() {
 		m := (*Set)(nil).With(7, Order{Domain: "b"}).Message()
 		m.Domains = []string{"b", "a", "b"}
 		Expect(FromMessage(m).Domains()).To(Equal([]string{"a", "b"}))
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -1,7 +1,8 @@
-// Package health weighs what checkers report of endpoints. Reports lag and
-// sometimes mislead, so an old one counts less, one report may do little, a
-// verdict changes only after several reports of the same kind, and a service
-// is never emptied because all its reports are bad. It has no input or output.
+// Package health turns the reports of health checkers into endpoint weights.
+// Reports may be late or wrong, so stale ones are ignored, a state changes only
+// after several consecutive reports, the effect of reported load is bounded, and a
+// service of which most endpoints are reported down keeps all of them. The package
+// performs no I/O, and callers pass in the current time.
 package health
 
 import (
@@ -13,19 +14,19 @@
 )
 
 type (
-	// Config bounds what reports may do.
+	// Config sets the thresholds and bounds of an Assessor.
 	Config struct {
-		FreshFor   time.Duration // a report older than this says nothing
-		DownAfter  int           // bad reports in a row of one checker before it counts as bad
-		UpAfter    int           // good reports in a row before it counts as good again
-		Ramp       time.Duration // a new endpoint reaches its full share after this
-		RampFrom   float64       // the share that a new endpoint starts with
-		MostTilt   float64       // load changes a share by this factor at most
-		Hysteresis float64       // a share changes only by more than this
-		MostDown   float64       // above this part of a service down, health is not believed
+		FreshFor   time.Duration // maximum age of a report
+		DownAfter  int           // consecutive bad reports of one checker that mark an endpoint down
+		UpAfter    int           // consecutive good reports of one checker that mark it up again
+		Ramp       time.Duration // time in which a new endpoint reaches its full share
+		RampFrom   float64       // initial fraction of the share of a new endpoint
+		MostTilt   float64       // maximum factor by which load changes a share
+		Hysteresis float64       // minimum relative change of a share
+		MostDown   float64       // fraction of a service down above which health reports are ignored
 	}
 
-	// Report is what one checker has seen of one endpoint.
+	// Report is one observation of an endpoint by a checker.
 	Report struct {
 		Endpoint    uint32
 		Healthy     bool
@@ -35,11 +36,11 @@
 		Running     int
 	}
 
-	// checker is what one checker has reported of one endpoint.
+	// checker is the state of one checker's reports about one endpoint.
 	checker struct {
 		at     time.Time
 		last   Report
-		streak int // reports in a row that disagree with down
+		streak int // consecutive reports that contradict down
 		down   bool
 	}
 
@@ -50,7 +51,7 @@
 		loadFactor float64
 	}
 
-	// Assessor holds the reports of a fleet. One goroutine uses it.
+	// Assessor holds the reports about a fleet. It is not safe for concurrent use.
 	Assessor struct {
 		config    Config
 		endpoints map[uint32]*endpoint
@@ -59,8 +60,8 @@
 	}
 )
 
-// DefaultConfig returns the bounds that the measurements in
-// docs/design/flows.md speak for.
+// DefaultConfig returns the default configuration; docs/design/flows.md explains
+// the values.
 func DefaultConfig() Config {
 	return Config{
 		FreshFor: 5 * time.Second, DownAfter: 3, UpAfter: 2, Ramp: 8 * time.Second, RampFrom: 0.2,
@@ -68,13 +69,13 @@
 	}
 }
 
-// New returns an assessor. Endpoints that it first meets within one ramp of
-// the start are not taken for cold: it is the assessor that is new.
+// New returns an Assessor. Endpoints first seen within one ramp of the start count
+// as warm, because it is the Assessor that is new.
 func New(c Config, now time.Time) *Assessor {
 	return &Assessor{config: c, endpoints: map[uint32]*endpoint{}, started: now, panicking: map[uint32]bool{}}
 }
 
-// Take notes a report.
+// Take records a report of a checker.
 func (a *Assessor) Take(now time.Time, source string, r Report) {
 	e := a.endpoint(now, r.Endpoint)
 	c := e.checkers[source]
@@ -97,7 +98,7 @@
 	}
 }
 
-// Forget drops a checker that is no more.
+// Forget drops the reports of a checker that no longer exists.
 func (a *Assessor) Forget(source string) {
 	for _, e := range a.endpoints {
 		delete(e.checkers, source)
@@ -116,7 +117,7 @@
 	return e
 }
 
-// Weights returns the share of each endpoint of a service, in order.
+// Weights returns the share of each endpoint of a service, in the given order.
 func (a *Assessor) Weights(now time.Time, s *route.Service, endpoints []*route.Endpoint) []placement.Weight {
 	weights := make([]placement.Weight, len(endpoints))
 	medianLoad := a.medianLoad(now, endpoints)
@@ -142,34 +143,32 @@
 	return weights
 }
 
-// Disbelieved reports whether so much of a service is reported down that the
-// reports are not believed.
+// Disbelieved reports whether a service is in panic mode: so many of its endpoints
+// are reported down that health reports are ignored.
 func (a *Assessor) Disbelieved(service uint32) bool { return a.panicking[service] }
 
-// isLeaving reports whether an endpoint takes no new work, by the operator's
-// word or by its own.
+// isLeaving reports whether an endpoint is draining, by operator request or by its
+// own report.
 func (a *Assessor) isLeaving(now time.Time, e *route.Endpoint) bool {
 	if e.Leaving() {
 		return true
 	}
 	for _, c := range a.endpoint(now, e.ID()).checkers {
-		if a.isFresh(now, c) && c.last.Leaving {
+		if a.fresh(now, c) && c.last.Leaving {
 			return true
 		}
 	}
 	return false
 }
 
-func (a *Assessor) isFresh(now time.Time, c *checker) bool {
-	return now.Sub(c.at) <= a.config.FreshFor
-}
+func (a *Assessor) fresh(now time.Time, c *checker) bool { return now.Sub(c.at) <= a.config.FreshFor }
 
-// isDown reports whether more than half of the fresh checkers find it isDown.
-// Without a fresh report nothing is known, and nothing is changed.
+// isDown reports whether more than half of the checkers with a fresh report mark an
+// endpoint down. Without fresh reports it counts as up.
 func (a *Assessor) isDown(now time.Time, id uint32) bool {
 	fresh, down := 0, 0
 	for _, c := range a.endpoint(now, id).checkers {
-		if !a.isFresh(now, c) {
+		if !a.fresh(now, c) {
 			continue
 		}
 		fresh++
@@ -180,11 +179,11 @@
 	return down*2 > fresh
 }
 
-// load returns the connections of an endpoint by its least fresh reports: the
-// highest of them, discounted by age.
+// load returns the highest number of connections in fresh reports of an endpoint,
+// and whether there is any.
 func (a *Assessor) load(now time.Time, id uint32) (connections float64, known bool) {
 	for _, c := range a.endpoint(now, id).checkers {
-		if a.isFresh(now, c) {
+		if a.fresh(now, c) {
 			connections = max(connections, float64(c.last.Connections))
 			known = true
 		}
@@ -192,8 +191,8 @@
 	return connections, known
 }
 
-// medianLoad is the median of the endpoints' connections: one that lies moves
-// it little.
+// medianLoad returns the median of the endpoints' connections, on which a single
+// false report has little effect.
 func (a *Assessor) medianLoad(now time.Time, endpoints []*route.Endpoint) float64 {
 	var loads []float64
 	for _, e := range endpoints {
@@ -208,7 +207,7 @@
 	state := a.endpoint(now, e.ID())
 	load, known := a.load(now, e.ID())
 	if known && e.Connections() > 0 && load >= float64(e.Connections()) {
-		return 0 // full: no new flow
+		return 0 // full: receives no new flows
 	}
 	want := a.rampFactor(now, state) * float64(max(e.Connections(), 1)) * a.loadFactor(state, s.Policy().Balance, load, known, medianLoad)
 	if math.Abs(want-state.share) > a.config.Hysteresis*state.share {
@@ -225,12 +224,12 @@
 	return a.config.RampFrom + (1-a.config.RampFrom)*float64(age)/float64(a.config.Ramp)
 }
 
-// loadFactor is the factor by which measured load changes a share. It follows the
-// load slowly, and the balance of the template scales it.
+// loadFactor returns the factor by which measured load changes a share. It follows
+// the load slowly and is scaled by the balance setting of the service's template.
 func (a *Assessor) loadFactor(e *endpoint, balance, load float64, known bool, medianLoad float64) float64 {
 	const (
 		gain          = 0.02
-		minMedianLoad = 50 // below this the difference is noise
+		minMedianLoad = 50 // below this median, differences are noise
 	)
 	if known && medianLoad >= minMedianLoad {
 		e.loadFactor *= 1 + gain*balance*(1-load/medianLoad)
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -46,7 +46,7 @@
 	takeFromBoth(a, start, 3, Report{Endpoint: 1})
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeZero())
 	takeFromBoth(a, start, 1, Report{Endpoint: 1, Healthy: true})
-	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeZero(), "one good report is not enough either")
+	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeZero(), "a single good report does not mark it up")
 	takeFromBoth(a, start, 2, Report{Endpoint: 1, Healthy: true})
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeNumerically(">", 0))
 }
@@ -59,10 +59,10 @@
 		a.Take(start, "one", Report{Endpoint: 1})
 		a.Take(start, "two", Report{Endpoint: 1, Healthy: true})
 	}
-	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeNumerically(">", 0), "one checker of two may be cut off")
+	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeNumerically(">", 0), "half of the checkers is no majority")
 	takeFromBoth(a, start, 5, Report{Endpoint: 2})
 	later := start.Add(time.Minute)
-	g.Expect(shares(a.Weights(later, s, endpoints))[1]).To(gomega.BeNumerically(">", 0), "old reports say nothing")
+	g.Expect(shares(a.Weights(later, s, endpoints))[1]).To(gomega.BeNumerically(">", 0), "stale reports are ignored")
 }
 
 func TestPanicModeKeepsEndpointsOfAMostlyDownService(t *testing.T) {
@@ -89,7 +89,7 @@
 		for id := range uint32(4) {
 			connections := 500
 			if id == 0 {
-				connections = 0 // it says that it is idle, for ever
+				connections = 0 // falsely reports that it is idle
 			}
 			takeFromBoth(a, now, 1, Report{Endpoint: id + 1, Healthy: true, Connections: connections})
 		}
--- a/internal/health/median.go
+++ b/internal/health/median.go
@@ -2,7 +2,8 @@
 
 import "slices"
 
-// median returns the middle value, or 0 without values.
+// median returns the upper median of values, or 0 if there are none. It sorts
+// values in place.
 func median(values []float64) float64 {
 	if len(values) == 0 {
 		return 0
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -1,7 +1,8 @@
-// Package outlier decides, from what entries report of endpoints that take requests
-// and do not answer them, or by errors, which endpoints new flows avoid. A large fleet's entry sees a
-// request of an endpoint every ten seconds, so that none can tell alone. The package
-// has no I/O; now is an argument. One goroutine at a time uses a Tracker.
+// Package outlier decides which endpoints new flows avoid because they accept
+// requests without answering them, or answer with errors. In a large fleet a single
+// entry sends an endpoint too few requests to judge it, so the failures that several
+// entries report are combined. The package performs no I/O, and callers pass in the
+// current time.
 package outlier
 
 import (
@@ -10,37 +11,39 @@
 )
 
 const (
-	// Window is how long a report counts: three times what a request of a busy service
-	// waits at most. An endpoint of 120 that hangs is reported eight times a second.
+	// Window is how long a report counts. It is three times the longest wait of a
+	// request of a busy service.
 	Window = 3 * time.Second
-	// minReporters entries that report an endpoint are a verdict: one report may be a lost
-	// packet or a long request, and an entry may be to blame for all of its own, also
-	// beside one of those. A fleet with fewer entries in a failure domain judges none.
+	// minReporters is how many entries must report an endpoint within the window. A
+	// single report may stem from a lost packet, a long request or a faulty entry. With
+	// fewer entries in a failure domain no endpoint is ejected.
 	minReporters = 3
-	// maxTracked bounds the endpoints of which reports are kept, for 55,000 of which a
-	// tenth fail at once; those beyond it are not judged until others are forgotten.
+	// maxTracked bounds the endpoints with recent reports: a tenth of the largest fleet.
+	// Further ones are ignored until others expire.
 	maxTracked = 5500
 )
 
 type (
-	// Tracker is what the entries that report to one control instance have said.
+	// Tracker holds the recent reports of the entries linked to one control instance.
+	// It is not safe for concurrent use.
 	Tracker struct {
-		reports   map[string][]report // by endpoint, the oldest first
+		reports   map[string][]report // by endpoint, oldest first
 		nextPrune time.Time
 	}
 
-	// report is one of an entry.
+	// report is one failure that an entry reported.
 	report struct {
 		entry string
 		at    time.Time
 	}
 )
 
-// New returns a Tracker that has heard nothing.
+// New returns a Tracker without reports.
 func New() *Tracker { return &Tracker{reports: map[string][]report{}} }
 
-// Report takes that an endpoint failed a request of an entry, and reports whether that makes
-// enough for others to avoid it. After a verdict it takes as many reports again.
+// Report records that an endpoint failed a request of an entry, and reports whether
+// new flows should now avoid the endpoint. Its reports are then cleared, so the next
+// verdict needs as many again.
 func (t *Tracker) Report(now time.Time, endpoint, entry string) bool {
 	t.prune(now)
 	if _, known := t.reports[endpoint]; !known && len(t.reports) >= maxTracked {
@@ -55,7 +58,7 @@
 	return true
 }
 
-// prune drops endpoints of which nothing was reported within the window.
+// prune drops, once per window, endpoints without recent reports.
 func (t *Tracker) prune(now time.Time) {
 	if now.Before(t.nextPrune) {
 		return
@@ -68,7 +71,7 @@
 	}
 }
 
-// reportsAfter returns the reports after a time.
+// reportsAfter returns the reports made after a time.
 func reportsAfter(all []report, after time.Time) []report {
 	for len(all) > 0 && !all[0].at.After(after) {
 		all = all[1:]
@@ -76,7 +79,7 @@
 	return all
 }
 
-// fromOthers returns the reports of other entries: only the last one of each counts.
+// fromOthers returns the reports of other entries, so that each entry counts once.
 func fromOthers(all []report, entry string) []report {
 	return slices.DeleteFunc(slices.Clone(all), func(r report) bool { return r.entry == entry })
 }
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -19,7 +19,7 @@
 	var t *Tracker
 	BeforeEach(func() { t = New() })
 
-	It("judges by reports of several entries, and then anew", func() {
+	It("ejects an endpoint that several entries report, then starts over", func() {
 		for range 2 {
 			Expect(t.Report(start, "i-1", "a")).To(BeFalse())
 			Expect(t.Report(start, "i-1", "a")).To(BeFalse())
@@ -28,20 +28,20 @@
 		}
 	})
 
-	It("never judges by one entry, whatever it reports", func() {
+	It("never ejects an endpoint that only one entry reports", func() {
 		for n := range 1000 {
 			Expect(t.Report(start.Add(time.Duration(n)*time.Millisecond), "i-1", "a")).To(BeFalse())
 		}
 		Expect(t.reports["i-1"]).To(HaveLen(1))
 	})
 
-	It("never judges by reports that are far apart, as lost packets and long requests make them", func() {
+	It("never ejects an endpoint for isolated reports, as lost packets and long requests cause", func() {
 		for n := range 100 {
 			Expect(t.Report(start.Add(time.Duration(n)*2*time.Second), "i-1", fmt.Sprint("e", n))).To(BeFalse())
 		}
 	})
 
-	It("keeps endpoints apart, and forgets those of which nothing is reported", func() {
+	It("tracks endpoints separately and drops those without recent reports", func() {
 		for n := range maxTracked {
 			Expect(t.Report(start, fmt.Sprint("i-", n), "a")).To(BeFalse())
 		}
--- a/internal/registry/address.go
+++ b/internal/registry/address.go
@@ -5,21 +5,20 @@
 	"time"
 )
 
-// pauseThreshold is the longest time between two sweeps that does not count as
-// a pause of this process: several times their period of 0.2 s. Heartbeats may
-// have been missed in a longer one.
+// pauseThreshold is the longest interval between two sweeps that is not taken for a
+// pause of this process, in which heartbeats may have been missed.
 const pauseThreshold = time.Second
 
-// An address is given away only after its endpoint has ended, so of the
-// incarnations at one address one lives at most. Heartbeats do not tell which: a
-// cut may hold one back until long after its sender has ended, and may lose those
-// of the one that lives meanwhile. So what is inferred from them only turns new
-// flows away; an incarnation ends by its own word alone, since its end has the open
-// flows on it reset. Entries, which see whether an endpoint answers its callers,
-// reset them by that. Flows name the incarnation that they are for, so that none
+// An address is reused only after its endpoint has ended, so at most one of the
+// incarnations that claim an address is alive. Heartbeats do not show which one: a
+// network partition may delay a heartbeat until after its sender has ended, and drop
+// those of the live one. A conflict therefore only diverts new flows. An incarnation
+// is marked as gone only by its own message or that of a later incarnation, because
+// this resets its open flows. Flows carry the incarnation they belong to, so none
 // reaches the other one.
 
-// claimAddr keeps the index of the living by address, and notes where two claim one.
+// claimAddr adds a live record to the address index, or removes one that is gone.
+// If other records claim the address, a conflict begins.
 func (r *Registry) claimAddr(now time.Time, rec *record) {
 	addr := rec.endpoint.Addr
 	if rec.endpoint.Gone || !addr.IsValid() {
@@ -41,8 +40,8 @@
 	}
 }
 
-// releaseAddr takes a record out of the index of the living; whoever is left alone
-// at the address is in doubt no longer.
+// releaseAddr removes a record from the address index. A single remaining claimant
+// is no longer in conflict.
 func (r *Registry) releaseAddr(rec *record) {
 	addr := rec.endpoint.Addr
 	claimants := slices.DeleteFunc(r.liveByAddr[addr], func(other *record) bool { return other == rec })
@@ -57,9 +56,9 @@
 	}
 }
 
-// losesConflict reports whether new flows avoid an incarnation, as one that is silent,
-// since another one claims the address: the one that was known first, or after it
-// was heard again the other one.
+// losesConflict reports whether new flows avoid a record because of an address
+// conflict: the incumbent until it is heard again, and a newcomer that has not been
+// heard again once a rival has.
 func (r *Registry) losesConflict(rec *record) bool {
 	if rec.conflictSince.IsZero() || rec.heardSinceConflict {
 		return false
@@ -67,8 +66,8 @@
 	return rec.incumbent || slices.ContainsFunc(r.liveByAddr[rec.endpoint.Addr], func(rival *record) bool { return rival.heardSinceConflict })
 }
 
-// restartConflictsAfterPause begins conflicts about addresses anew after a pause of this process, in
-// which it may have missed heartbeats of either side.
+// restartConflictsAfterPause restarts all address conflicts after a pause of this
+// process, in which it may have missed heartbeats of either side.
 func (r *Registry) restartConflictsAfterPause(now time.Time) {
 	paused := now.Sub(r.lastSweep) > pauseThreshold
 	r.lastSweep = now
@@ -82,7 +81,7 @@
 	}
 }
 
-// periods returns a number of heartbeat periods.
+// periods returns the duration of n heartbeat periods.
 func (r *Registry) periods(n float64) time.Duration {
 	return time.Duration(n * float64(r.config.Beat))
 }
--- a/internal/registry/address_test.go
+++ b/internal/registry/address_test.go
@@ -11,17 +11,17 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// sweepInterval is how often a registry is swept.
+// sweepInterval is the time between two sweeps of a registry.
 const sweepInterval = 200 * time.Millisecond
 
-// delivery is a heartbeat on its way to one of the control instances.
+// delivery is a heartbeat in transit to one of the control instances.
 type delivery struct {
 	at        time.Time
 	to        int
 	heartbeat Endpoint
 }
 
-// peers is two control instances that tell each other what they hear.
+// peers is two control instances that exchange their reports.
 type peers struct {
 	now        time.Time
 	registries [2]*Registry
@@ -32,8 +32,8 @@
 	return &peers{now: start, registries: [2]*Registry{New(Config{Beat: heartbeatPeriod}, start), New(Config{Beat: heartbeatPeriod}, start)}}
 }
 
-// runUntil lets time pass until the end, with the deliveries that fall due, an
-// exchange and a sweep each tick; each is called after every tick.
+// runUntil advances the time to the end. Each sweep interval it delivers the due
+// heartbeats, exchanges reports, sweeps both registries and then calls each.
 func (p *peers) runUntil(end time.Time, due []delivery, each func()) {
 	for ; p.now.Before(end); p.now = p.now.Add(sweepInterval) {
 		for _, d := range due {
@@ -53,7 +53,7 @@
 	}
 }
 
-// heartbeats returns the heartbeats of an endpoint that lives from begin to end.
+// heartbeats returns the heartbeats of an endpoint that is alive from begin to end.
 func heartbeats(id string, begin, end time.Time, change func(*Endpoint)) []delivery {
 	var all []delivery
 	for at, sequence := begin, uint64(1); at.Before(end); at, sequence = at.Add(heartbeatPeriod), sequence+1 {
@@ -82,30 +82,30 @@
 var _ = Describe("two incarnations at one address", func() {
 	yes, no := []bool{true, true}, []bool{false, false}
 
-	It("does not end the one that lives by a heartbeat that was held back", func() {
+	It("keeps the live one despite a delayed heartbeat of the other", func() {
 		r := New(Config{Beat: heartbeatPeriod}, start)
 		r.Hear(start, endpoint("new", 1, nil))
 		r.Hear(start.Add(heartbeatPeriod), endpoint("new", 2, nil))
 		r.Hear(start.Add(heartbeatPeriod+time.Millisecond), endpoint("old", 1, nil))
-		_, taken := r.Hear(start.Add(2*heartbeatPeriod), endpoint("new", 3, nil))
-		Expect(taken).To(BeTrue())
+		_, applied := r.Hear(start.Add(2*heartbeatPeriod), endpoint("new", 3, nil))
+		Expect(applied).To(BeTrue())
 		Expect(find(r.Changes(start, 0), "new").Gone).To(BeFalse())
 	})
 
-	It("does not end it by one that is repeated, nor by several that come together", func() {
-		living := heartbeats("new", start, start.Add(time.Minute), nil)
+	It("keeps the live one despite repeated and clustered heartbeats of the other", func() {
+		due := heartbeats("new", start, start.Add(time.Minute), nil)
 		for _, at := range []time.Duration{5 * heartbeatPeriod, 5*heartbeatPeriod + sweepInterval, 6 * heartbeatPeriod, 9 * heartbeatPeriod} {
 			for sequence := uint64(1); sequence <= 3; sequence++ {
-				living = append(living, delivery{at: start.Add(at), to: int(sequence % 2), heartbeat: endpoint("old", sequence, nil)})
+				due = append(due, delivery{at: start.Add(at), to: int(sequence % 2), heartbeat: endpoint("old", sequence, nil)})
 			}
 		}
 		p := newPeers()
-		p.runUntil(start.Add(20*heartbeatPeriod), living, func() { Expect(p.gone("new")).To(Equal(no)) })
+		p.runUntil(start.Add(20*heartbeatPeriod), due, func() { Expect(p.gone("new")).To(Equal(no)) })
 		Expect(p.silent("old")).To(Equal(yes))
 		Expect(p.silent("new")).To(Equal(no))
 	})
 
-	It("turns new flows to the one that goes on, and ends neither by that", func() {
+	It("diverts new flows to the one that goes on, without marking either as gone", func() {
 		p := newPeers()
 		due := append(heartbeats("old", start, start.Add(4*heartbeatPeriod), nil), heartbeats("new", start.Add(7*heartbeatPeriod), start.Add(time.Minute), nil)...)
 		p.runUntil(start.Add(14*heartbeatPeriod), due, func() {})
@@ -115,7 +115,7 @@
 		Expect(p.gone("new")).To(Equal(no))
 	})
 
-	It("holds with the address in another service, and with a late leaving one", func() {
+	It("keeps the live one in another service despite a late leaving heartbeat", func() {
 		other := func(e *Endpoint) { e.Service = "documents" }
 		due := heartbeats("new", start, start.Add(time.Minute), other)
 		due = append(due, delivery{at: start.Add(5 * heartbeatPeriod), to: 0, heartbeat: endpoint("old", 4, leaving)})
@@ -128,7 +128,7 @@
 		Expect(p.silent("new")).To(Equal(no))
 	})
 
-	It("takes the leave of one of them for that one alone", func() {
+	It("applies a leave message only to its sender", func() {
 		r := New(Config{Beat: heartbeatPeriod}, start)
 		r.Hear(start, endpoint("new", 1, nil))
 		r.Hear(start, endpoint("old", 1, nil))
@@ -137,7 +137,7 @@
 		Expect(find(r.Changes(start, 0), "new").Gone).To(BeFalse())
 	})
 
-	It("doubts the one that was known first until it is heard again, and from then on the other", func() {
+	It("avoids the incumbent until it is heard again, and then the newcomer", func() {
 		p := newPeers()
 		due := append(heartbeats("new", start, start.Add(time.Minute), nil), delivery{at: start.Add(5*heartbeatPeriod + sweepInterval), to: 1, heartbeat: endpoint("old", 1, nil)})
 		p.runUntil(start.Add(5*heartbeatPeriod+3*sweepInterval), due, func() {})
@@ -148,10 +148,9 @@
 		Expect(p.silent("old")).To(Equal(yes))
 	})
 
-	// A failure domain is cut off just as a cut heals behind which an endpoint had
-	// crashed and started again: the late heartbeat of the one that ended is the last that
-	// is heard there for longer than 2.6 periods.
-	It("does not end the one that lives while its own heartbeats are lost and a late one of the other comes", func() {
+	// The failure domain of the live endpoint is partitioned while a delayed heartbeat of
+	// its crashed predecessor arrives as the last one heard at the address.
+	It("keeps the live one while its heartbeats are lost and a late one of the other arrives", func() {
 		due := heartbeats("old", start, start.Add(4*heartbeatPeriod), nil)
 		for _, d := range heartbeats("new", start.Add(8*heartbeatPeriod), start.Add(time.Minute), nil) {
 			if lost := d.at.After(start.Add(9*heartbeatPeriod)) && d.at.Before(start.Add(13*heartbeatPeriod)); !lost {
@@ -161,27 +160,27 @@
 		due = append(due, delivery{at: start.Add(11 * heartbeatPeriod), to: 0, heartbeat: endpoint("old", 5, nil)})
 		p := newPeers()
 		p.runUntil(start.Add(40*heartbeatPeriod), due, func() {
-			Expect(p.gone("new")).To(Equal(no), "its open flows would be reset")
+			Expect(p.gone("new")).To(Equal(no), "marking it as gone would reset its open flows")
 		})
 		Expect(p.silent("new")).To(Equal(no))
 		Expect(p.silent("old")).To(Equal(yes))
 	})
 
-	It("begins anew after a pause of the process, which may have missed heartbeats", func() {
+	It("restarts conflicts after a pause of the process, which may have missed heartbeats", func() {
 		r := New(Config{Beat: heartbeatPeriod}, start)
 		r.Hear(start, endpoint("new", 5, nil))
 		r.Hear(start, endpoint("old", 1, nil))
 		r.Hear(start, endpoint("old", 2, nil))
-		thawed := start.Add(10 * heartbeatPeriod)
-		r.Hear(thawed, endpoint("old", 3, nil)) // was held back too
-		r.Sweep(thawed)
-		Expect(find(r.Changes(thawed, 0), "new").Gone).To(BeFalse())
-		r.Hear(thawed.Add(heartbeatPeriod/2), endpoint("new", 18, nil))
-		r.Sweep(thawed.Add(heartbeatPeriod))
-		Expect(find(r.Changes(thawed, 0), "new").Silent).To(BeFalse())
+		resumed := start.Add(10 * heartbeatPeriod)
+		r.Hear(resumed, endpoint("old", 3, nil)) // delayed like the earlier ones
+		r.Sweep(resumed)
+		Expect(find(r.Changes(resumed, 0), "new").Gone).To(BeFalse())
+		r.Hear(resumed.Add(heartbeatPeriod/2), endpoint("new", 18, nil))
+		r.Sweep(resumed.Add(heartbeatPeriod))
+		Expect(find(r.Changes(resumed, 0), "new").Silent).To(BeFalse())
 	})
 
-	It("never ends the one that lives, whatever the order in which the other's heartbeats come", func() {
+	It("never marks the live one as gone, for any order of the other's heartbeats", func() {
 		for seed := range uint64(200) {
 			random := rand.New(rand.NewPCG(seed, 1))
 			born := start.Add(time.Duration(random.Int64N(int64(6 * heartbeatPeriod))))
@@ -202,7 +201,7 @@
 		}
 	})
 
-	It("tells a control instance that joins both, and lets it settle them itself", func() {
+	It("reports both to a joining control instance, which resolves the conflict itself", func() {
 		first := New(Config{Beat: heartbeatPeriod}, start)
 		first.Hear(start, endpoint("new", 2, nil))
 		first.Hear(start, endpoint("old", 1, nil))
--- a/internal/registry/digest.go
+++ b/internal/registry/digest.go
@@ -4,26 +4,26 @@
 	"github.com/dchest/siphash"
 )
 
-// digestParts is into how many parts endpoints are divided by their ids: one
-// that differs costs that part of the list.
+// digestParts is the number of parts of a digest. A difference in one part causes
+// only the endpoints in that part to be sent.
 const digestParts = 64
 
-// The keys of the digest's hash; they are part of the protocol between entries
-// and control instances.
+// Keys of the digest's hash, which are part of the protocol between entries and
+// control instances.
 const (
 	digestKey0 = 0x6f78626f77736164
 	digestKey1 = 0x646c652073756d73
 )
 
-// Digest sums up what is known of endpoints, without what each heartbeat
-// changes: a sum for each part of them. The order does not matter, and toggling a
-// sum twice takes it out again.
+// Digest summarizes a set of endpoint records, without the fields that every
+// heartbeat changes, as one XOR of record checksums for each part. It does not depend
+// on the order of the records.
 type Digest [digestParts]uint64
 
-// Toggle adds the sum of an endpoint, or takes it out.
+// Toggle adds the checksum of an endpoint, or removes it if it was added before.
 func (d *Digest) Toggle(id string, sum uint64) { d[part(id)] ^= sum }
 
-// Same returns a bit for each part in which two digests agree.
+// Same returns a bit mask of the parts that are equal in both digests.
 func (d *Digest) Same(other *Digest) uint64 {
 	var bits uint64
 	for i := range d {
@@ -34,23 +34,24 @@
 	return bits
 }
 
-// DigestOf reads a digest as it travels; what is missing is 0.
+// DigestOf decodes a digest from its wire form; missing parts are 0.
 func DigestOf(sums []uint64) Digest {
 	var d Digest
 	copy(d[:], sums)
 	return d
 }
 
-// PartBit returns the bit of the part that an endpoint belongs to.
+// PartBit returns the mask bit of the part that an endpoint belongs to.
 func PartBit(id string) uint64 { return 1 << part(id) }
 
-// part returns the part that an endpoint belongs to.
+// part returns the index of the part that an endpoint belongs to.
 func part(id string) int {
 	return int(siphash.Hash(digestKey0, digestKey1, []byte(id)) % digestParts)
 }
 
-// Sum sums up what is known of an endpoint, without what each heartbeat changes.
-// Of one that has ended only that counts; the zero value is none and sums up to 0.
+// Sum returns the checksum of an endpoint's record, without the fields that every
+// heartbeat changes. For an endpoint that is gone only its id counts. The sum of the
+// zero value is 0.
 func Sum(e Endpoint) uint64 {
 	if e.ID == "" {
 		return 0
--- a/internal/registry/incarnation.go
+++ b/internal/registry/incarnation.go
@@ -7,16 +7,16 @@
 )
 
 const (
-	// incarnationSeparator stands between the id that several incarnations of an endpoint share and
-	// when each was born.
+	// incarnationSeparator separates the shared id of an endpoint from the start time
+	// of the incarnation.
 	incarnationSeparator = "~"
-	// timestampBase is the base of the number after it: milliseconds in few letters.
+	// timestampBase is the number base of the start time.
 	timestampBase = 36
 )
 
-// Incarnation returns the id of an incarnation of an endpoint whose id others share:
-// each start is an incarnation of its own, with its own flows, tags and doubts. Born
-// counts in milliseconds; 0 is that it is not said, and the id is that of one start.
+// Incarnation returns the id of one incarnation of an endpoint whose starts share an
+// id. Each start has its own flows, tags and health state. Born is the start time in
+// milliseconds; if it is 0, id already names a single start and is returned as is.
 func Incarnation(id string, born int64) string {
 	if born <= 0 {
 		return id
@@ -24,8 +24,8 @@
 	return id + incarnationSeparator + strconv.FormatInt(born, timestampBase)
 }
 
-// parseIncarnation returns the id that incarnations share and when this one was born, 0
-// where that is not said.
+// parseIncarnation splits the id of an incarnation into the shared id and the start
+// time, which is 0 if there is none.
 func parseIncarnation(id string) (name string, born int64) {
 	name, text, found := strings.Cut(id, incarnationSeparator)
 	if !found {
@@ -38,9 +38,9 @@
 	return name, born
 }
 
-// supersede takes that an incarnation is heard of for the first time. Another one under
-// the same id that was born earlier has ended; one that was born later is returned, and
-// says that this one has ended.
+// supersede handles the first message of an incarnation. It marks an older
+// incarnation with the same shared id as gone. If a newer one is known it returns
+// that one, and the incarnation with the given id is the one that has ended.
 func (r *Registry) supersede(now time.Time, id string) (later *record) {
 	name, born := parseIncarnation(id)
 	newest := r.newestByName[name]
@@ -52,12 +52,12 @@
 	}
 	if !newest.endpoint.Gone {
 		r.markGone(now, newest)
-		newest.relayPending = true // peers work it out as this one does
+		newest.relayPending = true // peers derive it from the new incarnation
 	}
 	return nil
 }
 
-// indexNewest keeps the index of the incarnation that was born last, by name.
+// indexNewest updates the index of the newest incarnation of each shared id.
 func (r *Registry) indexNewest(id string, rec *record) {
 	name, born := parseIncarnation(id)
 	if born == 0 {
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -17,29 +17,29 @@
 	BeforeEach(func() { r = New(Config{Beat: heartbeatPeriod}, start) })
 	known := func(r *Registry, id string) *wire.EndpointReport { return find(r.Changes(start, 0), id) }
 
-	It("begin anew: the later one lives, whatever the earlier one said and counted", func() {
+	It("are independent: the later one is live whatever the earlier one's state and sequence", func() {
 		r.Hear(start, endpoint(first, 50, leaving))
-		_, taken := r.Hear(start.Add(heartbeatPeriod), endpoint(second, 1, nil))
-		Expect(taken).To(BeTrue())
+		_, applied := r.Hear(start.Add(heartbeatPeriod), endpoint(second, 1, nil))
+		Expect(applied).To(BeTrue())
 		Expect(known(r, first).Gone).To(BeTrue())
 		Expect(known(r, second)).To(And(HaveField("Gone", false), HaveField("Leaving", false), HaveField("Silent", false)))
 	})
 
-	It("never come back once a later one is known, not by a message that was held back", func() {
+	It("are not revived by delayed messages once a later one is known", func() {
 		r.Hear(start, endpoint(second, 1, nil))
-		_, taken := r.Hear(start, endpoint(first, 51, leaving))
-		Expect(taken).To(BeFalse())
+		_, applied := r.Hear(start, endpoint(first, 51, leaving))
+		Expect(applied).To(BeFalse())
 		Expect(known(r, first)).To(BeNil())
 		r.Merge(start, &wire.Reports{Endpoints: []*wire.EndpointReport{{Id: first, Sequence: 52, Address: "10.0.0.1:80"}}})
 		Expect(known(r, first)).To(BeNil())
-		Expect(known(r, second).Silent).To(BeFalse(), "nobody else lives at the address")
+		Expect(known(r, second).Silent).To(BeFalse(), "no other incarnation claims the address")
 	})
 
-	It("end by a message that names none: the one that was born last", func() {
+	It("apply a leave message without a start time to the newest one", func() {
 		r.Hear(start, endpoint(first, 50, nil))
 		r.Hear(start, endpoint(second, 1, nil))
 		r.Leave(start, "a")
-		Expect(known(r, second).Gone).To(BeFalse(), "it did not say that it leaves: the first one's message was held back")
+		Expect(known(r, second).Gone).To(BeFalse(), "it did not announce leaving, so the message is a delayed one of the first")
 		r.Hear(start, endpoint(second, 2, leaving))
 		r.Leave(start, "a")
 		Expect(known(r, second).Gone).To(BeTrue())
@@ -47,16 +47,16 @@
 		Expect(known(r, Incarnation("a", 3000)).Gone).To(BeFalse())
 	})
 
-	It("are told apart from an id that says nothing of its birth", func() {
+	It("are distinct from an id without a start time", func() {
 		Expect(Incarnation("a", 0)).To(Equal("a"))
 		r.Hear(start, endpoint("a", 5, nil))
-		_, taken := r.Hear(start, endpoint("a", 4, nil))
-		Expect(taken).To(BeFalse())
+		_, applied := r.Hear(start, endpoint("a", 4, nil))
+		Expect(applied).To(BeFalse())
 		r.Hear(start, endpoint(second, 1, nil))
 		Expect(known(r, "a").Gone).To(BeFalse())
 	})
 
-	It("settle alike at three control instances, however messages are lost, late and repeated", func() {
+	It("converge at three control instances despite lost, late and repeated messages", func() {
 		const rounds, steps = 200, 60
 		for seed := range uint64(rounds) {
 			random := rand.New(rand.NewPCG(seed, 17))
@@ -64,22 +64,22 @@
 			for n, each := range all {
 				each.SetRelay(n == 0)
 			}
-			var said []Endpoint
+			var sentBeats []Endpoint
 			born, sequence, now := int64(1000), uint64(0), start
-			var told [3][3]uint64
+			var exchangedRev [3][3]uint64
 			exchange := func(from, to int) {
-				reports := all[from].Beats(now, told[from][to])
-				told[from][to] = reports.Number
+				reports := all[from].Beats(now, exchangedRev[from][to])
+				exchangedRev[from][to] = reports.Number
 				all[to].Merge(now, reports)
 			}
 			for range steps {
 				now = now.Add(heartbeatPeriod / 4)
 				switch random.IntN(6) {
-				case 0: // it starts again
+				case 0: // a new incarnation starts
 					born, sequence = born+1+random.Int64N(2000), 0
-				case 1, 2: // what it said once arrives, maybe late or again
-					if len(said) > 0 {
-						all[random.IntN(3)].Hear(now, said[random.IntN(len(said))])
+				case 1, 2: // an earlier heartbeat arrives, possibly late or repeated
+					if len(sentBeats) > 0 {
+						all[random.IntN(3)].Hear(now, sentBeats[random.IntN(len(sentBeats))])
 					}
 				case 3:
 					exchange(random.IntN(3), random.IntN(3))
@@ -89,8 +89,8 @@
 						e.Leaving = random.IntN(9) == 0
 						e.Addr = netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, 1}), 80)
 					})
-					said = append(said, e)
-					if random.IntN(3) > 0 { // else it is lost, or comes later
+					sentBeats = append(sentBeats, e)
+					if random.IntN(3) > 0 { // otherwise it is lost or delayed
 						all[random.IntN(3)].Hear(now, e)
 					}
 				}
@@ -113,30 +113,30 @@
 		}
 	})
 
-	It("are acknowledged as leaving only once peers can be told, whoever told of it first", func() {
+	It("are acknowledged as leaving only under a revision that peers receive", func() {
 		r.SetRelay(false)
 		r.Merge(start, &wire.Reports{Endpoints: []*wire.EndpointReport{{Id: "b", Sequence: 4, Address: "10.0.0.1:80", Leaving: true}}})
 		before := r.Beats(start, 0)
-		Expect(before.Endpoints).To(BeEmpty(), "whoever heard it tells it")
+		Expect(before.Endpoints).To(BeEmpty(), "the instance that heard it reports it")
 		number, _ := r.Hear(start, endpoint("b", 4, leaving))
-		told := r.Beats(start, before.Number)
-		Expect(find(told, "b").GetLeaving()).To(BeTrue(), "it may have told nobody else")
-		Expect(told.Number).To(BeNumerically(">=", number))
+		reports := r.Beats(start, before.Number)
+		Expect(find(reports, "b").GetLeaving()).To(BeTrue(), "the instance that heard it may have told nobody else")
+		Expect(reports.Number).To(BeNumerically(">=", number))
 		r.Merge(start, &wire.Reports{Endpoints: []*wire.EndpointReport{{Id: "b", Gone: true}}})
 		number = r.Leave(start, "b")
-		again := r.Beats(start, told.Number)
+		again := r.Beats(start, reports.Number)
 		Expect(find(again, "b").GetGone()).To(BeTrue())
 		Expect(again.Number).To(BeNumerically(">=", number))
 	})
 
-	It("are told on by those that vote, also of what they were told before they did", func() {
+	It("are relayed by voters, including changes learned before they became voters", func() {
 		r.SetRelay(false)
 		r.Merge(start, &wire.Reports{Endpoints: []*wire.EndpointReport{{Id: "b", Sequence: 4, Address: "10.0.0.1:80"}}})
 		r.SetRelay(true)
 		Expect(find(r.Beats(start, 0), "b")).NotTo(BeNil())
 	})
 
-	It("are not taken for silent by a process that stood still itself", func() {
+	It("are not marked silent for the time that the process itself was stalled", func() {
 		r.Hear(start, endpoint("b", 1, nil))
 		r.Excuse(3 * heartbeatPeriod)
 		r.Sweep(start.Add(4 * heartbeatPeriod))
--- a/internal/registry/merge.go
+++ b/internal/registry/merge.go
@@ -6,8 +6,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Merge takes the reports of another control instance. A report that an
-// incarnation is gone stands, whatever its sequence.
+// Merge applies the reports of another control instance. A report that an
+// incarnation is gone applies whatever its sequence.
 func (r *Registry) Merge(now time.Time, reports *wire.Reports) {
 	for _, m := range reports.Endpoints {
 		e := FromMessage(m)
@@ -24,8 +24,8 @@
 	}
 }
 
-// mergeBeat takes the heartbeat of an endpoint that is known; of another one
-// the peer tells more when it tells all, on its next link.
+// mergeBeat applies a heartbeat of a known endpoint. Unknown endpoints are ignored,
+// since the peer sends its full list on its next link.
 func (r *Registry) mergeBeat(now time.Time, b *wire.Beat) {
 	rec := r.records[b.Id]
 	if rec == nil {
--- a/internal/registry/merge_test.go
+++ b/internal/registry/merge_test.go
@@ -9,11 +9,11 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var _ = Describe("a Registry that hears of another one", func() {
+var _ = Describe("a Registry that merges reports of a peer", func() {
 	var r *Registry
 	BeforeEach(func() { r = New(Config{Beat: heartbeatPeriod}, start) })
 
-	It("does not take the living one for ended when it hears late of its predecessor", func() {
+	It("keeps the live incarnation when a late report of its predecessor arrives", func() {
 		now := start.Add(10 * heartbeatPeriod)
 		r.Hear(now, endpoint("b", 1, nil))
 		r.Merge(now, &wire.Reports{Endpoints: []*wire.EndpointReport{
@@ -31,17 +31,17 @@
 		Expect(find(r.Changes(now, 0), "b").Silent).To(BeFalse())
 	})
 
-	It("counts the age that a peer tells", func() {
+	It("takes the reported age into account", func() {
 		r.Merge(start, &wire.Reports{Endpoints: []*wire.EndpointReport{
 			{Id: "a", Sequence: 1, Address: "10.0.0.1:80", AgeNanos: int64(3 * heartbeatPeriod), WarmNanos: int64(heartbeatPeriod)},
 		}})
 		r.Sweep(start)
 		m := find(r.Changes(start, 0), "a")
 		Expect(m.Silent).To(BeTrue())
-		Expect(time.Duration(m.WarmNanos)).To(Equal(heartbeatPeriod), "it was counted off by the sender already")
+		Expect(time.Duration(m.WarmNanos)).To(Equal(heartbeatPeriod), "the sender has already subtracted the age")
 	})
 
-	It("tells peers on of a change that a peer told of, not of a heartbeat", func() {
+	It("relays changes to other peers, but not heartbeats", func() {
 		r.Merge(start, &wire.Reports{Endpoints: []*wire.EndpointReport{{Id: "a", Sequence: 1, Address: "10.0.0.1:80"}}})
 		first := r.Beats(start, 0)
 		Expect(first.Endpoints).To(HaveLen(1))
@@ -53,7 +53,7 @@
 		Expect(r.Beats(start, again.Number).Endpoints).To(HaveLen(1))
 	})
 
-	It("does not take a heartbeat for one that is unknown or has ended", func() {
+	It("ignores heartbeats of unknown and gone endpoints", func() {
 		r.Merge(start, &wire.Reports{Beats: []*wire.Beat{{Id: "stranger", Sequence: 2}}})
 		Expect(r.Len()).To(BeZero())
 		r.Hear(start, endpoint("a", 1, nil))
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,8 +1,8 @@
-// Package registry holds what the heartbeats of endpoints say: one record for
-// each incarnation, ordered by the sequence that the endpoint counts up, so
-// that a late heartbeat changes nothing. Records are soft state, shared among
-// the control instances, and pushed to entries when they change. The package
-// has no I/O; now is an argument.
+// Package registry keeps the state that endpoints announce in their heartbeats, in
+// one record for each incarnation. The endpoint's sequence number orders heartbeats,
+// so that a late one has no effect. Records are soft state, exchanged among the
+// control instances and pushed to entries when they change. The package performs no
+// I/O, and callers pass in the current time.
 package registry
 
 import (
@@ -13,74 +13,76 @@
 
 const (
 	// silentAfterPeriods is how many heartbeat periods without a heartbeat make an
-	// endpoint silent: two lost ones and the spread of the third.
+	// endpoint silent. It tolerates two lost heartbeats and the jitter of the third.
 	silentAfterPeriods = 2.6
-	// forgetAfterPeriods is how many periods after its last heartbeat a record is
-	// dropped: a flow's longest life of 60 s at a period of 0.77 s.
+	// forgetAfterPeriods is how many heartbeat periods after its last heartbeat a record
+	// is removed. It exceeds the longest life of a flow.
 	forgetAfterPeriods = 80
-	// coldMargin is by how much longer an endpoint must say that it is cold than it said
-	// last to have become cold again: more than the error in what peers tell of that.
+	// coldMargin is by how much the announced warm-up time must exceed the previous one
+	// to mean that the endpoint is cold again. It exceeds the error of times relayed by
+	// peers.
 	coldMargin = 300 * time.Millisecond
 )
 
 type (
-	// Endpoint is what one incarnation of an endpoint said of itself last.
+	// Endpoint is the state that one incarnation of an endpoint announced last.
 	Endpoint struct {
 		ID       string
-		Number   uint64 // what a packet names the incarnation by
+		Number   uint64 // identifies the incarnation in packets
 		Service  string
 		Addr     netip.AddrPort
 		Domain   string
 		Slots    int
 		Leaving  bool
-		Gone     bool          // it has ended; nothing may go there
-		Warm     time.Duration // how much longer it is slow, counted from the heartbeat
-		Sequence uint64        // rises with each heartbeat
+		Gone     bool          // it has ended and receives no traffic
+		Warm     time.Duration // remaining warm-up time as of the heartbeat
+		Sequence uint64        // increases with each heartbeat
 	}
 
-	// Config sets the times of a Registry.
+	// Config configures a Registry.
 	Config struct {
-		Beat time.Duration // an endpoint's heartbeat period
-		// Changed is called with what entries must learn of an endpoint, and
-		// how long ago it was heard; nil where nobody listens.
+		Beat time.Duration // heartbeat period of endpoints
+		// Changed is called with each change that entries must learn of, and the time
+		// since the endpoint was last heard; it may be nil.
 		Changed func(e Endpoint, silent bool, age time.Duration)
 	}
 
-	// Registry is the set of records of one control instance. One goroutine
-	// at a time uses it.
+	// Registry holds the endpoint records of one control instance. It is not safe
+	// for concurrent use.
 	Registry struct {
 		config       Config
 		started      time.Time
 		records      map[string]*record
-		liveByAddr   map[netip.AddrPort][]*record // by address, those that are not known to have ended
-		changeOrder  *list.List                   // records, the one that changed last at the back
-		heardOrder   *list.List                   // records, the one that was heard last at the back
-		revision     uint64                       // of the last heartbeat or change
-		lastSweep    time.Time                    // when silence was last looked for
-		stalled      time.Duration                // how long this process has stood still, in sum
-		digest       Digest                       // of all records
-		relays       bool                         // tells peers on of what other peers told
-		newestByName map[string]*record           // by name, of those whose incarnations share an id
+		liveByAddr   map[netip.AddrPort][]*record // records that are not gone
+		changeOrder  *list.List                   // records in order of their last change for entries
+		heardOrder   *list.List                   // records in order of their last heartbeat or change for peers
+		revision     uint64                       // rises with each heartbeat or change
+		lastSweep    time.Time
+		stalled      time.Duration      // total time for which this process was stalled
+		digest       Digest             // of all records
+		relays       bool               // whether changes learned from peers are relayed to other peers
+		newestByName map[string]*record // newest incarnation by shared id
 	}
 
-	// record is what is known of one incarnation.
+	// record is the state of one incarnation. The fields ending in Rev hold the
+	// Registry.revision of the last change of a kind, 0 for none.
 	record struct {
 		endpoint           Endpoint
 		heard              time.Time
-		stalledWhenHeard   time.Duration // Registry.late when it was heard
+		stalledWhenHeard   time.Duration // Registry.stalled when it was last heard
 		silent             bool
-		conflictSince      time.Time     // when another incarnation at the address was first known, zero for none
-		incumbent          bool          // known before the other one
-		heardSinceConflict bool          // heard with a higher sequence since then
-		sum                uint64        // as the registry's digest has it, 0 before that
-		changeRev          uint64        // number of the last change that entries must know
-		sumRev             uint64        // number of the last change that sums show
-		viewRev            uint64        // number of the last change that they do not: of silence, or to cold
-		peerRev            uint64        // number of the last heartbeat or change that peers must know
-		peerFullRev        uint64        // number of the last one of which they must know all
-		relayPending       bool          // peers were not told on of a change that a peer told of
-		changeElem         *list.Element // of Registry.changes
-		heardElem          *list.Element // of Registry.beats
+		conflictSince      time.Time     // start of the current address conflict, zero for none
+		incumbent          bool          // it held the address before the conflict
+		heardSinceConflict bool          // a newer heartbeat arrived since conflictSince
+		sum                uint64        // its checksum in Registry.digest, 0 if not yet included
+		changeRev          uint64        // any change that entries must learn of
+		sumRev             uint64        // a change of sum
+		viewRev            uint64        // a change that sum does not cover: silence, or cold again
+		peerRev            uint64        // a heartbeat or change that peers must learn of
+		peerFullRev        uint64        // the same, where peers need the full record
+		relayPending       bool          // a change learned from a peer was not relayed
+		changeElem         *list.Element // its element in Registry.changeOrder
+		heardElem          *list.Element // its element in Registry.heardOrder
 	}
 )
 
@@ -92,10 +94,10 @@
 	}
 }
 
-// SetRelay has this registry tell peers on of what other peers told, or not. A change
-// is acknowledged only once a majority of the voters holds it, and the leader hears from
-// one of these: so it suffices that voters do, while what each instance would tell each
-// other one grows with the square of their number.
+// SetRelay sets whether this registry relays changes learned from peers to other
+// peers. Relaying among all instances would cost traffic quadratic in their number.
+// It suffices that voters relay: a change is acknowledged only once a majority of
+// them holds it, and the leader hears from at least one of these.
 func (r *Registry) SetRelay(relays bool) {
 	if r.relays = relays; !relays {
 		return
@@ -107,22 +109,24 @@
 	}
 }
 
-// Hear takes a heartbeat of an endpoint itself and returns the number of the
-// change. It reports false where the heartbeat is older than what is known.
+// Hear applies a heartbeat received from the endpoint itself, and returns the
+// revision that covers it. It reports false if the heartbeat is not newer than the
+// record.
 func (r *Registry) Hear(now time.Time, e Endpoint) (uint64, bool) {
 	revision, applied := r.apply(now, e, 0)
 	rec := r.records[e.ID]
 	switch {
 	case applied:
 		r.markForPeers(rec, false)
-	case rec != nil && rec.relayPending: // whoever told of it may have told nobody else
+	case rec != nil && rec.relayPending: // the peer that reported it may have told nobody else
 		revision = r.resendFull(rec)
 	}
 	return revision, applied
 }
 
-// apply takes what an endpoint said age ago, to whomever. Peers are told of it
-// only if it changes what is known: whoever heard a heartbeat itself tells all.
+// apply applies a heartbeat that was received age ago, here or by a peer. Peers are
+// informed only if it changes the record: the instance that received a heartbeat
+// sends it to all others itself.
 func (r *Registry) apply(now time.Time, e Endpoint, age time.Duration) (uint64, bool) {
 	rec := r.records[e.ID]
 	if rec != nil && (rec.endpoint.Gone || e.Sequence <= rec.endpoint.Sequence) {
@@ -167,40 +171,43 @@
 	return r.revision, true
 }
 
-// becameCold reports whether an incarnation became cold again: it says that it stays cold for
-// longer than it said last. What it says is compared, and not when that was heard: of
-// heartbeats that wait for a busy control instance each would seem to say so, and have every
-// entry told, which makes it busier.
+// becameCold reports whether an endpoint is cold again, that is, announces a longer
+// warm-up time than before. It compares the announced values and not the times of
+// receipt, because heartbeats queued at a busy control instance would all appear to
+// extend the warm-up and trigger pushes to every entry.
 func becameCold(rec *record, e Endpoint) bool { return e.Warm > rec.endpoint.Warm+coldMargin }
 
-// isCold reports whether an endpoint said that it is still isCold.
+// isCold reports whether the announced warm-up is still under way.
 func (rec *record) isCold(now time.Time) bool {
 	return rec.endpoint.Warm > 0 && now.Sub(rec.heard) < rec.endpoint.Warm
 }
 
-// differsForEntries reports whether entries must learn of the difference.
+// differsForEntries reports whether two states differ in fields that entries must
+// learn of.
 func differsForEntries(a, b Endpoint) bool {
 	a.Sequence, b.Sequence = 0, 0
 	a.Warm, b.Warm = 0, 0
 	return a != b
 }
 
-// relayToPeers has peers told on of a change of the record, if this registry does that.
+// relayToPeers sends a change of the record to peers if this registry relays, and
+// otherwise notes that this is pending.
 func (r *Registry) relayToPeers(rec *record) {
 	if rec.relayPending = !r.relays; r.relays {
 		r.markForPeers(rec, true)
 	}
 }
 
-// resendFull has peers told all of a record under a number of its own, which it returns.
+// resendFull schedules the full record for peers under a new revision, which it
+// returns.
 func (r *Registry) resendFull(rec *record) uint64 {
 	r.revision++
 	r.markForPeers(rec, true)
 	return r.revision
 }
 
-// markForPeers notes that peers must learn of the record: that it was heard, or, where
-// they may not know the rest, all of it.
+// markForPeers schedules the record for peers: a bare heartbeat, or the full record
+// if requested or if a relay is pending.
 func (r *Registry) markForPeers(rec *record, full bool) {
 	if full || rec.relayPending {
 		rec.peerFullRev, rec.relayPending = r.revision, false
@@ -209,7 +216,7 @@
 	rec.heardElem = moveToBack(r.heardOrder, rec.heardElem, rec)
 }
 
-// moveToBack moves a record's element to the back, or makes it.
+// moveToBack moves a record's list element to the back, creating it if nil.
 func moveToBack(l *list.List, e *list.Element, rec *record) *list.Element {
 	if e == nil {
 		return l.PushBack(rec)
@@ -226,7 +233,7 @@
 	r.markForEntries(now, rec)
 }
 
-// markForEntries notes that entries must learn of the record, and keeps the digest.
+// markForEntries schedules the record for entries and updates the digest.
 func (r *Registry) markForEntries(now time.Time, rec *record) {
 	rec.changeRev = r.revision
 	rec.changeElem = moveToBack(r.changeOrder, rec.changeElem, rec)
@@ -240,11 +247,11 @@
 	}
 }
 
-// Leave takes the message of an endpoint that it ends, and returns the number of the
-// change. Where several incarnations share its id the message does not say whose it is: it is the
-// newest one's if that one said that it leaves. Else it may be an earlier one's, held back
-// until after the next start, whose open flows it must not end; one that ended without
-// having been heard to leave falls silent.
+// Leave applies an endpoint's message that it ends, and returns the revision of the
+// change. If incarnations share the id, the message does not name one of them, and
+// is taken for the newest one's only if that announced that it is leaving. Otherwise
+// it may be a delayed message of an earlier incarnation and must not reset the newest
+// one's flows; an incarnation whose leaving was never heard becomes silent instead.
 func (r *Registry) Leave(now time.Time, id string) uint64 {
 	if newest := r.newestByName[id]; newest != nil {
 		if !newest.endpoint.Leaving {
@@ -259,8 +266,8 @@
 	return revision
 }
 
-// leave marks an incarnation as gone; e is what is known of it where this
-// registry knows nothing.
+// leave marks an incarnation as gone. If it is unknown, it is added with the state
+// in e.
 func (r *Registry) leave(now time.Time, e Endpoint) uint64 {
 	rec := r.records[e.ID]
 	if rec == nil {
@@ -279,7 +286,7 @@
 	return rec.changeRev
 }
 
-// Sweep marks endpoints that fell silent, and drops records that nothing needs.
+// Sweep updates which endpoints are silent and removes expired records.
 func (r *Registry) Sweep(now time.Time) {
 	r.restartConflictsAfterPause(now)
 	for id, rec := range r.records {
@@ -295,19 +302,19 @@
 	}
 }
 
-// avoided reports whether new flows avoid an endpoint, since heartbeats are
-// missing or another one claims its address.
+// avoided reports whether new flows avoid an endpoint because its heartbeats are
+// missing or it loses an address conflict.
 func (r *Registry) avoided(now time.Time, rec *record) bool {
 	missing := now.Sub(rec.heard) - (r.stalled - rec.stalledWhenHeard)
 	return !rec.endpoint.Gone && (missing > r.periods(silentAfterPeriods) || r.losesConflict(rec))
 }
 
-// setSilent notes a change of silence under the registry's present number.
+// setSilent records a change of silence at the current revision.
 func (r *Registry) setSilent(rec *record, silent bool) {
 	rec.silent, rec.viewRev = silent, r.revision
 }
 
-// remove drops a record that nothing needs.
+// remove removes a record and its index entries.
 func (r *Registry) remove(id string, rec *record) {
 	delete(r.records, id)
 	r.releaseAddr(rec)
@@ -321,21 +328,21 @@
 	}
 }
 
-// Digest sums up what is known.
+// Digest returns the digest of all records.
 func (r *Registry) Digest() Digest { return r.digest }
 
-// Excuse takes that this process stood still for a span. It counts for no endpoint's
-// silence: heartbeats wait meanwhile, or go elsewhere, and that this process is late is
-// the likelier cause than thousands of endpoints being so.
+// Excuse records that this process was stalled for a time. The time does not count
+// towards the silence of endpoints, because heartbeats were queued or went elsewhere
+// meanwhile.
 func (r *Registry) Excuse(span time.Duration) { r.stalled += span }
 
-// Whole reports whether every endpoint has had the time to send a heartbeat
-// since the registry began; until then a missing one means nothing.
+// Whole reports whether every endpoint has had time to send a heartbeat since the
+// registry started. Until then an unknown endpoint may still be alive.
 func (r *Registry) Whole(now time.Time) bool {
 	return now.Sub(r.started) > 2*r.config.Beat
 }
 
-// Changed returns the number of the last change that entries must know.
+// Changed returns the revision of the last change that entries must learn of.
 func (r *Registry) Changed() uint64 {
 	if last := r.changeOrder.Back(); last != nil {
 		return last.Value.(*record).changeRev
@@ -343,5 +350,5 @@
 	return 0
 }
 
-// Len returns how many incarnations are known, gone ones included.
+// Len returns the number of known incarnations, including those that are gone.
 func (r *Registry) Len() int { return len(r.records) }
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -33,7 +33,7 @@
 
 func leaving(e *Endpoint) { e.Leaving = true }
 
-// find returns what is reported of an endpoint, nil for nothing.
+// find returns the report on an endpoint, or nil.
 func find(reports *wire.Reports, id string) *wire.EndpointReport {
 	for _, m := range reports.Endpoints {
 		if m.Id == id {
@@ -47,20 +47,20 @@
 	var r *Registry
 	BeforeEach(func() { r = New(Config{Beat: heartbeatPeriod}, start) })
 
-	It("orders heartbeats by their sequence, not by when they come", func() {
+	It("orders heartbeats by sequence, not by arrival", func() {
 		r.Hear(start, endpoint("a", 5, leaving))
-		_, taken := r.Hear(start, endpoint("a", 4, nil))
-		Expect(taken).To(BeFalse())
+		_, applied := r.Hear(start, endpoint("a", 4, nil))
+		Expect(applied).To(BeFalse())
 		Expect(find(r.Changes(start, 0), "a").Leaving).To(BeTrue())
 	})
 
-	It("gives a late heartbeat the number of what it knows already, for those who wait for it", func() {
+	It("returns the revision of the known state for a repeated heartbeat", func() {
 		n, _ := r.Hear(start, endpoint("a", 5, leaving))
 		again, _ := r.Hear(start, endpoint("a", 5, leaving))
 		Expect(again).To(Equal(n))
 	})
 
-	It("never revives an incarnation that has ended", func() {
+	It("never revives a gone incarnation", func() {
 		r.Hear(start, endpoint("a", 1, nil))
 		r.Leave(start, "a")
 		r.Hear(start, endpoint("a", 2, nil))
@@ -68,13 +68,13 @@
 		Expect(find(r.Changes(start, 0), "a").Gone).To(BeTrue())
 	})
 
-	It("remembers that one has ended that it had not heard of", func() {
+	It("remembers that an unknown incarnation is gone", func() {
 		r.Leave(start, "a")
 		r.Hear(start, endpoint("a", 2, nil))
 		Expect(find(r.Changes(start, 0), "a").Gone).To(BeTrue())
 	})
 
-	It("turns new flows away from an endpoint while another incarnation goes on at its address, and does not end it", func() {
+	It("diverts new flows from an endpoint while another incarnation is heard at its address", func() {
 		r.Hear(start, endpoint("a", 9, nil))
 		for n := range uint64(5) {
 			now := start.Add(time.Duration(n) * heartbeatPeriod)
@@ -87,7 +87,7 @@
 		}
 	})
 
-	It("takes an endpoint for silent after some heartbeats are missing, and withdraws that at once", func() {
+	It("marks an endpoint silent after missing heartbeats, and clears that on the next one", func() {
 		r.Hear(start, endpoint("a", 1, nil))
 		r.Sweep(start.Add(2 * heartbeatPeriod))
 		Expect(find(r.Changes(start, 0), "a").Silent).To(BeFalse())
@@ -97,33 +97,33 @@
 		r.Hear(start.Add(4*heartbeatPeriod), endpoint("a", 2, nil))
 		again := r.Changes(start, silent.Number)
 		Expect(again.Heard).To(ConsistOf("a"))
-		Expect(again.Endpoints).To(BeEmpty(), "nothing else has changed of it")
+		Expect(again.Endpoints).To(BeEmpty(), "nothing else has changed")
 	})
 
-	It("forgets what has not been heard of for a flow's longest life", func() {
+	It("removes records not heard of for the longest life of a flow", func() {
 		r.Hear(start, endpoint("a", 1, nil))
 		r.Leave(start, "a")
 		r.Sweep(start.Add((forgetAfterPeriods + 1) * heartbeatPeriod))
 		Expect(r.Len()).To(BeZero())
 	})
 
-	It("is whole once every endpoint could have been heard", func() {
+	It("is complete once every endpoint had time to send a heartbeat", func() {
 		Expect(r.Whole(start.Add(heartbeatPeriod))).To(BeFalse())
 		Expect(r.Whole(start.Add(3 * heartbeatPeriod))).To(BeTrue())
 	})
 
-	It("settles who lives at an address by an index, also after one was forgotten", func() {
+	It("keeps the address index correct when records expire or are gone", func() {
 		r.Hear(start, endpoint("a", 1, nil))
 		later := start.Add((forgetAfterPeriods + 1) * heartbeatPeriod)
 		r.Sweep(later)
 		r.Hear(later, endpoint("b", 1, nil))
-		Expect(find(r.Changes(later, 0), "b").Silent).To(BeFalse(), "nobody else claims the address")
+		Expect(find(r.Changes(later, 0), "b").Silent).To(BeFalse(), "no other record claims the address")
 		r.Hear(later.Add(heartbeatPeriod), endpoint("c", 1, nil))
 		r.Sweep(later.Add(heartbeatPeriod))
 		Expect(find(r.Changes(later, 0), "b").Silent).To(BeTrue())
 		r.Leave(later.Add(heartbeatPeriod), "c")
 		r.Sweep(later.Add(heartbeatPeriod))
-		Expect(find(r.Changes(later, 0), "b").Silent).To(BeFalse(), "nobody else does any more")
+		Expect(find(r.Changes(later, 0), "b").Silent).To(BeFalse(), "the conflict is over")
 		Expect(r.liveByAddr).To(HaveLen(1))
 	})
 })
--- a/internal/registry/reports.go
+++ b/internal/registry/reports.go
@@ -10,13 +10,15 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// maxSums is how many sums are told at once: those of more endpoints are more than the
-// digest, and come while a fleet starts, when the entry is about to be told most of them.
+// maxSums is the maximum number of checksums sent at once. More of them would be
+// larger than the digest, and occur while a fleet starts and the entry is about to
+// receive most records anyway.
 const maxSums = 40
 
-// Changes returns the records that changed after a number, for an entry, the
-// last one first; of those that only fell silent, or no longer are, the id, since they
-// may be a failure domain's at once. Its work grows with their number, not with that of all.
+// Changes returns, for an entry, the records that changed after a revision, newest
+// first. Of records that only became silent or were heard again it lists the id,
+// since a whole failure domain may do so at once. The cost is proportional to the
+// number of changes.
 func (r *Registry) Changes(now time.Time, after uint64) *wire.Reports {
 	out := r.newReports(now)
 	for rec := range r.changedAfter(after) {
@@ -29,7 +31,7 @@
 	return out
 }
 
-// addLiveness adds whether an endpoint is silent to reports.
+// addLiveness adds to reports whether an endpoint is silent.
 func addLiveness(out *wire.Reports, rec *record) {
 	if rec.silent {
 		out.Silent = append(out.Silent, rec.endpoint.ID)
@@ -38,11 +40,11 @@
 	}
 }
 
-// ChangesBriefly returns what has changed after a number for an entry that
-// another control instance tells every record: only sums, but whole what they do not
-// show, that it became cold, and by id that an endpoint fell silent, or no longer is, which is this
-// registry's own view. Where more than sumsMost records have changed it leaves out the sums
-// and tells the digest.
+// ChangesBriefly returns a summary of the changes after a revision, for an entry
+// that receives the records themselves from another control instance. It contains
+// their checksums, the ids of endpoints that became silent or were heard again in this
+// instance's view, and the records that became cold again, which checksums do not
+// cover. If more than maxSums checksums have changed it contains the digest instead.
 func (r *Registry) ChangesBriefly(now time.Time, after uint64) *wire.Reports {
 	out := r.newReports(now)
 	for rec := range r.changedAfter(after) {
@@ -64,8 +66,8 @@
 	return out
 }
 
-// View returns the digest of what is known, and which endpoints are silent, for an entry
-// that is told briefly from now on.
+// View returns the digest and the ids of silent endpoints, for an entry that receives
+// only summaries from now on.
 func (r *Registry) View(now time.Time) *wire.Reports {
 	out := r.newReports(now)
 	out.Digest = slices.Clone(r.digest[:])
@@ -77,7 +79,7 @@
 	return out
 }
 
-// Records returns what is known of some endpoints.
+// Records returns the records of the given endpoints; unknown ones are skipped.
 func (r *Registry) Records(now time.Time, ids []string) *wire.Reports {
 	out := r.newReports(now)
 	for _, id := range ids {
@@ -88,25 +90,26 @@
 	return out
 }
 
-// Lacking returns the records that an entry lacks which knows what its digest
-// says: the parts on which both differ, and of the others what is silent or cold.
+// Lacking returns the records that an entry with the given digest lacks: all in the
+// parts that differ, and those that are silent or cold in the others.
 func (r *Registry) Lacking(now time.Time, known Digest) *wire.Reports {
 	out := r.newReports(now)
 	out.Same = r.digest.Same(&known)
 	for rec := range r.changedAfter(0) {
 		if rec.silent || rec.isCold(now) || out.Same&PartBit(rec.endpoint.ID) == 0 {
 			m := toMessage(now, rec)
-			m.AgeNanos = 0 // for peers; a fifth of the list once it is compressed
+			m.AgeNanos = 0 // only peers need it, and it compresses badly
 			out.Endpoints = append(out.Endpoints, m)
 		}
 	}
 	return out
 }
 
-// Beats returns what was heard of after a number, for a peer that was told all
-// up to that number: the records that changed, and of the others only that they
-// were heard. That suffices since an incarnation never takes back that it leaves,
-// and nothing else of it changes. Its work grows with their number, not with that of all.
+// Beats returns, for a peer that received everything up to a revision, what was
+// heard after it: the full records that changed, and only heartbeats of the others.
+// Heartbeats suffice for these because an incarnation never withdraws its leaving,
+// and its other fields do not change. The cost is proportional to the number of
+// heartbeats and changes.
 func (r *Registry) Beats(now time.Time, after uint64) *wire.Reports {
 	out := r.newReports(now)
 	for rec := range r.heardAfter(after) {
@@ -121,24 +124,24 @@
 	return out
 }
 
-// newReports returns reports that tell of no endpoint yet.
+// newReports returns reports without endpoints.
 func (r *Registry) newReports(now time.Time) *wire.Reports {
 	return &wire.Reports{Number: r.revision, Whole: r.Whole(now)}
 }
 
-// changedAfter goes through the records that changed after a number, the last
-// one first.
+// changedAfter iterates over the records with changes for entries after a revision,
+// newest first.
 func (r *Registry) changedAfter(after uint64) iter.Seq[*record] {
 	return newestFirst(r.changeOrder, func(rec *record) bool { return rec.changeRev > after })
 }
 
-// heardAfter goes through the records that were heard or changed after a number,
-// the last one first.
+// heardAfter iterates over the records that were heard or changed after a revision,
+// newest first.
 func (r *Registry) heardAfter(after uint64) iter.Seq[*record] {
 	return newestFirst(r.heardOrder, func(rec *record) bool { return rec.peerRev > after })
 }
 
-// newestFirst goes through a list from its back as long as the records are wanted.
+// newestFirst iterates over a list from its back until a record is not wanted.
 func newestFirst(l *list.List, wanted func(*record) bool) iter.Seq[*record] {
 	return func(yield func(*record) bool) {
 		for e := l.Back(); e != nil; e = e.Prev() {
@@ -149,7 +152,7 @@
 	}
 }
 
-// toMessage returns a record as it travels; its times count from now.
+// toMessage returns the wire form of a record, with durations relative to now.
 func toMessage(now time.Time, rec *record) *wire.EndpointReport {
 	e, age := rec.endpoint, now.Sub(rec.heard)
 	return &wire.EndpointReport{
@@ -159,9 +162,9 @@
 	}
 }
 
-// FromMessage returns the endpoint of a report; Warm counts from now.
+// FromMessage returns the endpoint in a report, with Warm relative to now.
 func FromMessage(m *wire.EndpointReport) Endpoint {
-	addr, _ := netip.ParseAddrPort(m.Address) // not valid for one that was heard of only as gone
+	addr, _ := netip.ParseAddrPort(m.Address) // invalid if the sender only knows that the endpoint is gone
 	return Endpoint{
 		ID: m.Id, Number: m.Number, Service: m.Service, Addr: addr, Domain: m.Domain, Slots: int(m.Slots),
 		Leaving: m.Leaving, Gone: m.Gone, Warm: time.Duration(m.WarmNanos), Sequence: m.Sequence,
--- a/internal/registry/reports_test.go
+++ b/internal/registry/reports_test.go
@@ -12,20 +12,20 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var _ = Describe("what a Registry tells", func() {
+var _ = Describe("the reports of a Registry", func() {
 	var r *Registry
 	BeforeEach(func() { r = New(Config{Beat: heartbeatPeriod}, start) })
 
-	It("tells entries of what is new, not of every heartbeat", func() {
+	It("contain only changes for entries, not every heartbeat", func() {
 		r.Hear(start, endpoint("a", 1, nil))
 		first := r.Changes(start, 0)
 		Expect(first.Endpoints).To(HaveLen(1))
 		r.Hear(start.Add(heartbeatPeriod), endpoint("a", 2, nil))
 		Expect(r.Changes(start, first.Number).Endpoints).To(BeEmpty())
-		Expect(r.Beats(start, first.Number).Beats).To(HaveLen(1), "peers must know that it was heard")
+		Expect(r.Beats(start, first.Number).Beats).To(HaveLen(1), "peers receive the heartbeat")
 	})
 
-	It("tells a change with work that does not grow with the number of endpoints", func() {
+	It("cost the same for a change whatever the number of endpoints", func() {
 		work := func(endpoints int) float64 {
 			r := New(Config{Beat: heartbeatPeriod}, start)
 			for n := range endpoints {
@@ -41,7 +41,7 @@
 		Expect(work(5000)).To(Equal(work(5)))
 	})
 
-	It("tells a peer only that an endpoint was heard, where nothing else has changed", func() {
+	It("contain only a heartbeat for a peer if nothing else has changed", func() {
 		other := New(Config{Beat: heartbeatPeriod}, start)
 		r.Hear(start, endpoint("a", 1, func(e *Endpoint) { e.Warm = 3 * heartbeatPeriod }))
 		all := r.Beats(start, 0)
@@ -58,28 +58,28 @@
 		m := find(other.Changes(now, 0), "a")
 		Expect(m.Sequence).To(Equal(uint64(2)))
 		Expect(time.Duration(m.AgeNanos)).To(BeZero())
-		Expect(time.Duration(m.WarmNanos)).To(Equal(heartbeatPeriod), "what is left of it")
+		Expect(time.Duration(m.WarmNanos)).To(Equal(heartbeatPeriod), "the remaining time")
 		other.Sweep(start.Add(4 * heartbeatPeriod))
 		Expect(find(other.Changes(now, 0), "a").Silent).To(BeFalse())
 	})
 
-	It("tells entries and peers of an endpoint that became cold again, not of one that warms up as it said", func() {
+	It("contain endpoints that became cold again, not those that warm up as announced", func() {
 		warm := func(span time.Duration) func(*Endpoint) { return func(e *Endpoint) { e.Warm = span } }
 		r.Hear(start, endpoint("a", 1, warm(2*heartbeatPeriod)))
 		before := r.Changed()
 		r.Hear(start.Add(heartbeatPeriod), endpoint("a", 2, warm(heartbeatPeriod+heartbeatPeriod/10)))
-		r.Hear(start.Add(2*heartbeatPeriod-time.Millisecond), endpoint("a", 3, warm(heartbeatPeriod/2))) // waited for a busy control instance
+		r.Hear(start.Add(2*heartbeatPeriod-time.Millisecond), endpoint("a", 3, warm(heartbeatPeriod/2))) // was queued at a busy control instance
 		r.Hear(start.Add(2*heartbeatPeriod), endpoint("a", 4, nil))
 		Expect(r.Changed()).To(Equal(before))
 		now := start.Add(5 * heartbeatPeriod)
 		r.Hear(now, endpoint("a", 6, warm(2*heartbeatPeriod)))
-		for _, told := range []*wire.Reports{r.Changes(now, before), r.ChangesBriefly(now, before), r.Beats(now, before)} {
-			Expect(told.Endpoints).To(HaveLen(1))
-			Expect(time.Duration(told.Endpoints[0].WarmNanos)).To(Equal(2 * heartbeatPeriod))
+		for _, reports := range []*wire.Reports{r.Changes(now, before), r.ChangesBriefly(now, before), r.Beats(now, before)} {
+			Expect(reports.Endpoints).To(HaveLen(1))
+			Expect(time.Duration(reports.Endpoints[0].WarmNanos)).To(Equal(2 * heartbeatPeriod))
 		}
 	})
 
-	Describe("told what an entry knows", func() {
+	Describe("for the digest of an entry", func() {
 		const endpoints = 200
 		known := Digest{}
 		id := func(n int) string { return fmt.Sprint("i-", n) }
@@ -94,32 +94,32 @@
 			}
 		})
 
-		It("tells it nothing that it knows, whatever the heartbeats since", func() {
+		It("omit known records despite later heartbeats", func() {
 			r.Hear(start.Add(heartbeatPeriod), endpoint(id(0), 7, func(e *Endpoint) {
 				e.Addr = netip.MustParseAddrPort("10.0.0.0:80")
 			}))
-			told := r.Lacking(start, known)
-			Expect(told.Endpoints).To(BeEmpty())
-			Expect(told.Same).To(Equal(^uint64(0)))
-			Expect(told.Number).To(Equal(r.revision))
+			reports := r.Lacking(start, known)
+			Expect(reports.Endpoints).To(BeEmpty())
+			Expect(reports.Same).To(Equal(^uint64(0)))
+			Expect(reports.Number).To(Equal(r.revision))
 		})
 
-		It("tells it of an endpoint that became cold again, for as long as that lasts", func() {
+		It("contain an endpoint that became cold again until it is warm", func() {
 			again := start.Add(heartbeatPeriod)
 			r.Hear(again, endpoint(id(0), 7, func(e *Endpoint) {
 				e.Addr, e.Warm = netip.MustParseAddrPort("10.0.0.0:80"), 2*heartbeatPeriod
 			}))
-			told := r.Lacking(again.Add(heartbeatPeriod), known)
-			Expect(told.Endpoints).To(ConsistOf(HaveField("Id", id(0))))
-			Expect(time.Duration(told.Endpoints[0].WarmNanos)).To(Equal(heartbeatPeriod))
+			reports := r.Lacking(again.Add(heartbeatPeriod), known)
+			Expect(reports.Endpoints).To(ConsistOf(HaveField("Id", id(0))))
+			Expect(time.Duration(reports.Endpoints[0].WarmNanos)).To(Equal(heartbeatPeriod))
 			Expect(r.Lacking(again.Add(2*heartbeatPeriod), known).Endpoints).To(BeEmpty())
 		})
 
-		It("tells all to one that knows nothing", func() {
+		It("contain all records for an empty digest", func() {
 			Expect(r.Lacking(start, Digest{}).Endpoints).To(HaveLen(endpoints))
 		})
 
-		It("tells the part in which something was added, has changed, leaves or has ended", func() {
+		It("contain only the parts with an added, changed, leaving or gone record", func() {
 			changes := map[string]func(){
 				id(3): func() { r.Leave(start, id(3)) },
 				id(4): func() {
@@ -134,22 +134,22 @@
 			}
 			for changed, change := range changes {
 				change()
-				told := r.Lacking(start, known)
-				Expect(find(told, changed)).NotTo(BeNil(), changed)
-				Expect(told.Same & PartBit(changed)).To(BeZero())
-				Expect(len(told.Endpoints)).To(BeNumerically("<", endpoints/4), "not the whole list")
+				reports := r.Lacking(start, known)
+				Expect(find(reports, changed)).NotTo(BeNil(), changed)
+				Expect(reports.Same & PartBit(changed)).To(BeZero())
+				Expect(len(reports.Endpoints)).To(BeNumerically("<", endpoints/4), "not the whole list")
 			}
 		})
 
-		It("tells what is silent in every part, since a digest does not say it", func() {
+		It("contain silent records of all parts, since a digest does not cover silence", func() {
 			now := start.Add(3 * heartbeatPeriod)
 			r.Sweep(now)
-			told := r.Lacking(now, known)
-			Expect(told.Same).To(Equal(^uint64(0)))
-			Expect(told.Endpoints).To(HaveLen(endpoints))
+			reports := r.Lacking(now, known)
+			Expect(reports.Same).To(Equal(^uint64(0)))
+			Expect(reports.Endpoints).To(HaveLen(endpoints))
 		})
 
-		It("keeps its sums right through ends and through forgetting", func() {
+		It("leave an empty digest after all records are gone and removed", func() {
 			for n := range endpoints {
 				r.Leave(start, id(n))
 			}
@@ -157,54 +157,54 @@
 			Expect(r.digest).To(Equal(Digest{}))
 		})
 
-		It("knows as much of one that ended, wherever it learned that", func() {
+		It("lead to the same digest for a gone record at a peer", func() {
 			other := New(Config{Beat: heartbeatPeriod}, start)
 			r.Leave(start, id(7))
 			other.Merge(start, r.Changes(start, 0))
 			Expect(other.digest).To(Equal(r.digest))
 		})
 
-		It("tells briefly what changed by a sum that one who knows the change has too", func() {
+		It("summarize a change by the checksum of the changed record", func() {
 			before := r.Changed()
 			Expect(r.ChangesBriefly(start, before).Sums).To(BeEmpty())
 			changed := endpoint(id(4), 2, func(e *Endpoint) { e.Addr, e.Leaving = netip.MustParseAddrPort("10.0.0.4:80"), true })
 			r.Hear(start, changed)
-			told := r.ChangesBriefly(start, before)
-			Expect(told.Endpoints).To(BeEmpty())
-			Expect(told.Sums).To(ConsistOf(And(HaveField("Id", id(4)), HaveField("Sum", Sum(changed)))))
+			reports := r.ChangesBriefly(start, before)
+			Expect(reports.Endpoints).To(BeEmpty())
+			Expect(reports.Sums).To(ConsistOf(And(HaveField("Id", id(4)), HaveField("Sum", Sum(changed)))))
 			changed.Leaving = false
-			Expect(told.Sums[0].Sum).NotTo(Equal(Sum(changed)))
+			Expect(reports.Sums[0].Sum).NotTo(Equal(Sum(changed)))
 			Expect(find(r.Records(start, []string{id(4), "unknown"}), id(4)).Leaving).To(BeTrue())
 		})
 
-		It("tells briefly what fell silent and what is heard again", func() {
+		It("summarize endpoints that became silent or are heard again", func() {
 			before := r.Changed()
 			r.Sweep(start.Add(3 * heartbeatPeriod))
 			silent := r.ChangesBriefly(start, before)
 			Expect(silent.Silent).To(HaveLen(endpoints))
-			Expect(silent.Sums).To(BeEmpty(), "nothing else has changed of them")
+			Expect(silent.Sums).To(BeEmpty(), "nothing else has changed")
 			r.Hear(start.Add(3*heartbeatPeriod), endpoint(id(4), 2, func(e *Endpoint) { e.Addr = netip.MustParseAddrPort("10.0.0.4:80") }))
 			again := r.ChangesBriefly(start, silent.Number)
 			Expect(again.Silent).To(BeEmpty())
 			Expect(again.Heard).To(ConsistOf(id(4)))
 		})
 
-		It("tells briefly of a change beside a silence both", func() {
+		It("summarize a change of a record that also became silent", func() {
 			before := r.Changed()
 			r.Sweep(start.Add(3 * heartbeatPeriod))
 			r.Leave(start.Add(3*heartbeatPeriod), id(4))
-			told := r.ChangesBriefly(start, before)
-			Expect(told.Sums).To(ConsistOf(HaveField("Id", id(4))))
+			reports := r.ChangesBriefly(start, before)
+			Expect(reports.Sums).To(ConsistOf(HaveField("Id", id(4))))
 		})
 
-		It("tells the digest in place of more sums than it is worth", func() {
+		It("contain the digest instead of too many checksums", func() {
 			before := r.Changed()
 			for n := range maxSums + 1 {
 				r.Leave(start, id(n))
 			}
-			told := r.ChangesBriefly(start, before)
-			Expect(told.Sums).To(BeEmpty())
-			Expect(DigestOf(told.Digest)).To(Equal(r.digest))
+			reports := r.ChangesBriefly(start, before)
+			Expect(reports.Sums).To(BeEmpty())
+			Expect(DigestOf(reports.Digest)).To(Equal(r.digest))
 		})
 	})
 })
