--- a/internal/announce/schedule.go
+++ b/internal/announce/schedule.go
@@ -1,8 +1,8 @@
-// Package announce has control instances make themselves known to entries, in
-// datagrams that carry their address. An entry that has lost everything knows
-// the control instances its settings name, and of these none may be up, or none
-// be a control instance any more; those that are up remember the entries. The
-// package has no I/O, and now is an argument.
+// Package announce lets control instances announce themselves to entries in
+// datagrams that carry their address. An entry that restarts without state knows
+// only the control instances in its settings, which may all be down or
+// decommissioned, whereas the running ones still know the entries. The package
+// performs no I/O, and callers pass in the current time.
 package announce
 
 import (
@@ -12,101 +12,99 @@
 )
 
 const (
-	// Tick is how often Due is asked.
+	// Tick is the interval between calls of Due.
 	Tick = 20 * time.Millisecond
-	// PerTick bounds the datagrams at once: 7,500 a second, 4% of a core (5 µs each
-	// on loopback). All of 352 entries are told within 60 ms, 6,800 within a second.
+	// PerTick bounds the datagrams sent in one tick, which is 7,500 a second.
 	PerTick = 150
-	// every is how soon an entry is told again, at the next Tick: entries start
-	// within 0.2 s of each other, and what is told before is lost.
-	every = 50 * time.Millisecond
-	// tellFor is how long an entry is told after it was linked last, or after the
-	// control instance started: several times what a restart takes.
-	tellFor = 10 * time.Second
-	// keepFor is how long an entry that is not linked is remembered, so that a
-	// second loss of power soon after a first finds all of them.
-	keepFor = time.Hour
-	// keepMost bounds how many are remembered, above the 6,800 nodes to design for:
-	// one entry more has to find a seed.
-	keepMost = 10_000
-	// forgetEvery is how often those that were not linked for long are looked for.
-	forgetEvery = time.Minute
+	// resendInterval is the minimum time between two datagrams to the same entry.
+	// It is short because datagrams that arrive before the entry listens are lost.
+	resendInterval = 50 * time.Millisecond
+	// announceDuration is how long announcements are sent to an entry after its last
+	// link ended or the control instance started. It covers a restart of the entry.
+	announceDuration = 10 * time.Second
+	// retention is how long an unlinked entry is remembered, so that a second power
+	// loss soon after the first still finds all entries.
+	retention = time.Hour
+	// maxEntries bounds the remembered entries. Entries beyond it depend on their seeds.
+	maxEntries = 10_000
+	// pruneInterval is the time between two searches for expired entries.
+	pruneInterval = time.Minute
 )
 
 type (
-	// Schedule says which entries a control instance announces itself to, and when.
-	// The zero value knows none. One goroutine at a time uses it.
+	// Schedule decides to which entries a control instance announces itself, and
+	// when. The zero value knows no entry. It is not safe for concurrent use.
 	Schedule struct {
-		known    map[netip.AddrPort]*listener
-		waiting  []*listener // not linked, and told; looked through in turn
-		next     int         // index in waiting
-		changes  uint64
-		forgetAt time.Time
+		known     map[netip.AddrPort]*listener
+		pending   []*listener // unlinked entries that are sent announcements, in round-robin order
+		next      int         // index in pending
+		changes   uint64
+		nextPrune time.Time
 	}
 
-	// listener is where an entry listens for announcements.
+	// listener is the address on which an entry receives announcements.
 	listener struct {
-		addr     netip.AddrPort
-		links    int
-		since    time.Time // when it was linked last, or remembered
-		toldAt   time.Time
-		awaiting bool // it stands in Schedule.waiting
+		addr          netip.AddrPort
+		links         int
+		unlinkedSince time.Time // when its last link ended or it was first known
+		lastSent      time.Time
+		pending       bool // whether it is in Schedule.pending
 	}
 )
 
-// Remember takes entries that were known before a restart.
+// Remember adds entries that were known before a restart.
 func (s *Schedule) Remember(now time.Time, addrs []netip.AddrPort) {
 	for _, addr := range addrs {
-		if l := s.listener(now, addr); l != nil {
-			s.await(l)
+		if l := s.getOrAdd(now, addr); l != nil {
+			s.enqueue(l)
 		}
 	}
 }
 
-// Linked notes that an entry has a link.
+// Linked records a new link of an entry.
 func (s *Schedule) Linked(now time.Time, addr netip.AddrPort) {
-	if l := s.listener(now, addr); l != nil {
+	if l := s.getOrAdd(now, addr); l != nil {
 		l.links++
 	}
 }
 
-// Unlinked notes that a link of an entry has ended.
+// Unlinked records that a link of an entry has ended.
 func (s *Schedule) Unlinked(now time.Time, addr netip.AddrPort) {
 	l := s.known[addr]
 	if l == nil || l.links == 0 {
 		return
 	}
 	if l.links--; l.links == 0 {
-		l.since = now
-		s.await(l)
+		l.unlinkedSince = now
+		s.enqueue(l)
 	}
 }
 
-// Due returns the entries to be told now, PerTick at most.
+// Due returns the entries to send an announcement to now, at most PerTick.
 func (s *Schedule) Due(now time.Time) []netip.AddrPort {
-	s.forget(now)
+	s.prune(now)
 	var due []netip.AddrPort
-	for range len(s.waiting) {
+	for range len(s.pending) {
 		if len(due) == PerTick {
 			break
 		}
-		s.next %= len(s.waiting)
-		l := s.waiting[s.next]
-		if l.links > 0 || now.Sub(l.since) > tellFor {
-			l.awaiting = false
-			s.waiting = slices.Delete(s.waiting, s.next, s.next+1)
+		s.next %= len(s.pending)
+		l := s.pending[s.next]
+		if l.links > 0 || now.Sub(l.unlinkedSince) > announceDuration {
+			l.pending = false
+			s.pending = slices.Delete(s.pending, s.next, s.next+1)
 			continue
 		}
 		s.next++
-		if now.Sub(l.toldAt) >= every {
-			l.toldAt = now
+		if now.Sub(l.lastSent) >= resendInterval {
+			l.lastSent = now
 			due = append(due, l.addr)
 		}
 	}
 	return due
 }
 
-// Known returns the entries to remember over a restart, in order.
+// Known returns all remembered entries, sorted, to be stored across a restart.
 func (s *Schedule) Known() []netip.AddrPort {
 	var all []netip.AddrPort
 	for addr := range s.known {
@@ -116,46 +114,47 @@
 	return all
 }
 
-// Len returns how many entries Known names.
+// Len returns the number of remembered entries.
 func (s *Schedule) Len() int { return len(s.known) }
 
-// Changes rises whenever what Known returns changes.
+// Changes returns a counter that increases whenever the result of Known changes.
 func (s *Schedule) Changes() uint64 { return s.changes }
 
-// listener returns what is known of an entry, which begins now; nil where there
-// is no room.
-func (s *Schedule) listener(now time.Time, addr netip.AddrPort) *listener {
+// getOrAdd returns the listener at an address, adding it if it is unknown. It
+// returns nil if the address is invalid or maxEntries is reached.
+func (s *Schedule) getOrAdd(now time.Time, addr netip.AddrPort) *listener {
 	if l := s.known[addr]; l != nil {
 		return l
 	}
-	if !addr.IsValid() || len(s.known) >= keepMost {
+	if !addr.IsValid() || len(s.known) >= maxEntries {
 		return nil
 	}
 	if s.known == nil {
 		s.known = map[netip.AddrPort]*listener{}
 	}
-	l := &listener{addr: addr, since: now}
+	l := &listener{addr: addr, unlinkedSince: now}
 	s.known[addr] = l
 	s.changes++
 	return l
 }
 
-// await has an entry told.
-func (s *Schedule) await(l *listener) {
-	if !l.awaiting {
-		l.awaiting = true
-		s.waiting = append(s.waiting, l)
+// enqueue adds a listener to the pending list.
+func (s *Schedule) enqueue(l *listener) {
+	if !l.pending {
+		l.pending = true
+		s.pending = append(s.pending, l)
 	}
 }
 
-// forget forgets, now and then, entries that were not linked for long.
-func (s *Schedule) forget(now time.Time) {
-	if now.Before(s.forgetAt) {
+// prune drops, once per pruneInterval, entries that have been unlinked for longer
+// than retention.
+func (s *Schedule) prune(now time.Time) {
+	if now.Before(s.nextPrune) {
 		return
 	}
-	s.forgetAt = now.Add(forgetEvery)
+	s.nextPrune = now.Add(pruneInterval)
 	for addr, l := range s.known {
-		if l.links == 0 && now.Sub(l.since) > keepFor {
+		if l.links == 0 && now.Sub(l.unlinkedSince) > retention {
 			delete(s.known, addr)
 			s.changes++
 		}
--- a/internal/document/delta.go
+++ b/internal/document/delta.go
@@ -9,9 +9,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Frame returns the document as an entry is sent it: what differs from a
-// base that the entry holds, or the whole where there is none. An entry has no
-// use for the source.
+// Frame returns the document as it is sent to an entry: the difference from the
+// base that the entry holds, or all of it if base is nil. The source is left out,
+// since entries do not use it.
 func (d *Document) Frame(base *Document, confirmed bool) *wire.DocumentFrame {
 	whole := d.message
 	m := &wire.Document{Version: whole.Version, Services: whole.Services, IdleNanos: whole.IdleNanos}
@@ -21,22 +21,22 @@
 		return f
 	}
 	f.Base = base.Version()
-	held := base.byAddr()
+	baseRoutes := base.byAddr()
 	for i, r := range d.Routes() {
-		if other, ok := held[r.Addr]; !ok || !reflect.DeepEqual(other, r) {
+		if previous, ok := baseRoutes[r.Addr]; !ok || !reflect.DeepEqual(previous, r) {
 			m.Routes = append(m.Routes, whole.Routes[i])
 		}
-		delete(held, r.Addr)
+		delete(baseRoutes, r.Addr)
 	}
 	for i, r := range base.Routes() {
-		if _, gone := held[r.Addr]; gone {
+		if _, removed := baseRoutes[r.Addr]; removed {
 			f.Removed = append(f.Removed, base.message.Routes[i].Address)
 		}
 	}
 	return f
 }
 
-// byAddr returns the routes by their address.
+// byAddr returns the routes keyed by address.
 func (d *Document) byAddr() map[netip.AddrPort]Route {
 	routes := make(map[netip.AddrPort]Route, len(d.Routes()))
 	for _, r := range d.Routes() {
@@ -45,14 +45,13 @@
 	return routes
 }
 
-// FromFrame returns the document of a frame; held is what the entry has, nil
-// for none. A frame against another base is refused with an error of kind
-// Conflict.
-func FromFrame(held *Document, f *wire.DocumentFrame) (*Document, error) {
+// FromFrame applies a frame to base, the document that the entry holds, which may
+// be nil. A frame made for another base returns an error of kind Conflict.
+func FromFrame(base *Document, f *wire.DocumentFrame) (*Document, error) {
 	if f.Base == 0 {
 		return FromMessage(f.Document)
 	}
-	if held == nil || held.Version() != f.Base {
+	if base == nil || base.Version() != f.Base {
 		return nil, fault.New(fault.Conflict, "document %d differs from version %d, which is not held", f.Document.Version, f.Base)
 	}
 	replaced := map[string]bool{}
@@ -62,13 +61,13 @@
 	for _, r := range f.Document.Routes {
 		replaced[r.Address] = true
 	}
-	whole := &wire.Document{
+	merged := &wire.Document{
 		Version: f.Document.Version, Services: f.Document.Services, IdleNanos: f.Document.IdleNanos, Routes: slices.Clone(f.Document.Routes),
 	}
-	for _, r := range held.message.Routes {
+	for _, r := range base.message.Routes {
 		if !replaced[r.Address] {
-			whole.Routes = append(whole.Routes, r)
+			merged.Routes = append(merged.Routes, r)
 		}
 	}
-	return FromMessage(whole)
+	return FromMessage(merged)
 }
--- a/internal/registry/incarnation.go
+++ b/internal/registry/incarnation.go
@@ -7,66 +7,66 @@
 )
 
 const (
-	// bornMark stands between the id that several incarnations of an endpoint share and
-	// when each was born.
-	bornMark = "~"
-	// bornBase is the base of the number after it: milliseconds in few letters.
-	bornBase = 36
+	// incarnationSeparator separates the shared id of an endpoint from the start time
+	// of the incarnation.
+	incarnationSeparator = "~"
+	// timestampBase is the number base of the start time.
+	timestampBase = 36
 )
 
-// Incarnation returns the id of an incarnation of an endpoint whose id others share:
-// each start is an incarnation of its own, with its own flows, tags and doubts. Born
-// counts in milliseconds; 0 is that it is not said, and the id is that of one start.
+// Incarnation returns the id of one incarnation of an endpoint whose starts share an
+// id. Each start has its own flows, tags and health state. Born is the start time in
+// milliseconds; if it is 0, id already names a single start and is returned as is.
 func Incarnation(id string, born int64) string {
 	if born <= 0 {
 		return id
 	}
-	return id + bornMark + strconv.FormatInt(born, bornBase)
+	return id + incarnationSeparator + strconv.FormatInt(born, timestampBase)
 }
 
-// splitIncarnation returns the id that incarnations share and when this one was born, 0
-// where that is not said.
-func splitIncarnation(id string) (name string, born int64) {
-	name, text, found := strings.Cut(id, bornMark)
+// parseIncarnation splits the id of an incarnation into the shared id and the start
+// time, which is 0 if there is none.
+func parseIncarnation(id string) (name string, born int64) {
+	name, text, found := strings.Cut(id, incarnationSeparator)
 	if !found {
 		return id, 0
 	}
-	born, err := strconv.ParseInt(text, bornBase, 64)
+	born, err := strconv.ParseInt(text, timestampBase, 64)
 	if err != nil {
 		return id, 0
 	}
 	return name, born
 }
 
-// supersede takes that an incarnation is heard of for the first time. Another one under
-// the same id that was born earlier has ended; one that was born later is returned, and
-// says that this one has ended.
+// supersede handles the first message of an incarnation. It marks an older
+// incarnation with the same shared id as gone. If a newer one is known it returns
+// that one, and the incarnation with the given id is the one that has ended.
 func (r *Registry) supersede(now time.Time, id string) (later *record) {
-	name, born := splitIncarnation(id)
-	newest := r.newest[name]
+	name, born := parseIncarnation(id)
+	newest := r.newestByName[name]
 	if born == 0 || newest == nil {
 		return nil
 	}
-	if _, other := splitIncarnation(newest.endpoint.ID); other > born {
+	if _, other := parseIncarnation(newest.endpoint.ID); other > born {
 		return newest
 	}
 	if !newest.endpoint.Gone {
-		r.end(now, newest)
-		newest.untold = true // peers work it out as this one does
+		r.markGone(now, newest)
+		newest.relayPending = true // peers derive it from the new incarnation
 	}
 	return nil
 }
 
-// noteNewest keeps the index of the incarnation that was born last, by name.
-func (r *Registry) noteNewest(id string, held *record) {
-	name, born := splitIncarnation(id)
+// indexNewest updates the index of the newest incarnation of each shared id.
+func (r *Registry) indexNewest(id string, rec *record) {
+	name, born := parseIncarnation(id)
 	if born == 0 {
 		return
 	}
-	if newest := r.newest[name]; newest != nil {
-		if _, other := splitIncarnation(newest.endpoint.ID); other >= born {
+	if newest := r.newestByName[name]; newest != nil {
+		if _, other := parseIncarnation(newest.endpoint.ID); other >= born {
 			return
 		}
 	}
-	r.newest[name] = held
+	r.newestByName[name] = rec
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,8 +1,8 @@
-// Package registry holds what the heartbeats of endpoints say: one record for
-// each incarnation, ordered by the sequence that the endpoint counts up, so
-// that a late heartbeat changes nothing. Records are soft state, shared among
-// the control instances, and pushed to entries when they change. The package
-// has no I/O; now is an argument.
+// Package registry keeps the state that endpoints announce in their heartbeats, in
+// one record for each incarnation. The endpoint's sequence number orders heartbeats,
+// so that a late one has no effect. Records are soft state, exchanged among the
+// control instances and pushed to entries when they change. The package performs no
+// I/O, and callers pass in the current time.
 package registry
 
 import (
@@ -12,336 +12,343 @@
 )
 
 const (
-	// silentBeats is how many heartbeat periods without a heartbeat make an
-	// endpoint silent: two lost ones and the spread of the third.
-	silentBeats = 2.6
-	// forgetBeats is how many periods after its last heartbeat a record is
-	// dropped: a flow's longest life of 60 s at a period of 0.77 s.
-	forgetBeats = 80
-	// coolingAfter is by how much longer an endpoint must say that it is cold than it said
-	// last to have become cold again: more than the error in what peers tell of that.
-	coolingAfter = 300 * time.Millisecond
+	// silentAfterPeriods is how many heartbeat periods without a heartbeat make an
+	// endpoint silent. It tolerates two lost heartbeats and the jitter of the third.
+	silentAfterPeriods = 2.6
+	// forgetAfterPeriods is how many heartbeat periods after its last heartbeat a record
+	// is removed. It exceeds the longest life of a flow.
+	forgetAfterPeriods = 80
+	// coldMargin is by how much the announced warm-up time must exceed the previous one
+	// to mean that the endpoint is cold again. It exceeds the error of times relayed by
+	// peers.
+	coldMargin = 300 * time.Millisecond
 )
 
 type (
-	// Endpoint is what one incarnation of an endpoint said of itself last.
+	// Endpoint is the state that one incarnation of an endpoint announced last.
 	Endpoint struct {
 		ID       string
-		Number   uint64 // what a packet names the incarnation by
+		Number   uint64 // identifies the incarnation in packets
 		Service  string
 		Addr     netip.AddrPort
 		Domain   string
 		Slots    int
 		Leaving  bool
-		Gone     bool          // it has ended; nothing may go there
-		Warm     time.Duration // how much longer it is slow, counted from the heartbeat
-		Sequence uint64        // rises with each heartbeat
+		Gone     bool          // it has ended and receives no traffic
+		Warm     time.Duration // remaining warm-up time as of the heartbeat
+		Sequence uint64        // increases with each heartbeat
 	}
 
-	// Config sets the times of a Registry.
+	// Config configures a Registry.
 	Config struct {
-		Beat time.Duration // an endpoint's heartbeat period
-		// Changed is called with what entries must learn of an endpoint, and
-		// how long ago it was heard; nil where nobody listens.
+		Beat time.Duration // heartbeat period of endpoints
+		// Changed is called with each change that entries must learn of, and the time
+		// since the endpoint was last heard; it may be nil.
 		Changed func(e Endpoint, silent bool, age time.Duration)
 	}
 
-	// Registry is the set of records of one control instance. One goroutine
-	// at a time uses it.
+	// Registry holds the endpoint records of one control instance. It is not safe
+	// for concurrent use.
 	Registry struct {
-		config  Config
-		started time.Time
-		records map[string]*record
-		living  map[netip.AddrPort][]*record // by address, those that are not known to have ended
-		changes *list.List                   // records, the one that changed last at the back
-		beats   *list.List                   // records, the one that was heard last at the back
-		number  uint64                       // of the last heartbeat or change
-		swept   time.Time                    // when silence was last looked for
-		late    time.Duration                // how long this process has stood still, in sum
-		digest  Digest                       // of all records
-		relays  bool                         // tells peers on of what other peers told
-		newest  map[string]*record           // by name, of those whose incarnations share an id
+		config       Config
+		started      time.Time
+		records      map[string]*record
+		liveByAddr   map[netip.AddrPort][]*record // records that are not gone
+		changeOrder  *list.List                   // records in order of their last change for entries
+		heardOrder   *list.List                   // records in order of their last heartbeat or change for peers
+		revision     uint64                       // rises with each heartbeat or change
+		lastSweep    time.Time
+		stalled      time.Duration      // total time for which this process was stalled
+		digest       Digest             // of all records
+		relays       bool               // whether changes learned from peers are relayed to other peers
+		newestByName map[string]*record // newest incarnation by shared id
 	}
 
-	// record is what is known of one incarnation.
+	// record is the state of one incarnation. The fields ending in Rev hold the
+	// Registry.revision of the last change of a kind, 0 for none.
 	record struct {
-		endpoint     Endpoint
-		heard        time.Time
-		late         time.Duration // Registry.late when it was heard
-		silent       bool
-		rivalSince   time.Time     // when another incarnation at the address was first known, zero for none
-		incumbent    bool          // known before the other one
-		heardAgain   bool          // heard with a higher sequence since then
-		sum          uint64        // as the registry's digest has it, 0 before that
-		changed      uint64        // number of the last change that entries must know
-		sumChanged   uint64        // number of the last change that sums show
-		viewChanged  uint64        // number of the last change that they do not: of silence, or to cold
-		peersChanged uint64        // number of the last heartbeat or change that peers must know
-		peersWhole   uint64        // number of the last one of which they must know all
-		untold       bool          // peers were not told on of a change that a peer told of
-		inChanges    *list.Element // of Registry.changes
-		inBeats      *list.Element // of Registry.beats
+		endpoint           Endpoint
+		heard              time.Time
+		stalledWhenHeard   time.Duration // Registry.stalled when it was last heard
+		silent             bool
+		conflictSince      time.Time     // start of the current address conflict, zero for none
+		incumbent          bool          // it held the address before the conflict
+		heardSinceConflict bool          // a newer heartbeat arrived since conflictSince
+		sum                uint64        // its checksum in Registry.digest, 0 if not yet included
+		changeRev          uint64        // any change that entries must learn of
+		sumRev             uint64        // a change of sum
+		viewRev            uint64        // a change that sum does not cover: silence, or cold again
+		peerRev            uint64        // a heartbeat or change that peers must learn of
+		peerFullRev        uint64        // the same, where peers need the full record
+		relayPending       bool          // a change learned from a peer was not relayed
+		changeElem         *list.Element // its element in Registry.changeOrder
+		heardElem          *list.Element // its element in Registry.heardOrder
 	}
 )
 
 // New returns an empty registry.
 func New(c Config, now time.Time) *Registry {
 	return &Registry{
-		config: c, started: now, swept: now, records: map[string]*record{}, living: map[netip.AddrPort][]*record{},
-		changes: list.New(), beats: list.New(), relays: true, newest: map[string]*record{},
+		config: c, started: now, lastSweep: now, records: map[string]*record{}, liveByAddr: map[netip.AddrPort][]*record{},
+		changeOrder: list.New(), heardOrder: list.New(), relays: true, newestByName: map[string]*record{},
 	}
 }
 
-// SetRelay has this registry tell peers on of what other peers told, or not. A change
-// is acknowledged only once a majority of the voters holds it, and the leader hears from
-// one of these: so it suffices that voters do, while what each instance would tell each
-// other one grows with the square of their number.
+// SetRelay sets whether this registry relays changes learned from peers to other
+// peers. Relaying among all instances would cost traffic quadratic in their number.
+// It suffices that voters relay: a change is acknowledged only once a majority of
+// them holds it, and the leader hears from at least one of these.
 func (r *Registry) SetRelay(relays bool) {
 	if r.relays = relays; !relays {
 		return
 	}
-	for _, held := range r.records {
-		if held.untold {
-			r.tellWhole(held)
+	for _, rec := range r.records {
+		if rec.relayPending {
+			r.resendFull(rec)
 		}
 	}
 }
 
-// Hear takes a heartbeat of an endpoint itself and returns the number of the
-// change. It reports false where the heartbeat is older than what is known.
+// Hear applies a heartbeat received from the endpoint itself, and returns the
+// revision that covers it. It reports false if the heartbeat is not newer than the
+// record.
 func (r *Registry) Hear(now time.Time, e Endpoint) (uint64, bool) {
-	number, taken := r.hear(now, e, 0)
-	held := r.records[e.ID]
+	revision, applied := r.apply(now, e, 0)
+	rec := r.records[e.ID]
 	switch {
-	case taken:
-		r.noteForPeers(held, false)
-	case held != nil && held.untold: // whoever told of it may have told nobody else
-		number = r.tellWhole(held)
+	case applied:
+		r.markForPeers(rec, false)
+	case rec != nil && rec.relayPending: // the peer that reported it may have told nobody else
+		revision = r.resendFull(rec)
 	}
-	return number, taken
+	return revision, applied
 }
 
-// hear takes what an endpoint said age ago, to whomever. Peers are told of it
-// only if it changes what is known: whoever heard a heartbeat itself tells all.
-func (r *Registry) hear(now time.Time, e Endpoint, age time.Duration) (uint64, bool) {
-	held := r.records[e.ID]
-	if held != nil && (held.endpoint.Gone || e.Sequence <= held.endpoint.Sequence) {
-		return max(held.changed, held.peersChanged), false
+// apply applies a heartbeat that was received age ago, here or by a peer. Peers are
+// informed only if it changes the record: the instance that received a heartbeat
+// sends it to all others itself.
+func (r *Registry) apply(now time.Time, e Endpoint, age time.Duration) (uint64, bool) {
+	rec := r.records[e.ID]
+	if rec != nil && (rec.endpoint.Gone || e.Sequence <= rec.endpoint.Sequence) {
+		return max(rec.changeRev, rec.peerRev), false
 	}
-	if held == nil {
+	if rec == nil {
 		if later := r.supersede(now, e.ID); later != nil {
-			return max(later.changed, later.peersChanged), false
+			return max(later.changeRev, later.peerRev), false
 		}
 	}
-	r.number++
-	again := held != nil && cooled(held, e)
-	changed := held == nil || again || material(held.endpoint, e)
-	if held == nil {
-		held = &record{}
-		r.records[e.ID] = held
-		r.noteNewest(e.ID, held)
+	r.revision++
+	coldAgain := rec != nil && becameCold(rec, e)
+	changed := rec == nil || coldAgain || differsForEntries(rec.endpoint, e)
+	if rec == nil {
+		rec = &record{}
+		r.records[e.ID] = rec
+		r.indexNewest(e.ID, rec)
 	} else {
-		held.heardAgain = !held.rivalSince.IsZero()
+		rec.heardSinceConflict = !rec.conflictSince.IsZero()
 	}
-	if held.endpoint.Addr != e.Addr {
-		r.vacate(held)
+	if rec.endpoint.Addr != e.Addr {
+		r.releaseAddr(rec)
 	}
-	if again {
-		held.viewChanged = r.number
+	if coldAgain {
+		rec.viewRev = r.revision
 	}
-	held.endpoint = e
-	if heard := now.Add(-age); heard.After(held.heard) {
-		held.heard, held.late = heard, r.late
+	rec.endpoint = e
+	if heard := now.Add(-age); heard.After(rec.heard) {
+		rec.heard, rec.stalledWhenHeard = heard, r.stalled
 	}
-	r.settle(now, held)
+	r.claimAddr(now, rec)
 	if changed {
-		r.relay(held)
+		r.relayToPeers(rec)
 	}
-	if r.quiet(now, held) != held.silent {
-		r.setSilent(held, !held.silent)
+	if r.avoided(now, rec) != rec.silent {
+		r.setSilent(rec, !rec.silent)
 		changed = true
 	}
 	if changed {
-		r.noteForEntries(now, held)
+		r.markForEntries(now, rec)
 	}
-	return r.number, true
+	return r.revision, true
 }
 
-// cooled reports whether an incarnation became cold again: it says that it stays cold for
-// longer than it said last. What it says is compared, and not when that was heard: of
-// heartbeats that wait for a busy control instance each would seem to say so, and have every
-// entry told, which makes it busier.
-func cooled(held *record, e Endpoint) bool { return e.Warm > held.endpoint.Warm+coolingAfter }
+// becameCold reports whether an endpoint is cold again, that is, announces a longer
+// warm-up time than before. It compares the announced values and not the times of
+// receipt, because heartbeats queued at a busy control instance would all appear to
+// extend the warm-up and trigger pushes to every entry.
+func becameCold(rec *record, e Endpoint) bool { return e.Warm > rec.endpoint.Warm+coldMargin }
 
-// cold reports whether an endpoint said that it is still cold.
-func (held *record) cold(now time.Time) bool {
-	return held.endpoint.Warm > 0 && now.Sub(held.heard) < held.endpoint.Warm
+// isCold reports whether the announced warm-up is still under way.
+func (rec *record) isCold(now time.Time) bool {
+	return rec.endpoint.Warm > 0 && now.Sub(rec.heard) < rec.endpoint.Warm
 }
 
-// material reports whether entries must learn of the difference.
-func material(a, b Endpoint) bool {
+// differsForEntries reports whether two states differ in fields that entries must
+// learn of.
+func differsForEntries(a, b Endpoint) bool {
 	a.Sequence, b.Sequence = 0, 0
 	a.Warm, b.Warm = 0, 0
 	return a != b
 }
 
-// relay has peers told on of a change of the record, if this registry does that.
-func (r *Registry) relay(held *record) {
-	if held.untold = !r.relays; r.relays {
-		r.noteForPeers(held, true)
+// relayToPeers sends a change of the record to peers if this registry relays, and
+// otherwise notes that this is pending.
+func (r *Registry) relayToPeers(rec *record) {
+	if rec.relayPending = !r.relays; r.relays {
+		r.markForPeers(rec, true)
 	}
 }
 
-// tellWhole has peers told all of a record under a number of its own, which it returns.
-func (r *Registry) tellWhole(held *record) uint64 {
-	r.number++
-	r.noteForPeers(held, true)
-	return r.number
+// resendFull schedules the full record for peers under a new revision, which it
+// returns.
+func (r *Registry) resendFull(rec *record) uint64 {
+	r.revision++
+	r.markForPeers(rec, true)
+	return r.revision
 }
 
-// noteForPeers notes that peers must learn of the record: that it was heard, or, where
-// they may not know the rest, all of it.
-func (r *Registry) noteForPeers(held *record, whole bool) {
-	if whole || held.untold {
-		held.peersWhole, held.untold = r.number, false
+// markForPeers schedules the record for peers: a bare heartbeat, or the full record
+// if requested or if a relay is pending.
+func (r *Registry) markForPeers(rec *record, full bool) {
+	if full || rec.relayPending {
+		rec.peerFullRev, rec.relayPending = r.revision, false
 	}
-	held.peersChanged = r.number
-	held.inBeats = toBack(r.beats, held.inBeats, held)
+	rec.peerRev = r.revision
+	rec.heardElem = moveToBack(r.heardOrder, rec.heardElem, rec)
 }
 
-// toBack moves a record's element to the back, or makes it.
-func toBack(l *list.List, e *list.Element, held *record) *list.Element {
+// moveToBack moves a record's list element to the back, creating it if nil.
+func moveToBack(l *list.List, e *list.Element, rec *record) *list.Element {
 	if e == nil {
-		return l.PushBack(held)
+		return l.PushBack(rec)
 	}
 	l.MoveToBack(e)
 	return e
 }
 
-// end marks an incarnation as gone.
-func (r *Registry) end(now time.Time, held *record) {
-	r.number++
-	held.endpoint.Gone, held.silent = true, false
-	r.settle(now, held)
-	r.noteForEntries(now, held)
+// markGone marks an incarnation as gone.
+func (r *Registry) markGone(now time.Time, rec *record) {
+	r.revision++
+	rec.endpoint.Gone, rec.silent = true, false
+	r.claimAddr(now, rec)
+	r.markForEntries(now, rec)
 }
 
-// noteForEntries notes that entries must learn of the record, and keeps the digest.
-func (r *Registry) noteForEntries(now time.Time, held *record) {
-	held.changed = r.number
-	held.inChanges = toBack(r.changes, held.inChanges, held)
-	r.digest.Toggle(held.endpoint.ID, held.sum)
-	if sum := Sum(held.endpoint); sum != held.sum {
-		held.sum, held.sumChanged = sum, r.number
+// markForEntries schedules the record for entries and updates the digest.
+func (r *Registry) markForEntries(now time.Time, rec *record) {
+	rec.changeRev = r.revision
+	rec.changeElem = moveToBack(r.changeOrder, rec.changeElem, rec)
+	r.digest.Toggle(rec.endpoint.ID, rec.sum)
+	if sum := Sum(rec.endpoint); sum != rec.sum {
+		rec.sum, rec.sumRev = sum, r.revision
 	}
-	r.digest.Toggle(held.endpoint.ID, held.sum)
+	r.digest.Toggle(rec.endpoint.ID, rec.sum)
 	if r.config.Changed != nil {
-		r.config.Changed(held.endpoint, held.silent, now.Sub(held.heard))
+		r.config.Changed(rec.endpoint, rec.silent, now.Sub(rec.heard))
 	}
 }
 
-// Leave takes the message of an endpoint that it ends, and returns the number of the
-// change. Where several incarnations share its id the message does not say whose it is: it is the
-// newest one's if that one said that it leaves. Else it may be an earlier one's, held back
-// until after the next start, whose open flows it must not end; one that ended without
-// having been heard to leave falls silent.
+// Leave applies an endpoint's message that it ends, and returns the revision of the
+// change. If incarnations share the id, the message does not name one of them, and
+// is taken for the newest one's only if that announced that it is leaving. Otherwise
+// it may be a delayed message of an earlier incarnation and must not reset the newest
+// one's flows; an incarnation whose leaving was never heard becomes silent instead.
 func (r *Registry) Leave(now time.Time, id string) uint64 {
-	if newest := r.newest[id]; newest != nil {
+	if newest := r.newestByName[id]; newest != nil {
 		if !newest.endpoint.Leaving {
-			return max(newest.changed, newest.peersChanged)
+			return max(newest.changeRev, newest.peerRev)
 		}
 		id = newest.endpoint.ID
 	}
-	number := r.leave(now, Endpoint{ID: id})
-	if held := r.records[id]; held.untold {
-		number = r.tellWhole(held)
+	revision := r.leave(now, Endpoint{ID: id})
+	if rec := r.records[id]; rec.relayPending {
+		revision = r.resendFull(rec)
 	}
-	return number
+	return revision
 }
 
-// leave marks an incarnation as gone; e is what is known of it where this
-// registry knows nothing.
+// leave marks an incarnation as gone. If it is unknown, it is added with the state
+// in e.
 func (r *Registry) leave(now time.Time, e Endpoint) uint64 {
-	held := r.records[e.ID]
-	if held == nil {
+	rec := r.records[e.ID]
+	if rec == nil {
 		e.Gone = false
 		r.supersede(now, e.ID)
-		r.number++
-		held = &record{endpoint: e, heard: now}
-		r.records[e.ID] = held
-		r.noteNewest(e.ID, held)
+		r.revision++
+		rec = &record{endpoint: e, heard: now}
+		r.records[e.ID] = rec
+		r.indexNewest(e.ID, rec)
 	}
-	if !held.endpoint.Gone {
-		held.heard = now
-		r.end(now, held)
-		r.relay(held)
+	if !rec.endpoint.Gone {
+		rec.heard = now
+		r.markGone(now, rec)
+		r.relayToPeers(rec)
 	}
-	return held.changed
+	return rec.changeRev
 }
 
-// Sweep marks endpoints that fell silent, and drops records that nothing needs.
+// Sweep updates which endpoints are silent and removes expired records.
 func (r *Registry) Sweep(now time.Time) {
-	r.excuse(now)
-	for id, held := range r.records {
-		if now.Sub(held.heard) > forgetBeats*r.config.Beat {
-			r.forget(id, held)
+	r.restartConflictsAfterPause(now)
+	for id, rec := range r.records {
+		if now.Sub(rec.heard) > forgetAfterPeriods*r.config.Beat {
+			r.remove(id, rec)
 			continue
 		}
-		if r.quiet(now, held) != held.silent {
-			r.number++
-			r.setSilent(held, !held.silent)
-			r.noteForEntries(now, held)
+		if r.avoided(now, rec) != rec.silent {
+			r.revision++
+			r.setSilent(rec, !rec.silent)
+			r.markForEntries(now, rec)
 		}
 	}
 }
 
-// quiet reports whether new flows avoid an endpoint, since heartbeats are
-// missing or another one claims its address.
-func (r *Registry) quiet(now time.Time, held *record) bool {
-	missing := now.Sub(held.heard) - (r.late - held.late)
-	return !held.endpoint.Gone && (missing > r.span(silentBeats) || r.doubted(held))
+// avoided reports whether new flows avoid an endpoint because its heartbeats are
+// missing or it loses an address conflict.
+func (r *Registry) avoided(now time.Time, rec *record) bool {
+	missing := now.Sub(rec.heard) - (r.stalled - rec.stalledWhenHeard)
+	return !rec.endpoint.Gone && (missing > r.periods(silentAfterPeriods) || r.losesConflict(rec))
 }
 
-// setSilent notes a change of silence under the registry's present number.
-func (r *Registry) setSilent(held *record, silent bool) {
-	held.silent, held.viewChanged = silent, r.number
+// setSilent records a change of silence at the current revision.
+func (r *Registry) setSilent(rec *record, silent bool) {
+	rec.silent, rec.viewRev = silent, r.revision
 }
 
-// forget drops a record that nothing needs.
-func (r *Registry) forget(id string, held *record) {
+// remove removes a record and its index entries.
+func (r *Registry) remove(id string, rec *record) {
 	delete(r.records, id)
-	r.vacate(held)
-	r.digest.Toggle(id, held.sum)
-	r.changes.Remove(held.inChanges)
-	if held.inBeats != nil {
-		r.beats.Remove(held.inBeats)
+	r.releaseAddr(rec)
+	r.digest.Toggle(id, rec.sum)
+	r.changeOrder.Remove(rec.changeElem)
+	if rec.heardElem != nil {
+		r.heardOrder.Remove(rec.heardElem)
 	}
-	if name, _ := splitIncarnation(id); r.newest[name] == held {
-		delete(r.newest, name)
+	if name, _ := parseIncarnation(id); r.newestByName[name] == rec {
+		delete(r.newestByName, name)
 	}
 }
 
-// Digest sums up what is known.
+// Digest returns the digest of all records.
 func (r *Registry) Digest() Digest { return r.digest }
 
-// Excuse takes that this process stood still for a span. It counts for no endpoint's
-// silence: heartbeats wait meanwhile, or go elsewhere, and that this process is late is
-// the likelier cause than thousands of endpoints being so.
-func (r *Registry) Excuse(span time.Duration) { r.late += span }
+// Excuse records that this process was stalled for a time. The time does not count
+// towards the silence of endpoints, because heartbeats were queued or went elsewhere
+// meanwhile.
+func (r *Registry) Excuse(span time.Duration) { r.stalled += span }
 
-// Whole reports whether every endpoint has had the time to send a heartbeat
-// since the registry began; until then a missing one means nothing.
+// Whole reports whether every endpoint has had time to send a heartbeat since the
+// registry started. Until then an unknown endpoint may still be alive.
 func (r *Registry) Whole(now time.Time) bool {
 	return now.Sub(r.started) > 2*r.config.Beat
 }
 
-// Changed returns the number of the last change that entries must know.
+// Changed returns the revision of the last change that entries must learn of.
 func (r *Registry) Changed() uint64 {
-	if last := r.changes.Back(); last != nil {
-		return last.Value.(*record).changed
+	if last := r.changeOrder.Back(); last != nil {
+		return last.Value.(*record).changeRev
 	}
 	return 0
 }
 
-// Len returns how many incarnations are known, gone ones included.
+// Len returns the number of known incarnations, including those that are gone.
 func (r *Registry) Len() int { return len(r.records) }
