--- a/internal/control/compile.go
+++ b/internal/control/compile.go
@@ -17,17 +17,17 @@
 		_, wanted := s.document.Service(name)
 		_, known := s.services[name]
 		switch {
-		case wanted && s.changed(b, name):
+		case wanted && s.needsUpdate(b, name):
 			s.putService(b, now, name)
 		case !wanted && known:
-			s.dropService(b, name)
+			s.removeService(b, name)
 		}
 	}
 }
 
-// changed reports whether a service or the team over it could differ from the
+// needsUpdate reports whether a service or the team over it could differ from the
 // table; comparing is cheaper than copying the service's buckets.
-func (s *State) changed(b *route.Builder, name string) bool {
+func (s *State) needsUpdate(b *route.Builder, name string) bool {
 	id, known := s.services[name]
 	if !known {
 		return true
@@ -45,7 +45,7 @@
 		}
 		held++
 	}
-	return held != s.listed(have)
+	return held != s.countListed(have)
 }
 
 func sameEndpoint(have *route.Endpoint, want intent.Endpoint) bool {
@@ -53,11 +53,11 @@
 		have.Connections() == want.Connections && have.Leaving() == want.Leaving
 }
 
-// listed counts the endpoints that the document still named at last compile.
-func (s *State) listed(have *route.Service) int {
+// countListed counts the endpoints that the document still named at last compile.
+func (s *State) countListed(have *route.Service) int {
 	n := 0
 	for _, id := range have.Endpoints() {
-		if !s.leavers[id].removed {
+		if !s.leavingEndpoints[id].removed {
 			n++
 		}
 	}
@@ -68,8 +68,8 @@
 	service, _ := s.document.Service(name)
 	id, known := s.services[name]
 	if !known {
-		id = s.nextSvc
-		s.nextSvc++
+		id = s.nextServiceID
+		s.nextServiceID++
 		s.services[name] = id
 	}
 	b.PutService(id, name, s.document.Classes(name), s.document.Policy(name), route.BucketsFor(len(service.Endpoints)))
@@ -79,7 +79,7 @@
 	}
 	for _, old := range b.Table().EndpointsOf(id) {
 		if !named[old.ID()] {
-			s.leave(b, now, old)
+			s.markRemoved(b, now, old)
 		}
 	}
 }
@@ -91,26 +91,26 @@
 	if have := b.Table().EndpointAt(e.Address); have != nil {
 		id = have.ID()
 	} else {
-		id = s.nextID
-		s.nextID++
+		id = s.nextEndpointID
+		s.nextEndpointID++
 	}
 	b.PutEndpoint(route.NewEndpoint(route.EndpointConfig{
 		ID: id, Service: service, Name: e.Name, Addr: e.Address, Health: e.Health, Domain: e.Domain,
 		Slots: e.Slots, Connections: e.Connections, Leaving: e.Leaving,
 	}))
 	if !e.Leaving {
-		delete(s.leavers, id)
-	} else if l, already := s.leavers[id]; already {
-		s.leavers[id] = leaver{since: l.since}
+		delete(s.leavingEndpoints, id)
+	} else if l, already := s.leavingEndpoints[id]; already {
+		s.leavingEndpoints[id] = leavingEndpoint{since: l.since}
 	} else {
-		s.leavers[id] = leaver{since: now}
+		s.leavingEndpoints[id] = leavingEndpoint{since: now}
 	}
 	return id
 }
 
-// heldElsewhere returns a fault for each endpoint address of the affected
+// addressConflicts returns a fault for each endpoint address of the affected
 // services that another service still has flows on.
-func (s *State) heldElsewhere(next intent.Document, affected map[string]bool) []string {
+func (s *State) addressConflicts(next intent.Document, affected map[string]bool) []string {
 	var faults []string
 	for _, name := range slices.Sorted(maps.Keys(affected)) {
 		service, _ := next.Service(name)
@@ -124,39 +124,39 @@
 	return faults
 }
 
-// leave marks an endpoint that the document no longer names: it stays in the
+// markRemoved marks an endpoint that the document no longer names: it stays in the
 // table without new work until no bucket is on it.
-func (s *State) leave(b *route.Builder, now time.Time, e *route.Endpoint) {
-	l, already := s.leavers[e.ID()]
+func (s *State) markRemoved(b *route.Builder, now time.Time, e *route.Endpoint) {
+	l, already := s.leavingEndpoints[e.ID()]
 	if !already {
 		l.since = now
 	}
 	l.removed = true
-	s.leavers[e.ID()] = l
+	s.leavingEndpoints[e.ID()] = l
 	b.PutEndpoint(route.NewEndpoint(route.EndpointConfig{
 		ID: e.ID(), Service: e.Service(), Name: e.Name(), Addr: e.Addr(), Health: e.Health(), Domain: e.Domain(),
 		Slots: e.Slots(), Connections: e.Connections(), Leaving: true,
 	}))
 }
 
-func (s *State) dropService(b *route.Builder, name string) {
+func (s *State) removeService(b *route.Builder, name string) {
 	id := s.services[name]
 	for _, e := range b.Table().EndpointsOf(id) {
-		delete(s.leavers, e.ID())
+		delete(s.leavingEndpoints, e.ID())
 	}
 	b.RemoveService(id)
 	delete(s.services, name)
 }
 
-// forgetRemoved drops endpoints that the document no longer names and that no
+// deleteRemovedEndpoints drops endpoints that the document no longer names and that no
 // bucket is on or has its flows on.
-func (s *State) forgetRemoved(b *route.Builder) {
-	for _, id := range slices.Sorted(maps.Keys(s.leavers)) {
-		if !s.leavers[id].removed || InUse(b.Table(), id) {
+func (s *State) deleteRemovedEndpoints(b *route.Builder) {
+	for _, id := range slices.Sorted(maps.Keys(s.leavingEndpoints)) {
+		if !s.leavingEndpoints[id].removed || InUse(b.Table(), id) {
 			continue
 		}
 		b.RemoveEndpoint(id)
-		delete(s.leavers, id)
+		delete(s.leavingEndpoints, id)
 	}
 }
 
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -19,22 +19,22 @@
 func (s *State) Snapshot() ([]byte, error) {
 	w := &wire.State{
 		Index: s.index, Revision: s.revision, Checksum: s.checksum,
-		NextEndpoint: s.nextID, NextService: s.nextSvc,
+		NextEndpoint: s.nextEndpointID, NextService: s.nextServiceID,
 		History: s.history, LossIndex: s.table.LossIndex(), Cut: s.table.Cut(), Returned: s.table.Returned(), Bereft: s.table.Bereft(),
 	}
 	for _, key := range sortedObjects(s.objects) {
 		w.Objects = append(w.Objects, s.objects[key])
 	}
-	for _, id := range s.order {
+	for _, id := range s.outcomeOrder {
 		w.Outcomes = append(w.Outcomes, s.outcomes[id])
 	}
 	for _, m := range s.table.Members() {
 		w.Members = append(w.Members, &wire.Member{Name: m.Name(), Domain: m.Domain(), Incarnation: m.Incarnation(), Leaving: m.Leaving(), JoinedAt: m.JoinedAt()})
 	}
 	s.table.Services(func(svc *route.Service) {
-		w.Services = append(w.Services, storeService(svc))
+		w.Services = append(w.Services, encodeService(svc))
 		for _, e := range s.table.EndpointsOf(svc.ID()) {
-			w.Endpoints = append(w.Endpoints, s.storeEndpoint(e))
+			w.Endpoints = append(w.Endpoints, s.encodeEndpoint(e))
 		}
 	})
 	data, err := proto.MarshalOptions{Deterministic: true}.Marshal(w)
@@ -50,7 +50,7 @@
 	})
 }
 
-func storeService(s *route.Service) *wire.StoredService {
+func encodeService(s *route.Service) *wire.StoredService {
 	w := &wire.StoredService{Id: s.ID(), Name: s.Name(), Buckets: make([]uint32, s.BucketCount()), CreatedAt: s.CreatedAt()}
 	for b := range w.Buckets {
 		w.Buckets[b] = s.Current(uint32(b))
@@ -64,7 +64,7 @@
 	return w
 }
 
-func (s *State) storeEndpoint(e *route.Endpoint) *wire.StoredEndpoint {
+func (s *State) encodeEndpoint(e *route.Endpoint) *wire.StoredEndpoint {
 	w := &wire.StoredEndpoint{
 		Id: e.ID(), Service: e.Service(), Name: e.Name(), Address: e.Addr().String(), Domain: e.Domain(),
 		Slots: uint32(e.Slots()), Connections: uint32(e.Connections()), Leaving: e.Leaving(),
@@ -72,7 +72,7 @@
 	if e.Health().IsValid() {
 		w.Health = e.Health().String()
 	}
-	if l, ok := s.leavers[e.ID()]; ok {
+	if l, ok := s.leavingEndpoints[e.ID()]; ok {
 		w.LeavingSince, w.Removed = l.since.UnixNano(), l.removed
 	}
 	return w
@@ -86,7 +86,7 @@
 	}
 	s := NewState()
 	s.index, s.revision, s.checksum = w.Index, w.Revision, w.Checksum
-	s.nextID, s.nextSvc = w.NextEndpoint, w.NextService
+	s.nextEndpointID, s.nextServiceID = w.NextEndpoint, w.NextService
 	s.history = w.History
 	for _, o := range w.Objects {
 		s.objects[objectKey{o.Object.Kind, o.Object.Name}] = o
@@ -95,7 +95,7 @@
 		}
 	}
 	for _, o := range w.Outcomes {
-		s.keepOutcome(o)
+		s.recordOutcome(o)
 	}
 	return s, s.restoreTable(w)
 }
@@ -149,7 +149,7 @@
 		Slots: int(e.Slots), Connections: int(e.Connections), Leaving: e.Leaving,
 	}))
 	if e.LeavingSince != 0 {
-		s.leavers[e.Id] = leaver{since: time.Unix(0, e.LeavingSince), removed: e.Removed}
+		s.leavingEndpoints[e.Id] = leavingEndpoint{since: time.Unix(0, e.LeavingSince), removed: e.Removed}
 	}
 	return nil
 }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -53,8 +53,8 @@
 		kind, name string
 	}
 
-	// leaver is an endpoint that takes no new work.
-	leaver struct {
+	// leavingEndpoint is an endpoint that takes no new work.
+	leavingEndpoint struct {
 		since   time.Time
 		removed bool
 	}
@@ -62,33 +62,33 @@
 	// State is the control state. One goroutine owns it; what it publishes
 	// (Table, Document) is immutable.
 	State struct {
-		index    uint64
-		revision uint64
-		checksum uint64
-		table    *route.Table
-		document intent.Document
-		objects  map[objectKey]*wire.StoredObject
-		outcomes map[string]*wire.Outcome
-		order    []string // change ids in the order they came
-		history  []*wire.HistoryEntry
-		leavers  map[uint32]leaver
-		services map[string]uint32
-		nextID   uint32
-		nextSvc  uint32
+		index            uint64
+		revision         uint64
+		checksum         uint64
+		table            *route.Table
+		document         intent.Document
+		objects          map[objectKey]*wire.StoredObject
+		outcomes         map[string]*wire.Outcome
+		outcomeOrder     []string // change ids in the order they came
+		history          []*wire.HistoryEntry
+		leavingEndpoints map[uint32]leavingEndpoint
+		services         map[string]uint32
+		nextEndpointID   uint32
+		nextServiceID    uint32
 	}
 )
 
 // NewState returns the state before the first command.
 func NewState() *State {
 	return &State{
-		table:    route.Empty(),
-		document: intent.NewDocument(),
-		objects:  map[objectKey]*wire.StoredObject{},
-		outcomes: map[string]*wire.Outcome{},
-		leavers:  map[uint32]leaver{},
-		services: map[string]uint32{},
-		nextID:   1,
-		nextSvc:  1,
+		table:            route.Empty(),
+		document:         intent.NewDocument(),
+		objects:          map[objectKey]*wire.StoredObject{},
+		outcomes:         map[string]*wire.Outcome{},
+		leavingEndpoints: map[uint32]leavingEndpoint{},
+		services:         map[string]uint32{},
+		nextEndpointID:   1,
+		nextServiceID:    1,
 	}
 }
 
@@ -113,7 +113,7 @@
 
 // LeavingSince returns when an endpoint began to leave, and whether it does.
 func (s *State) LeavingSince(endpoint uint32) (time.Time, bool) {
-	l, ok := s.leavers[endpoint]
+	l, ok := s.leavingEndpoints[endpoint]
 	return l.since, ok
 }
 
@@ -128,14 +128,14 @@
 		return Answer{}, fault.Wrap(fault.DamagedLog, fmt.Errorf("command at index %d: %w", index, err))
 	}
 	s.index = index
-	s.checksum = chain(s.checksum, index, command)
+	s.checksum = chainChecksum(s.checksum, index, command)
 	b := route.NewBuilder(s.table, index)
 	answer := s.applyBody(b, c)
 	s.table = b.Table()
 	return answer, nil
 }
 
-func chain(sum, index uint64, command []byte) uint64 {
+func chainChecksum(sum, index uint64, command []byte) uint64 {
 	return siphash.Hash(sum, index, command)
 }
 
@@ -158,7 +158,7 @@
 		for _, bucket := range body.Settle.Buckets {
 			b.Settle(body.Settle.Service, bucket)
 		}
-		s.forgetRemoved(b)
+		s.deleteRemovedEndpoints(b)
 	case *wire.Command_Flip:
 		for _, bucket := range body.Flip.Buckets {
 			b.Flip(body.Flip.Service, bucket)
@@ -216,14 +216,14 @@
 	if a, lost := s.conflict(change); lost {
 		return a, s.document
 	}
-	next, faults := s.edit(change)
+	next, faults := s.applyEdits(change)
 	touched := affected(change, s.document, next)
-	faults = append(faults, s.heldElsewhere(next, touched)...)
+	faults = append(faults, s.addressConflicts(next, touched)...)
 	if len(faults) > 0 {
 		return Answer{Outcome: Invalid, Faults: faults, Detail: fmt.Sprintf("%d faults", len(faults))}, next
 	}
 	if warnings := intent.Warnings(s.document, next, slices.Sorted(maps.Keys(touched))); len(warnings) > 0 && !change.Confirmed {
-		return Answer{Outcome: Unconfirmed, Faults: texts(warnings), Detail: "a service would be emptied"}, next
+		return Answer{Outcome: Unconfirmed, Faults: faultTexts(warnings), Detail: "a service would be emptied"}, next
 	}
 	return Answer{Outcome: Accepted}, next
 }
@@ -233,7 +233,7 @@
 	if answer.Outcome != Accepted {
 		return answer // only an accepted id is remembered: the others may be mended and sent again
 	}
-	s.remember(now, change)
+	s.recordChange(now, change)
 	before := s.document
 	s.document = next
 	s.compile(b, now, affected(change, before, next))
@@ -256,7 +256,7 @@
 	return Answer{}, false
 }
 
-func (s *State) edit(change *wire.Change) (intent.Document, []string) {
+func (s *State) applyEdits(change *wire.Change) (intent.Document, []string) {
 	next := s.document.Clone()
 	var faults []string
 	if change.Id == "" || len(change.Objects) == 0 {
@@ -273,7 +273,7 @@
 			faults = append(faults, fmt.Sprintf("%s %s: %s", o.Kind, o.Name, err))
 		}
 	}
-	return next, append(faults, texts(checkTouched(change, next))...)
+	return next, append(faults, faultTexts(checkTouched(change, next))...)
 }
 
 // checkTouched checks the objects of a change and those that name them; the
@@ -300,7 +300,7 @@
 	return next.CheckOnly(sorted(templates), sorted(services), sorted(teams))
 }
 
-func texts(faults []intent.Fault) []string {
+func faultTexts(faults []intent.Fault) []string {
 	var lines []string
 	for _, f := range faults {
 		lines = append(lines, f.String())
@@ -308,10 +308,10 @@
 	return lines
 }
 
-// remember keeps the change id, the history and who made each object.
-func (s *State) remember(now time.Time, change *wire.Change) {
+// recordChange keeps the change id, the history and who made each object.
+func (s *State) recordChange(now time.Time, change *wire.Change) {
 	s.revision = s.index
-	s.keepOutcome(&wire.Outcome{ChangeId: change.Id, Kind: string(Accepted), Revision: s.revision})
+	s.recordOutcome(&wire.Outcome{ChangeId: change.Id, Kind: string(Accepted), Revision: s.revision})
 	entry := &wire.HistoryEntry{Revision: s.revision, UnixNano: now.UnixNano(), Change: change}
 	for _, o := range change.Objects {
 		key := objectKey{o.Kind, o.Name}
@@ -332,12 +332,12 @@
 	}
 }
 
-func (s *State) keepOutcome(o *wire.Outcome) {
+func (s *State) recordOutcome(o *wire.Outcome) {
 	s.outcomes[o.ChangeId] = o
-	s.order = append(s.order, o.ChangeId)
-	if len(s.order) > outcomeLimit {
-		delete(s.outcomes, s.order[0])
-		s.order = s.order[1:]
+	s.outcomeOrder = append(s.outcomeOrder, o.ChangeId)
+	if len(s.outcomeOrder) > outcomeLimit {
+		delete(s.outcomes, s.outcomeOrder[0])
+		s.outcomeOrder = s.outcomeOrder[1:]
 	}
 }
 
@@ -349,18 +349,18 @@
 		case intent.KindService:
 			names[o.Name] = true
 		case intent.KindTeam:
-			addTeam(names, before, o.Name)
-			addTeam(names, after, o.Name)
+			addTeamServices(names, before, o.Name)
+			addTeamServices(names, after, o.Name)
 		case intent.KindTemplate:
 			for _, team := range after.TeamsOf(o.Name) {
-				addTeam(names, after, team)
+				addTeamServices(names, after, team)
 			}
 		}
 	}
 	return names
 }
 
-func addTeam(names map[string]bool, d intent.Document, team string) {
+func addTeamServices(names map[string]bool, d intent.Document, team string) {
 	t, _ := d.Team(team)
 	for _, s := range t.Services {
 		names[s] = true
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -53,7 +53,7 @@
 	return answer
 }
 
-func first(t interface{ Fatal(...any) }, endpoints int) *State {
+func newStateWithService(t interface{ Fatal(...any) }, endpoints int) *State {
 	s := NewState()
 	a := apply(t, s, change("one", 0, object("template", "portal", templateBody),
 		object("service", "booking", serviceBody(endpoints, "")), object("team", "visa", teamBody)))
@@ -63,9 +63,9 @@
 	return s
 }
 
-func TestEqualRevisionsRace(t *testing.T) {
+func TestConcurrentChangesConflict(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := first(t, 3)
+	s := newStateWithService(t, 3)
 	base := s.Revision()
 	g.Expect(apply(t, s, change("a", base, object("service", "booking", serviceBody(4, "")))).Outcome).To(gomega.Equal(Accepted))
 	lost := apply(t, s, change("b", base, object("service", "booking", serviceBody(5, ""))))
@@ -75,9 +75,9 @@
 	g.Expect(apply(t, s, change("a", base, object("service", "booking", serviceBody(4, "")))).Outcome).To(gomega.Equal(AlreadyAccepted))
 }
 
-func TestEveryFaultIsNamed(t *testing.T) {
+func TestAllFaultsAreReported(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := first(t, 3)
+	s := newStateWithService(t, 3)
 	bad := `{"classes":[{"name":"x","address":"192.0.2.10:443","protocol":"sctp","kind":"flow"}],` +
 		`"endpoints":[{"name":"","address":"127.0.0.1:9000","domain":"","slots":0,"connections":1}]}`
 	a := apply(t, s, change("bad", s.Revision(), object("service", "other", bad), object("team", "visa", `{"template":"none","services":["other","missing"],"parameters":{"idle":3,"frob":1}}`)))
@@ -86,9 +86,9 @@
 	g.Expect(s.Table().Service(2)).To(gomega.BeNil(), "an invalid change alters nothing")
 }
 
-func TestEmptyingAServiceAsks(t *testing.T) {
+func TestEmptyingServiceNeedsConfirmation(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := first(t, 1)
+	s := newStateWithService(t, 1)
 	c := change("empty", s.Revision(), object("service", "booking", serviceBody(1, "b0")))
 	g.Expect(apply(t, s, c).Outcome).To(gomega.Equal(Unconfirmed))
 	c.GetChange().Confirmed = true
@@ -97,7 +97,7 @@
 
 func TestRemovedEndpointStaysUntilItsBucketsAreSettled(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := first(t, 2)
+	s := newStateWithService(t, 2)
 	move := func(endpoint uint32) {
 		m := &wire.Moves{}
 		for b := range uint32(s.Table().Service(1).BucketCount()) {
@@ -122,8 +122,8 @@
 // or by a snapshot in the middle and the rest.
 func TestSnapshotEqualsReplay(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		whole := first(rt, 4)
-		other := first(rt, 4)
+		whole := newStateWithService(rt, 4)
+		other := newStateWithService(rt, 4)
 		for i := range rapid.IntRange(1, 25).Draw(rt, "commands") {
 			c := drawCommand(rt, i, whole)
 			apply(rt, whole, c)
@@ -171,9 +171,9 @@
 }
 
 // The state goes only forward, by one command at a time.
-func TestOlderAndLaterCommandsAreRefused(t *testing.T) {
+func TestOutOfOrderCommandsAreRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
-	s := first(t, 3)
+	s := newStateWithService(t, 3)
 	before, err := s.Snapshot()
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	data, err := proto.Marshal(change("again", 0, object("service", "booking", serviceBody(5, ""))))
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -74,7 +74,7 @@
 		proposals   map[uint64]uint64 // term by index
 		peers       map[string]*peer
 		replaced    map[string]bool // ids whose address another id has now
-		ledSince    time.Time
+		leaderSince time.Time
 	}
 )
 
@@ -93,7 +93,7 @@
 		if e.Index > c.Committed || len(e.Command) == 0 {
 			continue
 		}
-		if err := d.take(e.Index, e.Command); err != nil {
+		if err := d.applyCommand(e.Index, e.Command); err != nil {
 			return nil, err
 		}
 	}
@@ -115,11 +115,11 @@
 func (d *Directory) Tick(now time.Time) {
 	d.replica.Tick(now)
 	if !d.replica.Current(now) {
-		d.ledSince = time.Time{}
+		d.leaderSince = time.Time{}
 		return
 	}
-	if d.ledSince.IsZero() {
-		d.ledSince = now
+	if d.leaderSince.IsZero() {
+		d.leaderSince = now
 	}
 	d.replica.SetLearners(d.learners(now))
 	d.changeVoters(now)
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -15,68 +15,68 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// evacuator is an operator of one failure domain. It has one order under way at a
+// operator is an operator of one failure domain. It has one order under way at a
 // time, and sends it again to any instance until it is acknowledged.
-type evacuator struct {
-	domain  string
-	order   *evacuation.Order // under way, nil for none
-	settled *evacuation.Order // acknowledged last, nil for none
+type operator struct {
+	domain       string
+	pending      *evacuation.Order // under way, nil for none
+	acknowledged *evacuation.Order // acknowledged last, nil for none
 }
 
-// act begins an order now and then, and sends the one under way to some machine.
-func (f *fleet) act(e *evacuator) {
-	if e.order == nil {
+// operate begins an order now and then, and sends the one under way to some machine.
+func (f *fleet) operate(op *operator) {
+	if op.pending == nil {
 		if f.rng.IntN(10) > 0 {
 			return
 		}
-		e.order = &evacuation.Order{Domain: e.domain, Undo: f.rng.IntN(2) == 0}
+		op.pending = &evacuation.Order{Domain: op.domain, Undo: f.rng.IntN(2) == 0}
 	}
-	m := f.machines[f.rng.IntN(len(f.machines))]
-	if m.d == nil || m.frozen.After(f.now) {
+	inst := f.instances[f.rng.IntN(len(f.instances))]
+	if inst.d == nil || inst.pausedUntil.After(f.now) {
 		return
 	}
-	order := e.order
+	order := op.pending
 	acknowledged := func() {
-		if e.order == order {
-			e.order, e.settled = nil, order
+		if op.pending == order {
+			op.pending, op.acknowledged = nil, order
 		}
 	}
-	index, done, err := m.d.Evacuate(f.now, *order)
+	index, done, err := inst.d.Evacuate(f.now, *order)
 	switch {
 	case err != nil:
 	case done:
 		acknowledged()
 	default:
-		m.orders[index] = acknowledged
-		f.process(m)
+		inst.onCommit[index] = acknowledged
+		f.processReady(inst)
 	}
 }
 
 // checkEvacuations asserts that an instance goes only forward within one life,
 // and that a revision means the same everywhere.
-func (f *fleet) checkEvacuations(m *machine) {
-	set := m.d.Evacuations()
-	Expect(set.Revision()).To(BeNumerically(">=", m.revision), "seed %d: %s went back", f.seed, m.id)
-	m.revision = set.Revision()
+func (f *fleet) checkEvacuations(inst *instance) {
+	set := inst.d.Evacuations()
+	Expect(set.Revision()).To(BeNumerically(">=", inst.shownRevision), "seed %d: %s went back", f.seed, inst.id)
+	inst.shownRevision = set.Revision()
 	domains := fmt.Sprint(set.Domains())
-	if known, ok := f.evacuated[set.Revision()]; ok {
+	if known, ok := f.domainsByRevision[set.Revision()]; ok {
 		Expect(domains).To(Equal(known), "seed %d: revision %d is two things", f.seed, set.Revision())
 	}
-	f.evacuated[set.Revision()] = domains
+	f.domainsByRevision[set.Revision()] = domains
 }
 
-// checkSettled asserts that whoever can show the newest holds what was
+// checkAcknowledgedOrders asserts that whoever can show the newest holds what was
 // acknowledged last.
-func (f *fleet) checkSettled(m *machine) {
-	for _, e := range f.evacuators {
-		if e.order == nil && e.settled != nil {
-			Expect(m.d.Evacuations().Holds(*e.settled)).To(BeTrue(), "seed %d: %s does not hold %s", f.seed, m.id, e.settled)
+func (f *fleet) checkAcknowledgedOrders(inst *instance) {
+	for _, e := range f.operators {
+		if e.pending == nil && e.acknowledged != nil {
+			Expect(inst.d.Evacuations().Holds(*e.acknowledged)).To(BeTrue(), "seed %d: %s does not hold %s", f.seed, inst.id, e.acknowledged)
 		}
 	}
 }
 
-// alone returns an instance that is the only voter, and has elected itself.
-func alone(now time.Time, loaded *storage.Loaded) *Directory {
+// newSingleVoter returns an instance that is the only voter, and has elected itself.
+func newSingleVoter(now time.Time, loaded *storage.Loaded) *Directory {
 	d, err := New(Config{
 		Self: "10.0.0.1:7000", Address: "10.0.0.1:7000", Founders: []string{"10.0.0.1:7000"}, Voters: 1, Rand: rand.New(rand.NewPCG(1, 1)),
 	}, now, loaded)
@@ -84,8 +84,8 @@
 	return d
 }
 
-// carry lets an instance go on for a second, and returns what is done.
-func carry(d *Directory, now time.Time) (done []uint64, after time.Time) {
+// runOneSecond lets an instance go on for a second, and returns what is done.
+func runOneSecond(d *Directory, now time.Time) (done []uint64, after time.Time) {
 	for range 40 {
 		now = now.Add(25 * time.Millisecond)
 		d.Tick(now)
@@ -103,8 +103,8 @@
 	)
 	BeforeEach(func() {
 		now = time.Unix(5000, 0)
-		d = alone(now, &storage.Loaded{Hard: &wire.HardState{}})
-		_, now = carry(d, now)
+		d = newSingleVoter(now, &storage.Loaded{Hard: &wire.HardState{}})
+		_, now = runOneSecond(d, now)
 	})
 
 	It("take an order back that is offered before the first one is committed", func() {
@@ -114,7 +114,7 @@
 		second, done, err := d.Evacuate(now, evacuation.Order{Domain: "a", Undo: true})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(done).To(BeFalse(), "acknowledged though the order before it is still to come")
-		finished, _ := carry(d, now)
+		finished, _ := runOneSecond(d, now)
 		Expect(finished).To(Equal([]uint64{first, second}))
 		Expect(d.Evacuations().Domains()).To(BeEmpty())
 	})
@@ -122,7 +122,7 @@
 	It("are acknowledged again without another entry of the log", func() {
 		_, _, err := d.Evacuate(now, evacuation.Order{Domain: "a"})
 		Expect(err).NotTo(HaveOccurred())
-		_, now = carry(d, now)
+		_, now = runOneSecond(d, now)
 		last := d.replica.LastIndex()
 		_, done, err := d.Evacuate(now, evacuation.Order{Domain: "a"})
 		Expect(err).NotTo(HaveOccurred())
@@ -137,10 +137,10 @@
 		Expect(err).NotTo(HaveOccurred())
 		_, _, err = d.Evacuate(now, evacuation.Order{Domain: "b"})
 		Expect(err).NotTo(HaveOccurred())
-		_, now = carry(d, now)
+		_, now = runOneSecond(d, now)
 		file, hard, _, err := d.Compact()
 		Expect(err).NotTo(HaveOccurred())
-		again := alone(now, &storage.Loaded{Snapshot: file, Hard: hard})
+		again := newSingleVoter(now, &storage.Loaded{Snapshot: file, Hard: hard})
 		Expect(again.Evacuations().Domains()).To(Equal([]string{"b"}))
 		Expect(again.Evacuations().Revision()).To(Equal(d.Evacuations().Revision()))
 		Expect(again.Document().Version()).To(Equal(uint64(7)))
@@ -151,37 +151,37 @@
 		Expect(faults).To(BeEmpty())
 		bare, err := proto.Marshal(doc.Message())
 		Expect(err).NotTo(HaveOccurred())
-		old := alone(now, &storage.Loaded{
+		old := newSingleVoter(now, &storage.Loaded{
 			Hard:     &wire.HardState{Term: 1},
 			Snapshot: &wire.SnapshotFile{Index: 4, Term: 1, Voters: []string{"10.0.0.1:7000"}, State: bare},
 		})
 		Expect(old.Document().Version()).To(Equal(uint64(9)))
-		Expect(old.take(5, bare)).To(Succeed())
+		Expect(old.applyCommand(5, bare)).To(Succeed())
 		Expect(old.Evacuations().Domains()).To(BeEmpty())
 	})
 
 	It("are vouched for by who can show its lease, not by one that was cut off as leader, nor by its follower", func() {
 		f := newFleet(77, 6, 2)
-		for range begin / testStep {
+		for range startupTime / testStep {
 			f.step()
 		}
-		var leader, follower *machine
-		for _, m := range f.machines {
+		var leader, follower *instance
+		for _, m := range f.instances {
 			if m.d.Roster(f.now).Leads {
 				Expect(leader).To(BeNil())
 				leader = m
 			}
 		}
 		Expect(leader).NotTo(BeNil())
-		for _, m := range f.machines {
+		for _, m := range f.instances {
 			if m != leader && m.domain == leader.domain {
 				follower = m
 			}
 		}
-		for _, m := range f.machines {
+		for _, m := range f.instances {
 			if m.domain != leader.domain {
-				for _, cut := range []*machine{leader, follower} {
-					f.cut[[2]string{m.address, cut.address}], f.cut[[2]string{cut.address, m.address}] = true, true
+				for _, cut := range []*instance{leader, follower} {
+					f.blockedLinks[[2]string{m.address, cut.address}], f.blockedLinks[[2]string{cut.address, m.address}] = true, true
 				}
 			}
 		}
@@ -189,7 +189,7 @@
 			f.step()
 		}
 		Expect(follower.d.Leader()).To(Equal(leader.id), "which it still hears")
-		for _, m := range []*machine{leader, follower} {
+		for _, m := range []*instance{leader, follower} {
 			Expect(m.d.Roster(f.now).Leads).To(BeFalse(), m.id)
 		}
 	})
--- a/internal/directory/members.go
+++ b/internal/directory/members.go
@@ -8,13 +8,13 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// listedFor is how long an instance that was heard of stays in rosters.
-const listedFor = 20 * time.Second
+// maxListedSilence is how long an instance that was heard of stays in rosters.
+const maxListedSilence = 20 * time.Second
 
 // peer is a control instance that was heard of.
 type peer struct {
-	instance *wire.ControlInstance
-	heard    time.Time
+	instance  *wire.ControlInstance
+	lastHeard time.Time
 }
 
 // Hear takes the roster of another control instance, which names itself
@@ -28,20 +28,20 @@
 		heard := now.Add(-time.Duration(c.AgeNanos))
 		if i == 0 {
 			heard = now
-			d.replace(c)
-		} else if d.addressTaken(c) || now.Sub(heard) > listedFor {
+			d.markReplaced(c)
+		} else if d.addressTaken(c) || now.Sub(heard) > maxListedSilence {
 			continue
 		}
 		if p := d.peers[c.Id]; p == nil {
 			d.peers[c.Id] = &peer{c, heard}
-		} else if heard.After(p.heard) {
-			p.heard, p.instance = heard, c
+		} else if heard.After(p.lastHeard) {
+			p.lastHeard, p.instance = heard, c
 		}
 	}
 }
 
-// replace marks the other ids at the address of an instance as replaced.
-func (d *Directory) replace(c *wire.ControlInstance) {
+// markReplaced marks the other ids at the address of an instance as replaced.
+func (d *Directory) markReplaced(c *wire.ControlInstance) {
 	for id, p := range d.peers {
 		if id != c.Id && p.instance.Address == c.Address {
 			d.replaced[id] = true
@@ -84,8 +84,8 @@
 		Id: d.config.Self, Address: d.config.Address, Domain: d.config.Domain, Front: d.config.Front,
 	})
 	for id, p := range d.peers {
-		age := now.Sub(p.heard)
-		if age > listedFor {
+		age := now.Sub(p.lastHeard)
+		if age > maxListedSilence {
 			delete(d.peers, id)
 			continue
 		}
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -22,7 +22,7 @@
 		return fault.Wrap(fault.DamagedLog, err)
 	}
 	if m.Document == nil && m.Evacuations == nil {
-		return d.takeBareDocument(s.State)
+		return d.applyBareDocument(s.State)
 	}
 	if set := evacuation.FromMessage(m.Evacuations); set.Revision() > d.evacuations.Revision() {
 		d.evacuations = set
@@ -30,11 +30,11 @@
 	if m.Document == nil {
 		return nil
 	}
-	return d.takeDocument(m.Document)
+	return d.applyDocument(m.Document)
 }
 
-// take does what the command at an index of the log says.
-func (d *Directory) take(index uint64, command []byte) error {
+// applyCommand does what the command at an index of the log says.
+func (d *Directory) applyCommand(index uint64, command []byte) error {
 	m := &wire.DirectoryCommand{}
 	if err := proto.Unmarshal(command, m); err != nil {
 		return fault.Wrap(fault.DamagedLog, err)
@@ -44,24 +44,24 @@
 		d.evacuations = d.evacuations.With(index, evacuation.OrderFromMessage(m.Evacuation))
 		return nil
 	case m.Document != nil:
-		return d.takeDocument(m.Document)
+		return d.applyDocument(m.Document)
 	default:
-		return d.takeBareDocument(command)
+		return d.applyBareDocument(command)
 	}
 }
 
-// takeBareDocument takes a document that stands by itself, as logs and snapshots
+// applyBareDocument takes a document that stands by itself, as logs and snapshots
 // did before evacuations were known.
-func (d *Directory) takeBareDocument(encoded []byte) error {
+func (d *Directory) applyBareDocument(encoded []byte) error {
 	m := &wire.Document{}
 	if err := proto.Unmarshal(encoded, m); err != nil {
 		return fault.Wrap(fault.DamagedLog, err)
 	}
-	return d.takeDocument(m)
+	return d.applyDocument(m)
 }
 
-// takeDocument puts a document in force if its version is the highest.
-func (d *Directory) takeDocument(m *wire.Document) error {
+// applyDocument puts a document in force if its version is the highest.
+func (d *Directory) applyDocument(m *wire.Document) error {
 	if d.document != nil && m.Version <= d.document.Version() {
 		return nil
 	}
@@ -136,7 +136,7 @@
 // where the terms differ.
 func (d *Directory) apply(e *wire.LogEntry, ready *Ready) error {
 	if len(e.Command) > 0 {
-		if err := d.take(e.Index, e.Command); err != nil {
+		if err := d.applyCommand(e.Index, e.Command); err != nil {
 			return err
 		}
 	}
--- a/internal/directory/voters.go
+++ b/internal/directory/voters.go
@@ -6,20 +6,20 @@
 )
 
 const (
-	// aliveFor is how recently an instance must have been heard of to become
+	// maxLearnerSilence is how recently an instance must have been heard of to become
 	// a voter: five rosters.
-	aliveFor = time.Second
-	// deadAfter is how long a voter must have been silent before another
+	maxLearnerSilence = time.Second
+	// maxVoterSilence is how long a voter must have been silent before another
 	// instance takes its place: well above a restart, well below the time in
 	// which a lost instance must be replaced.
-	deadAfter = 2 * time.Second
+	maxVoterSilence = 2 * time.Second
 )
 
 // learners returns the instances that are alive and do not vote.
 func (d *Directory) learners(now time.Time) []string {
 	var ids []string
 	for id, p := range d.peers {
-		if now.Sub(p.heard) < aliveFor && !slices.Contains(d.replica.Voters(), id) {
+		if now.Sub(p.lastHeard) < maxLearnerSilence && !slices.Contains(d.replica.Voters(), id) {
 			ids = append(ids, id)
 		}
 	}
@@ -27,20 +27,20 @@
 	return ids
 }
 
-// dead reports whether a voter is lost: its disk is, or it has been silent
+// isDead reports whether a voter is lost: its disk is, or it has been silent
 // for long while this instance led.
-func (d *Directory) dead(now time.Time, id string) bool {
+func (d *Directory) isDead(now time.Time, id string) bool {
 	if id == d.config.Self {
 		return false
 	}
 	if d.replaced[id] {
 		return true
 	}
-	heard := d.ledSince
-	if p := d.peers[id]; p != nil && p.heard.After(heard) {
-		heard = p.heard
+	heard := d.leaderSince
+	if p := d.peers[id]; p != nil && p.lastHeard.After(heard) {
+		heard = p.lastHeard
 	}
-	return now.Sub(heard) > deadAfter
+	return now.Sub(heard) > maxVoterSilence
 }
 
 // changeVoters proposes the next change of the voters, if one is wanted. A
@@ -53,7 +53,7 @@
 	voters := d.replica.Voters()
 	var dead, live []string
 	for _, id := range voters {
-		if d.dead(now, id) {
+		if d.isDead(now, id) {
 			dead = append(dead, id)
 		} else {
 			live = append(live, id)
@@ -61,14 +61,14 @@
 	}
 	// Those whose disk is lost for certain go first.
 	slices.SortStableFunc(dead, func(a, b string) int { return d.removalOrder(a) - d.removalOrder(b) })
-	newcomer := d.newcomer(now, live)
+	candidate := d.promotableLearner(now, live)
 	switch {
-	case len(dead) > 0 && (d.replaced[dead[0]] || newcomer != "" || len(voters) > d.config.Voters):
+	case len(dead) > 0 && (d.replaced[dead[0]] || candidate != "" || len(voters) > d.config.Voters):
 		d.proposeVoters(now, without(voters, dead[0]))
 	case len(voters) > d.config.Voters:
-		d.proposeVoters(now, without(voters, d.crowded(live)))
-	case len(voters) < d.config.Voters && newcomer != "":
-		d.proposeVoters(now, append(slices.Clone(voters), newcomer))
+		d.proposeVoters(now, without(voters, d.surplusVoter(live)))
+	case len(voters) < d.config.Voters && candidate != "":
+		d.proposeVoters(now, append(slices.Clone(voters), candidate))
 	}
 }
 
@@ -88,47 +88,47 @@
 	_, _ = d.replica.ProposeVoters(now, voters)
 }
 
-// newcomer returns the learner that holds the committed log and whose failure
+// promotableLearner returns the learner that holds the committed log and whose failure
 // domain has the fewest voters, or "".
-func (d *Directory) newcomer(now time.Time, live []string) string {
+func (d *Directory) promotableLearner(now time.Time, live []string) string {
 	best, fewest := "", 0
 	for _, id := range d.learners(now) {
 		if match := d.replica.Match(id); match == 0 || match < d.replica.Commit() {
 			continue
 		}
-		if n := d.inDomain(live, d.domain(id)); best == "" || n < fewest {
+		if n := d.countInDomain(live, d.domainOf(id)); best == "" || n < fewest {
 			best, fewest = id, n
 		}
 	}
 	return best
 }
 
-// crowded returns the voter, other than this instance, whose failure domain
+// surplusVoter returns the voter, other than this instance, whose failure domain
 // has the most voters.
-func (d *Directory) crowded(live []string) string {
+func (d *Directory) surplusVoter(live []string) string {
 	best, most := "", -1
 	for _, id := range live {
-		if n := d.inDomain(live, d.domain(id)); id != d.config.Self && n > most {
+		if n := d.countInDomain(live, d.domainOf(id)); id != d.config.Self && n > most {
 			best, most = id, n
 		}
 	}
 	return best
 }
 
-// inDomain counts the instances of a failure domain.
-func (d *Directory) inDomain(ids []string, domain string) int {
+// countInDomain counts the instances of a failure domain.
+func (d *Directory) countInDomain(ids []string, domain string) int {
 	n := 0
 	for _, id := range ids {
-		if d.domain(id) == domain {
+		if d.domainOf(id) == domain {
 			n++
 		}
 	}
 	return n
 }
 
-// domain returns the failure domain of an instance, "" where it was not heard
+// domainOf returns the failure domainOf of an instance, "" where it was not heard
 // of.
-func (d *Directory) domain(id string) string {
+func (d *Directory) domainOf(id string) string {
 	if id == d.config.Self {
 		return d.config.Domain
 	}
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -17,8 +17,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// keptSteps bounds the tables that are kept for readers that were slow.
-const keptSteps = 32
+// maxSteps bounds the tables that are kept for readers that were slow.
+const maxSteps = 32
 
 type (
 	// Config names the entry.
@@ -31,21 +31,21 @@
 
 	// Core is the entry's control state. One goroutine uses it.
 	Core struct {
-		config     Config
-		state      *control.State
-		peers      *peer.Tracker
-		term       uint64
-		leader     string
-		active     uint64
-		leaseUntil time.Time
-		confirmed  time.Time
-		stopping   bool
-		leavingAt  uint64 // index from which the state lists it as leaving
-		download   download
-		steps      []*route.Table
-		stopped    bool
-		began      time.Time // of the first view
-		view       *flow.View
+		config      Config
+		state       *control.State
+		peers       *peer.Tracker
+		term        uint64
+		leader      string
+		active      uint64
+		leaseUntil  time.Time
+		confirmed   time.Time
+		stopping    bool
+		leavingAt   uint64 // index from which the state lists it as leaving
+		download    download
+		steps       []*route.Table
+		stopped     bool
+		firstViewAt time.Time // of the first view
+		view        *flow.View
 	}
 
 	// download is a snapshot that arrives in chunks.
@@ -145,7 +145,7 @@
 	}
 	c.term = r.Term
 	before := c.state.Index()
-	if err := c.learn(r); err != nil {
+	if err := c.applyLog(r); err != nil {
 		return false, err
 	}
 	c.active = max(c.active, min(r.Active, c.state.Index()))
@@ -158,10 +158,10 @@
 	return c.state.Index() > before || len(c.download.data) > 0, nil
 }
 
-// learn applies what the reply brings of the log.
-func (c *Core) learn(r *wire.BeatReply) error {
+// applyLog applies what the reply brings of the log.
+func (c *Core) applyLog(r *wire.BeatReply) error {
 	if s := r.Snapshot; s != nil {
-		return c.learnChunk(s)
+		return c.addSnapshotChunk(s)
 	}
 	for _, e := range r.Entries {
 		if e.Index <= c.state.Index() {
@@ -171,22 +171,22 @@
 		if _, err := c.state.Apply(e.Index, e.Command); err != nil {
 			return err
 		}
-		c.noteStep(before)
+		c.recordMemberChange(before)
 	}
 	return nil
 }
 
-// noteStep keeps the table where the entries have changed. The slice is
+// recordMemberChange keeps the table where the entries have changed. The slice is
 // copied, since views hold it.
-func (c *Core) noteStep(before []route.Member) {
+func (c *Core) recordMemberChange(before []route.Member) {
 	if slices.Equal(before, c.state.Table().Members()) {
 		return
 	}
-	steps := c.steps[max(0, len(c.steps)-keptSteps+1):]
+	steps := c.steps[max(0, len(c.steps)-maxSteps+1):]
 	c.steps = append(slices.Clone(steps), c.state.Table())
 }
 
-func (c *Core) learnChunk(s *wire.Snapshot) error {
+func (c *Core) addSnapshotChunk(s *wire.Snapshot) error {
 	if s.Index <= c.state.Index() {
 		return nil
 	}
@@ -217,12 +217,12 @@
 // before where nothing has changed.
 func (c *Core) View(now time.Time) *flow.View {
 	table := c.state.Table()
-	if c.began.IsZero() {
-		c.began = now
+	if c.firstViewAt.IsZero() {
+		c.firstViewAt = now
 	}
 	lease := c.leaseUntil
 	reachable := c.peers.Reachable(now, table)
-	if now.Sub(c.began) < c.config.Peers.HeardFor && len(reachable)+1 < len(table.Members()) {
+	if now.Sub(c.firstViewAt) < c.config.Peers.HeardFor && len(reachable)+1 < len(table.Members()) {
 		lease = time.Time{} // it has not heard its peers yet: it would share records with nobody
 	}
 	next := &flow.View{
@@ -232,14 +232,14 @@
 		Leased:    c.peers.Leased(now, table),
 		Domains:   c.peers.Domains(now, table),
 	}
-	if same(c.view, next) {
+	if sameView(c.view, next) {
 		return c.view
 	}
 	c.view = next
 	return next
 }
 
-func same(a, b *flow.View) bool {
+func sameView(a, b *flow.View) bool {
 	return a.Table == b.Table && a.Active == b.Active && a.LeaseUntil.Equal(b.LeaseUntil) && a.Island == b.Island &&
 		slices.Equal(a.Reachable, b.Reachable) && slices.Equal(a.Leased, b.Leased) && slices.Equal(a.Domains, b.Domains)
 }
--- a/internal/replica/append.go
+++ b/internal/replica/append.go
@@ -10,17 +10,17 @@
 // broadcast sends an append to every follower, empty or not; its stamp is
 // what the leader's lease counts from.
 func (r *Replica) broadcast(now time.Time) {
-	r.beatAt = now
+	r.lastBroadcast = now
 	for _, name := range r.peers() {
 		r.sendAppend(now, name)
 	}
 }
 
-// sendNew sends entries that were appended since the last broadcast.
-func (r *Replica) sendNew(now time.Time) {
+// sendNewEntries sends entries that were appended since the last broadcast.
+func (r *Replica) sendNewEntries(now time.Time) {
 	for _, name := range r.peers() {
 		f := r.followers[name]
-		if f != nil && f.next <= r.log.last() && now.Sub(f.inFlight) >= r.config.Heartbeat {
+		if f != nil && f.next <= r.log.lastIndex() && now.Sub(f.inFlightSince) >= r.config.Heartbeat {
 			r.sendAppend(now, name)
 		}
 	}
@@ -32,7 +32,7 @@
 		r.sendSnapshot(now, name, f)
 		return
 	}
-	entries := r.log.between(f.next-1, min(r.log.last(), f.next-1+maxBatch))
+	entries := r.log.between(f.next-1, min(r.log.lastIndex(), f.next-1+maxBatchEntries))
 	size := 0
 	for i, e := range entries {
 		if size += len(e.Command); size > maxBatchBytes && i > 0 {
@@ -41,38 +41,38 @@
 		}
 	}
 	if len(entries) > 0 {
-		f.inFlight = now
+		f.inFlightSince = now
 	}
 	r.send(&wire.LogMessage{
-		Kind: wire.LogMessage_APPEND, Term: r.hard.Term, To: name, Index: f.next - 1, LogTerm: r.log.term(f.next - 1),
+		Kind: wire.LogMessage_APPEND, Term: r.hardState.Term, To: name, Index: f.next - 1, LogTerm: r.log.term(f.next - 1),
 		Commit: r.commit, Entries: entries, Stamp: now.UnixNano(),
 	})
 }
 
 func (r *Replica) sendSnapshot(now time.Time, name string, f *progress) {
-	f.inFlight = now
+	f.inFlightSince = now
 	r.send(&wire.LogMessage{
-		Kind: wire.LogMessage_SNAPSHOT, Term: r.hard.Term, To: name, Commit: r.commit, Stamp: now.UnixNano(),
+		Kind: wire.LogMessage_SNAPSHOT, Term: r.hardState.Term, To: name, Commit: r.commit, Stamp: now.UnixNano(),
 		Snapshot: &wire.Snapshot{Index: r.log.snapIndex, Term: r.log.snapTerm, State: r.log.snapState, Voters: r.log.snapVoters},
 	})
 }
 
-func (r *Replica) hearLeader(now time.Time, m *wire.LogMessage) {
-	r.follow(now, m.Term, m.From)
-	r.resetElection(now)
-	r.promised = now.Add(r.config.Lease)
+func (r *Replica) acceptLeader(now time.Time, m *wire.LogMessage) {
+	r.becomeFollower(now, m.Term, m.From)
+	r.resetElectionDeadline(now)
+	r.noVoteBefore = now.Add(r.config.Lease)
 }
 
 func (r *Replica) onAppend(now time.Time, m *wire.LogMessage) {
-	r.hearLeader(now, m)
-	reply := &wire.LogMessage{Kind: wire.LogMessage_APPEND_REPLY, Term: r.hard.Term, To: m.From, Stamp: m.Stamp}
-	if m.Index > r.log.last() || m.Index >= r.log.snapIndex && r.log.term(m.Index) != m.LogTerm {
-		reply.Hint = min(m.Index, r.log.last()+1) // where the leader should go on
+	r.acceptLeader(now, m)
+	reply := &wire.LogMessage{Kind: wire.LogMessage_APPEND_REPLY, Term: r.hardState.Term, To: m.From, Stamp: m.Stamp}
+	if m.Index > r.log.lastIndex() || m.Index >= r.log.snapIndex && r.log.term(m.Index) != m.LogTerm {
+		reply.Hint = min(m.Index, r.log.lastIndex()+1) // where the leader should go on
 		r.send(reply)
 		return
 	}
 	for _, e := range m.Entries {
-		r.take(e)
+		r.storeEntry(e)
 	}
 	reply.Granted = true
 	reply.Index = m.Index + uint64(len(m.Entries))
@@ -80,20 +80,20 @@
 	r.send(reply)
 }
 
-// take stores an entry of the leader; one of another term at the same index,
+// storeEntry stores an entry of the leader; one of another term at the same index,
 // and all after it, were never committed and go.
-func (r *Replica) take(e *wire.LogEntry) {
+func (r *Replica) storeEntry(e *wire.LogEntry) {
 	if e.Index <= r.log.snapIndex {
 		return
 	}
-	if e.Index <= r.log.last() {
+	if e.Index <= r.log.lastIndex() {
 		if r.log.term(e.Index) == e.Term {
 			return
 		}
-		r.log.cutAfter(e.Index - 1)
+		r.log.truncateAfter(e.Index - 1)
 		r.unsaved = slices.DeleteFunc(r.unsaved, func(u *wire.LogEntry) bool { return u.Index >= e.Index })
-		if !r.cuts || e.Index-1 < r.cutAfter {
-			r.cuts, r.cutAfter = true, e.Index-1
+		if !r.truncates || e.Index-1 < r.truncateAfter {
+			r.truncates, r.truncateAfter = true, e.Index-1
 		}
 	}
 	r.log.append(e)
@@ -105,26 +105,26 @@
 	if r.role != Leader || f == nil {
 		return
 	}
-	f.acked = max(f.acked, m.Stamp)
-	f.inFlight = time.Time{}
+	f.lastAcked = max(f.lastAcked, m.Stamp)
+	f.inFlightSince = time.Time{}
 	if !m.Granted {
-		f.next = max(1, min(m.Hint, r.log.last()))
+		f.next = max(1, min(m.Hint, r.log.lastIndex()))
 		r.sendAppend(now, m.From)
 		return
 	}
 	f.match = max(f.match, m.Index)
 	f.next = max(f.next, f.match+1)
 	r.advanceCommit()
-	if f.next <= r.log.last() {
+	if f.next <= r.log.lastIndex() {
 		r.sendAppend(now, m.From)
 	}
 }
 
-// selfSaved notes that the leader's own log is on synced disk; the caller
+// acknowledgeOwnLog notes that the leader's own log is on synced disk; the caller
 // persists it before it sends or applies anything of the same Ready.
-func (r *Replica) selfSaved() {
+func (r *Replica) acknowledgeOwnLog() {
 	if slices.Contains(r.log.voters(), r.config.Self) {
-		r.followers[r.config.Self] = &progress{match: r.log.last(), next: r.log.last() + 1}
+		r.followers[r.config.Self] = &progress{match: r.log.lastIndex(), next: r.log.lastIndex() + 1}
 	}
 }
 
@@ -142,22 +142,22 @@
 	}
 	slices.Sort(matches)
 	index := matches[len(matches)-majority(len(matches))]
-	if index > r.commit && r.log.term(index) == r.hard.Term {
+	if index > r.commit && r.log.term(index) == r.hardState.Term {
 		r.commit = index
 	}
 }
 
 func (r *Replica) onSnapshot(now time.Time, m *wire.LogMessage) {
-	r.hearLeader(now, m)
+	r.acceptLeader(now, m)
 	s := m.Snapshot
 	if s.Index > r.commit {
 		file := &wire.SnapshotFile{Index: s.Index, Term: s.Term, Voters: s.Voters, State: s.State}
 		r.log.install(file)
-		r.install = file
-		r.unsaved, r.cuts = nil, false
-		r.commit, r.taken = s.Index, s.Index
+		r.pendingSnapshot = file
+		r.unsaved, r.truncates = nil, false
+		r.commit, r.delivered = s.Index, s.Index
 	}
 	r.send(&wire.LogMessage{
-		Kind: wire.LogMessage_APPEND_REPLY, Term: r.hard.Term, To: m.From, Granted: true, Index: r.commit, Stamp: m.Stamp,
+		Kind: wire.LogMessage_APPEND_REPLY, Term: r.hardState.Term, To: m.From, Granted: true, Index: r.commit, Stamp: m.Stamp,
 	})
 }
--- a/internal/replica/election.go
+++ b/internal/replica/election.go
@@ -12,15 +12,15 @@
 func (r *Replica) startElection(now time.Time, preVote bool) {
 	r.role, r.leader, r.preVote = Candidate, "", preVote
 	r.votes = map[string]bool{r.config.Self: true}
-	r.resetElection(now)
-	kind, term := wire.LogMessage_PRE_VOTE, r.hard.Term+1
+	r.resetElectionDeadline(now)
+	kind, term := wire.LogMessage_PRE_VOTE, r.hardState.Term+1
 	if !preVote {
-		r.setHard(r.hard.Term+1, r.config.Self)
+		r.setHardState(r.hardState.Term+1, r.config.Self)
 		kind = wire.LogMessage_VOTE
 	}
 	for _, name := range r.log.voters() {
 		if name != r.config.Self {
-			r.send(&wire.LogMessage{Kind: kind, Term: term, To: name, Index: r.log.last(), LogTerm: r.log.term(r.log.last())})
+			r.send(&wire.LogMessage{Kind: kind, Term: term, To: name, Index: r.log.lastIndex(), LogTerm: r.log.term(r.log.lastIndex())})
 		}
 	}
 	r.countVotes(now)
@@ -40,32 +40,32 @@
 		r.startElection(now, false)
 		return
 	}
-	r.lead(now)
+	r.becomeLeader(now)
 }
 
-// lead begins a term: an entry of the own term must be committed before
+// becomeLeader begins a term: an entry of the own term must be committed before
 // anything is served, since only then all earlier ones are known to be.
-func (r *Replica) lead(now time.Time) {
+func (r *Replica) becomeLeader(now time.Time) {
 	r.role, r.leader = Leader, r.config.Self
 	r.followers = map[string]*progress{}
 	// It names the control instances, so that from the first term on the log
 	// says who they are, whatever the settings are changed to.
-	r.firstIndex = r.append(&wire.LogEntry{Voters: r.log.voters()})
+	r.termFirstIndex = r.append(&wire.LogEntry{Voters: r.log.voters()})
 	r.broadcast(now)
 }
 
-func (r *Replica) setHard(term uint64, vote string) {
-	r.hard = &wire.HardState{Term: term, Vote: vote}
-	r.hardDirty = true
+func (r *Replica) setHardState(term uint64, vote string) {
+	r.hardState = &wire.HardState{Term: term, Vote: vote}
+	r.hardStateChanged = true
 }
 
-// follow steps down into a term.
-func (r *Replica) follow(now time.Time, term uint64, leader string) {
-	if term > r.hard.Term {
-		r.setHard(term, "")
+// becomeFollower steps down into a term.
+func (r *Replica) becomeFollower(now time.Time, term uint64, leader string) {
+	if term > r.hardState.Term {
+		r.setHardState(term, "")
 	}
 	if r.role != Follower {
-		r.resetElection(now)
+		r.resetElectionDeadline(now)
 	}
 	r.role, r.leader = Follower, leader
 }
@@ -83,11 +83,11 @@
 		r.onVote(now, m)
 		return
 	}
-	if m.Term > r.hard.Term {
-		r.follow(now, m.Term, "")
+	if m.Term > r.hardState.Term {
+		r.becomeFollower(now, m.Term, "")
 	}
-	if m.Term < r.hard.Term {
-		r.rejectOld(m)
+	if m.Term < r.hardState.Term {
+		r.rejectStaleTerm(m)
 		return
 	}
 	switch m.Kind {
@@ -105,52 +105,52 @@
 	}
 }
 
-// rejectOld tells a sender of an old term about the present one.
-func (r *Replica) rejectOld(m *wire.LogMessage) {
+// rejectStaleTerm tells a sender of an old term about the present one.
+func (r *Replica) rejectStaleTerm(m *wire.LogMessage) {
 	if m.Kind == wire.LogMessage_APPEND || m.Kind == wire.LogMessage_SNAPSHOT {
-		r.send(&wire.LogMessage{Kind: wire.LogMessage_APPEND_REPLY, Term: r.hard.Term, To: m.From})
+		r.send(&wire.LogMessage{Kind: wire.LogMessage_APPEND_REPLY, Term: r.hardState.Term, To: m.From})
 	}
 }
 
 func (r *Replica) onPreVote(now time.Time, m *wire.LogMessage) {
-	granted := m.Term > r.hard.Term && r.log.upToDate(m.Index, m.LogTerm) && r.free(now)
+	granted := m.Term > r.hardState.Term && r.log.upToDate(m.Index, m.LogTerm) && r.mayVote(now)
 	term := m.Term
 	if !granted {
-		term = r.hard.Term // so that one that was away learns the term
+		term = r.hardState.Term // so that one that was away learns the term
 	}
 	r.send(&wire.LogMessage{Kind: wire.LogMessage_PRE_VOTE_REPLY, Term: term, To: m.From, Granted: granted})
 }
 
 func (r *Replica) onPreVoteReply(now time.Time, m *wire.LogMessage) {
 	switch {
-	case !m.Granted && m.Term > r.hard.Term:
-		r.follow(now, m.Term, "")
-	case m.Granted && r.role == Candidate && r.preVote && m.Term == r.hard.Term+1:
+	case !m.Granted && m.Term > r.hardState.Term:
+		r.becomeFollower(now, m.Term, "")
+	case m.Granted && r.role == Candidate && r.preVote && m.Term == r.hardState.Term+1:
 		r.votes[m.From] = true
 		r.countVotes(now)
 	}
 }
 
-// free reports whether no leader holds this instance's promise.
-func (r *Replica) free(now time.Time) bool {
-	return r.role != Leader && !now.Before(r.promised) || r.role == Leader && !now.Before(r.LeaseUntil())
+// mayVote reports whether no leader holds this instance's promise.
+func (r *Replica) mayVote(now time.Time) bool {
+	return r.role != Leader && !now.Before(r.noVoteBefore) || r.role == Leader && !now.Before(r.LeaseUntil())
 }
 
 // onVote grants a vote at most once a term, to a log that is new enough, and
 // not while a leader holds this instance's promise.
 func (r *Replica) onVote(now time.Time, m *wire.LogMessage) {
-	if !r.free(now) {
+	if !r.mayVote(now) {
 		return
 	}
-	if m.Term > r.hard.Term {
-		r.follow(now, m.Term, "")
+	if m.Term > r.hardState.Term {
+		r.becomeFollower(now, m.Term, "")
 	}
-	granted := m.Term == r.hard.Term && (r.hard.Vote == "" || r.hard.Vote == m.From) && r.log.upToDate(m.Index, m.LogTerm)
+	granted := m.Term == r.hardState.Term && (r.hardState.Vote == "" || r.hardState.Vote == m.From) && r.log.upToDate(m.Index, m.LogTerm)
 	if granted {
-		r.setHard(m.Term, m.From)
-		r.resetElection(now)
+		r.setHardState(m.Term, m.From)
+		r.resetElectionDeadline(now)
 	}
-	r.send(&wire.LogMessage{Kind: wire.LogMessage_VOTE_REPLY, Term: r.hard.Term, To: m.From, Granted: granted})
+	r.send(&wire.LogMessage{Kind: wire.LogMessage_VOTE_REPLY, Term: r.hardState.Term, To: m.From, Granted: granted})
 }
 
 func (r *Replica) send(m *wire.LogMessage) {
@@ -158,12 +158,12 @@
 	r.messages = append(r.messages, m)
 }
 
-// followAll makes progress of everybody whom a leader sends the log.
-func (r *Replica) followAll() {
+// updateFollowers makes progress of everybody whom a leader sends the log.
+func (r *Replica) updateFollowers() {
 	peers := r.peers()
 	for _, name := range peers {
 		if r.followers[name] == nil {
-			r.followers[name] = &progress{next: r.log.last()}
+			r.followers[name] = &progress{next: r.log.lastIndex()}
 		}
 	}
 	for name := range r.followers {
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -21,14 +21,14 @@
 	return l
 }
 
-func (l *entryLog) last() uint64 { return l.snapIndex + uint64(len(l.entries)) }
+func (l *entryLog) lastIndex() uint64 { return l.snapIndex + uint64(len(l.entries)) }
 
 // term returns the term of an entry, or 0 where it is not known.
 func (l *entryLog) term(index uint64) uint64 {
 	if index == l.snapIndex {
 		return l.snapTerm
 	}
-	if index < l.snapIndex || index > l.last() {
+	if index < l.snapIndex || index > l.lastIndex() {
 		return 0
 	}
 	return l.entries[index-l.snapIndex-1].Term
@@ -39,18 +39,18 @@
 	if after < l.snapIndex || upTo <= after {
 		return nil
 	}
-	return l.entries[after-l.snapIndex : min(upTo, l.last())-l.snapIndex]
+	return l.entries[after-l.snapIndex : min(upTo, l.lastIndex())-l.snapIndex]
 }
 
 func (l *entryLog) append(e *wire.LogEntry) { l.entries = append(l.entries, e) }
 
-func (l *entryLog) cutAfter(index uint64) {
+func (l *entryLog) truncateAfter(index uint64) {
 	// The slice is copied: parts of it may have been handed out.
 	l.entries = append([]*wire.LogEntry(nil), l.entries[:index-l.snapIndex]...)
 }
 
 func (l *entryLog) compact(s *wire.SnapshotFile) {
-	l.entries = append([]*wire.LogEntry(nil), l.entries[min(s.Index, l.last())-l.snapIndex:]...)
+	l.entries = append([]*wire.LogEntry(nil), l.entries[min(s.Index, l.lastIndex())-l.snapIndex:]...)
 	l.snapIndex, l.snapTerm, l.snapState, l.snapVoters = s.Index, s.Term, s.State, s.Voters
 }
 
@@ -61,10 +61,10 @@
 
 // voters returns the control instances by the last entry that names them; it
 // counts from when it is appended, committed or not.
-func (l *entryLog) voters() []string { return l.votersAt(l.last()) }
+func (l *entryLog) voters() []string { return l.votersAt(l.lastIndex()) }
 
 func (l *entryLog) votersAt(index uint64) []string {
-	for i := min(index, l.last()); i > l.snapIndex; i-- {
+	for i := min(index, l.lastIndex()); i > l.snapIndex; i-- {
 		if v := l.entries[i-l.snapIndex-1].Voters; len(v) > 0 {
 			return v
 		}
@@ -73,7 +73,7 @@
 }
 
 func (l *entryLog) votersIndex() uint64 {
-	for i := l.last(); i > l.snapIndex; i-- {
+	for i := l.lastIndex(); i > l.snapIndex; i-- {
 		if len(l.entries[i-l.snapIndex-1].Voters) > 0 {
 			return i
 		}
@@ -83,6 +83,6 @@
 
 // upToDate reports whether a log that ends so is at least as new as this one.
 func (l *entryLog) upToDate(index, term uint64) bool {
-	mine := l.term(l.last())
-	return term > mine || term == mine && index >= l.last()
+	lastTerm := l.term(l.lastIndex())
+	return term > lastTerm || term == lastTerm && index >= l.lastIndex()
 }
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -24,9 +24,9 @@
 )
 
 const (
-	// maxBatch bounds the entries of one message, maxBatchBytes their size.
-	maxBatch      = 256
-	maxBatchBytes = 512 << 10
+	// maxBatchEntries bounds the entries of one message, maxBatchBytes their size.
+	maxBatchEntries = 256
+	maxBatchBytes   = 512 << 10
 )
 
 type (
@@ -55,37 +55,37 @@
 
 	// progress is what a leader knows of a follower.
 	progress struct {
-		next, match uint64
-		acked       int64 // stamp of the last append that was answered
-		inFlight    time.Time
+		next, match   uint64
+		lastAcked     int64 // stamp of the last append that was answered
+		inFlightSince time.Time
 	}
 
 	// Replica is the core of one control instance. One goroutine uses it.
 	Replica struct {
-		config Config
-		role   Role
-		hard   *wire.HardState
-		leader string
-		log    entryLog
-		commit uint64
-		taken  uint64 // last index handed out to be applied
-
-		electionAt time.Time
-		promised   time.Time // until when no vote is given
-		votes      map[string]bool
-		preVote    bool
-
-		followers  map[string]*progress
-		learners   []string // are sent the log, but do not count
-		beatAt     time.Time
-		firstIndex uint64 // of the leader's own term
-
-		unsaved   []*wire.LogEntry
-		cutAfter  uint64
-		cuts      bool
-		hardDirty bool
-		install   *wire.SnapshotFile
-		messages  []*wire.LogMessage
+		config    Config
+		role      Role
+		hardState *wire.HardState
+		leader    string
+		log       entryLog
+		commit    uint64
+		delivered uint64 // last index handed out to be applied
+
+		electionDeadline time.Time
+		noVoteBefore     time.Time // until when no vote is given
+		votes            map[string]bool
+		preVote          bool
+
+		followers      map[string]*progress
+		learners       []string // are sent the log, but do not count
+		lastBroadcast  time.Time
+		termFirstIndex uint64 // of the leader's own term
+
+		unsaved          []*wire.LogEntry
+		truncateAfter    uint64
+		truncates        bool
+		hardStateChanged bool
+		pendingSnapshot  *wire.SnapshotFile
+		messages         []*wire.LogMessage
 	}
 )
 
@@ -95,11 +95,11 @@
 // New returns a replica with what the disk held. It forgot what it promised
 // before it stopped, so it votes for nobody for one lease.
 func New(c Config, now time.Time, loaded *storage.Loaded) *Replica {
-	r := &Replica{config: c, hard: loaded.Hard, promised: now.Add(c.Lease)}
+	r := &Replica{config: c, hardState: loaded.Hard, noVoteBefore: now.Add(c.Lease)}
 	r.log = newEntryLog(c.Voters, loaded)
 	r.commit = r.log.snapIndex
-	r.taken = r.log.snapIndex
-	r.resetElection(now)
+	r.delivered = r.log.snapIndex
+	r.resetElectionDeadline(now)
 	return r
 }
 
@@ -107,7 +107,7 @@
 func (r *Replica) Role() Role { return r.role }
 
 // Term returns the current term.
-func (r *Replica) Term() uint64 { return r.hard.Term }
+func (r *Replica) Term() uint64 { return r.hardState.Term }
 
 // Leader returns the leader of the current term, or "".
 func (r *Replica) Leader() string { return r.leader }
@@ -116,7 +116,7 @@
 func (r *Replica) Commit() uint64 { return r.commit }
 
 // LastIndex returns the index of the last entry of the log.
-func (r *Replica) LastIndex() uint64 { return r.log.last() }
+func (r *Replica) LastIndex() uint64 { return r.log.lastIndex() }
 
 // Voters returns the control instances by the last entry that names them.
 func (r *Replica) Voters() []string { return r.log.voters() }
@@ -126,7 +126,7 @@
 func (r *Replica) SetLearners(names []string) {
 	r.learners = names
 	if r.role == Leader {
-		r.followAll()
+		r.updateFollowers()
 	}
 }
 
@@ -143,7 +143,7 @@
 // committed when the leader of the present term was elected: the last
 // committed entry is of this term.
 func (r *Replica) Confirmed() bool {
-	return r.leader != "" && r.hard.Term > 0 && r.log.term(r.commit) == r.hard.Term
+	return r.leader != "" && r.hardState.Term > 0 && r.log.term(r.commit) == r.hardState.Term
 }
 
 // peers returns everybody that a leader sends the log.
@@ -167,7 +167,7 @@
 // of its own term, and can show a lease: a majority has promised to vote for
 // nobody else until after now.
 func (r *Replica) Current(now time.Time) bool {
-	return r.role == Leader && r.commit >= r.firstIndex && now.Before(r.LeaseUntil())
+	return r.role == Leader && r.commit >= r.termFirstIndex && now.Before(r.LeaseUntil())
 }
 
 // LeaseUntil returns until when a majority's promises hold.
@@ -178,9 +178,9 @@
 	var stamps []int64
 	for _, name := range r.log.voters() {
 		if name == r.config.Self {
-			stamps = append(stamps, r.beatAt.UnixNano())
+			stamps = append(stamps, r.lastBroadcast.UnixNano())
 		} else if f := r.followers[name]; f != nil {
-			stamps = append(stamps, f.acked)
+			stamps = append(stamps, f.lastAcked)
 		} else {
 			stamps = append(stamps, 0)
 		}
@@ -209,13 +209,13 @@
 	if r.log.votersIndex() > r.commit {
 		return 0, fault.New(fault.Conflict, "the last change of control instances is not committed yet")
 	}
-	if difference(r.log.voters(), voters) != 1 || len(voters) == 0 {
+	if countDifferences(r.log.voters(), voters) != 1 || len(voters) == 0 {
 		return 0, fault.New(fault.InvalidChange, "control instances change by one at a time: %v to %v", r.log.voters(), voters)
 	}
 	return r.append(&wire.LogEntry{Voters: voters}), nil
 }
 
-func difference(a, b []string) int {
+func countDifferences(a, b []string) int {
 	n := 0
 	for _, name := range a {
 		if !slices.Contains(b, name) {
@@ -231,56 +231,56 @@
 }
 
 func (r *Replica) append(e *wire.LogEntry) uint64 {
-	e.Index, e.Term = r.log.last()+1, r.hard.Term
+	e.Index, e.Term = r.log.lastIndex()+1, r.hardState.Term
 	r.log.append(e)
 	r.unsaved = append(r.unsaved, e)
-	r.followAll()
+	r.updateFollowers()
 	return e.Index
 }
 
 // Tick does what is due: an election or the leader's next append.
 func (r *Replica) Tick(now time.Time) {
 	switch {
-	case r.role == Leader && now.Sub(r.beatAt) >= r.config.Heartbeat:
+	case r.role == Leader && now.Sub(r.lastBroadcast) >= r.config.Heartbeat:
 		r.broadcast(now)
-	case r.role != Leader && !now.Before(r.electionAt) && slices.Contains(r.log.voters(), r.config.Self):
+	case r.role != Leader && !now.Before(r.electionDeadline) && slices.Contains(r.log.voters(), r.config.Self):
 		r.startElection(now, true)
 	}
 }
 
-func (r *Replica) resetElection(now time.Time) {
-	spread := int64(r.config.Lease)
-	r.electionAt = now.Add(r.config.Lease + r.config.Heartbeat + time.Duration(r.config.Rand.Int64N(spread)))
+func (r *Replica) resetElectionDeadline(now time.Time) {
+	maxJitter := int64(r.config.Lease)
+	r.electionDeadline = now.Add(r.config.Lease + r.config.Heartbeat + time.Duration(r.config.Rand.Int64N(maxJitter)))
 }
 
 // Ready returns what is to be done and assumes that it is done: the caller
 // must persist, send and apply before it calls anything else.
 func (r *Replica) Ready(now time.Time) Ready {
 	if r.role == Leader {
-		r.sendNew(now)
+		r.sendNewEntries(now)
 	}
-	ready := Ready{Snapshot: r.install, Hard: &wire.HardState{Term: r.hard.Term, Vote: r.hard.Vote}}
-	if len(r.unsaved) > 0 || r.hardDirty || r.cuts {
-		ready.Record = &wire.Record{Entries: r.unsaved, Cuts: r.cuts, CutAfter: r.cutAfter}
+	ready := Ready{Snapshot: r.pendingSnapshot, Hard: &wire.HardState{Term: r.hardState.Term, Vote: r.hardState.Vote}}
+	if len(r.unsaved) > 0 || r.hardStateChanged || r.truncates {
+		ready.Record = &wire.Record{Entries: r.unsaved, Cuts: r.truncates, CutAfter: r.truncateAfter}
 		ready.Record.Hard = ready.Hard
 	}
-	r.unsaved, r.cuts, r.hardDirty, r.install = nil, false, false, nil
+	r.unsaved, r.truncates, r.hardStateChanged, r.pendingSnapshot = nil, false, false, nil
 	if r.role == Leader {
 		// What is persisted now counts as this instance's own acknowledgement.
-		r.selfSaved()
+		r.acknowledgeOwnLog()
 		r.advanceCommit()
-		r.leaveIfRemoved(now)
+		r.stepDownIfRemoved(now)
 	}
 	ready.Messages, r.messages = r.messages, nil
-	ready.Committed = r.log.between(r.taken, r.commit)
-	r.taken = max(r.taken, r.commit)
+	ready.Committed = r.log.between(r.delivered, r.commit)
+	r.delivered = max(r.delivered, r.commit)
 	return ready
 }
 
-// leaveIfRemoved steps down once a change that drops this instance is committed.
-func (r *Replica) leaveIfRemoved(now time.Time) {
+// stepDownIfRemoved steps down once a change that drops this instance is committed.
+func (r *Replica) stepDownIfRemoved(now time.Time) {
 	if r.commit >= r.log.votersIndex() && !slices.Contains(r.log.voters(), r.config.Self) {
-		r.follow(now, r.hard.Term, "")
+		r.becomeFollower(now, r.hardState.Term, "")
 	}
 }
 
@@ -289,7 +289,7 @@
 func (r *Replica) Compact(index uint64, state []byte) (*wire.SnapshotFile, *wire.HardState, []*wire.LogEntry) {
 	file := &wire.SnapshotFile{Index: index, Term: r.log.term(index), Voters: r.log.votersAt(index), State: state}
 	r.log.compact(file)
-	return file, &wire.HardState{Term: r.hard.Term, Vote: r.hard.Vote}, r.log.entries
+	return file, &wire.HardState{Term: r.hardState.Term, Vote: r.hardState.Vote}, r.log.entries
 }
 
 // Entries returns committed entries from an index on, or false where the log
@@ -310,5 +310,5 @@
 
 // Follows reports whether this instance has heard the leader within a lease.
 func (r *Replica) Follows(now time.Time) bool {
-	return r.role == Follower && r.leader != "" && now.Before(r.promised)
+	return r.role == Follower && r.leader != "" && now.Before(r.noVoteBefore)
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -17,7 +17,7 @@
 			t.Parallel()
 			c := newCluster(t, *firstSeed+i, 3+2*int(i%2))
 			c.run(1500)
-			c.rest()
+			c.checkConvergence()
 			if len(c.committed) < 3 {
 				t.Fatalf("seed %d: nothing was committed", *firstSeed+i)
 			}
--- a/internal/replica/rules_test.go
+++ b/internal/replica/rules_test.go
@@ -11,15 +11,15 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var ruleStart = time.Unix(1000, 0)
+var testStart = time.Unix(1000, 0)
 
-// newRuleReplica is "a" of three, with one entry of an old term on disk.
-func newRuleReplica() *Replica {
+// newTestReplica is "a" of three, with one entry of an old term on disk.
+func newTestReplica() *Replica {
 	loaded := &storage.Loaded{Hard: &wire.HardState{Term: 1}, Entries: []*wire.LogEntry{{Index: 1, Term: 1, Command: []byte("old")}}}
 	return New(Config{
 		Self: "a", Voters: []string{"a", "b", "c"}, Heartbeat: testHeartbeat, Lease: testLease, Drift: testDrift,
 		Rand: rand.New(rand.NewPCG(1, 1)),
-	}, ruleStart, loaded)
+	}, testStart, loaded)
 }
 
 // elect makes it the leader of term 2 by the votes of b.
@@ -36,8 +36,8 @@
 // leader: only one of the own term commits it.
 func TestOldTermsAreNotCommittedByCounting(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRuleReplica()
-	now := ruleStart.Add(time.Second)
+	r := newTestReplica()
+	now := testStart.Add(time.Second)
 	elect(r, now)
 	g.Expect(r.Role()).To(gomega.Equal(Leader))
 	reply := func(index uint64) {
@@ -55,13 +55,13 @@
 
 // A follower that has just heard a leader votes for nobody else for a lease,
 // whatever the term and the log of the one who asks.
-func TestNoVoteWhileALeaderHoldsThePromise(t *testing.T) {
+func TestNoVoteDuringLeaderLease(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRuleReplica()
-	now := ruleStart.Add(time.Second)
+	r := newTestReplica()
+	now := testStart.Add(time.Second)
 	r.Step(now, &wire.LogMessage{Kind: wire.LogMessage_APPEND, Term: 2, From: "b", To: "a", Index: 1, LogTerm: 1, Stamp: 1})
 	r.Ready(now)
-	asked := func(at time.Time, kind wire.LogMessage_Kind) bool {
+	granted := func(at time.Time, kind wire.LogMessage_Kind) bool {
 		r.Step(at, &wire.LogMessage{Kind: kind, Term: 9, From: "c", To: "a", Index: 50, LogTerm: 8})
 		for _, m := range r.Ready(at).Messages {
 			if m.Granted {
@@ -71,12 +71,12 @@
 		return false
 	}
 	soon := now.Add(testLease / 2)
-	g.Expect(asked(soon, wire.LogMessage_PRE_VOTE)).To(gomega.BeFalse())
-	g.Expect(asked(soon, wire.LogMessage_VOTE)).To(gomega.BeFalse())
+	g.Expect(granted(soon, wire.LogMessage_PRE_VOTE)).To(gomega.BeFalse())
+	g.Expect(granted(soon, wire.LogMessage_VOTE)).To(gomega.BeFalse())
 	g.Expect(r.Term()).To(gomega.Equal(uint64(2)), "the term is not taken over either")
 	late := now.Add(testLease)
-	g.Expect(asked(late, wire.LogMessage_VOTE)).To(gomega.BeTrue())
-	g.Expect(asked(late, wire.LogMessage_VOTE)).To(gomega.BeTrue(), "the same one again")
+	g.Expect(granted(late, wire.LogMessage_VOTE)).To(gomega.BeTrue())
+	g.Expect(granted(late, wire.LogMessage_VOTE)).To(gomega.BeTrue(), "the same one again")
 	r.Step(late, &wire.LogMessage{Kind: wire.LogMessage_VOTE, Term: 9, From: "b", To: "a", Index: 50, LogTerm: 8})
 	for _, m := range r.Ready(late).Messages {
 		g.Expect(m.Granted).To(gomega.BeFalse(), "one vote a term")
@@ -84,9 +84,9 @@
 }
 
 // After a restart the promise is not known any more, so no vote is given for a lease.
-func TestNoVoteRightAfterARestart(t *testing.T) {
+func TestNoVoteAfterRestart(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRuleReplica()
-	r.Step(ruleStart.Add(testLease/2), &wire.LogMessage{Kind: wire.LogMessage_VOTE, Term: 9, From: "c", To: "a", Index: 50, LogTerm: 8})
-	g.Expect(r.Ready(ruleStart).Messages).To(gomega.BeEmpty())
+	r := newTestReplica()
+	r.Step(testStart.Add(testLease/2), &wire.LogMessage{Kind: wire.LogMessage_VOTE, Term: 9, From: "c", To: "a", Index: 50, LogTerm: 8})
+	g.Expect(r.Ready(testStart).Messages).To(gomega.BeEmpty())
 }
--- a/internal/storage/probe.go
+++ b/internal/storage/probe.go
@@ -14,11 +14,11 @@
 func Probe(files Files) error {
 	f, err := files.Create(probeName)
 	if err != nil {
-		return diskFault("make probe", err)
+		return dataFolderError("make probe", err)
 	}
 	_, err = f.Write(make([]byte, probeSize))
 	if err = errors.Join(err, f.Sync(), f.Close(), files.Remove(probeName)); err != nil {
-		return diskFault("write probe", err)
+		return dataFolderError("write probe", err)
 	}
 	return nil
 }
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -14,11 +14,11 @@
 )
 
 const (
-	logName      = "log"
-	nextLogName  = "log.next"
-	snapshotName = "snapshot"
-	nextSnapshot = "snapshot.next"
-	headerLen    = 8 // length and checksum of a record
+	logName          = "log"
+	nextLogName      = "log.next"
+	snapshotName     = "snapshot"
+	nextSnapshotName = "snapshot.next"
+	recordHeaderSize = 8 // length and checksum of a record
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -28,10 +28,10 @@
 	// error it is broken for good: the process must not acknowledge anything
 	// that it has not seen synced.
 	Store struct {
-		files  Files
-		log    *File
-		size   int64
-		broken error
+		files   Files
+		log     *File
+		size    int64
+		failure error
 	}
 
 	// Loaded is what the data folder held at the start.
@@ -49,30 +49,30 @@
 	if err := readSnapshot(files, loaded); err != nil {
 		return nil, nil, err
 	}
-	good, err := readLog(files, loaded)
+	validSize, err := readLog(files, loaded)
 	if err != nil {
 		return nil, nil, err
 	}
-	s := &Store{files: files, size: good}
+	s := &Store{files: files, size: validSize}
 	if s.log, err = files.Append(logName); err != nil {
-		return nil, nil, diskFault("open log", err)
+		return nil, nil, dataFolderError("open log", err)
 	}
 	if loaded.Torn {
-		if err := s.log.Truncate(good); err != nil {
-			return nil, nil, diskFault("cut torn record", err)
+		if err := s.log.Truncate(validSize); err != nil {
+			return nil, nil, dataFolderError("cut torn record", err)
 		}
 	}
 	if err := errors.Join(s.log.Sync(), files.SyncDir()); err != nil {
-		return nil, nil, diskFault("sync log", err)
+		return nil, nil, dataFolderError("sync log", err)
 	}
 	return s, loaded, nil
 }
 
-func diskFault(what string, err error) error {
-	return fault.Wrap(fault.DataFolder, fmt.Errorf("%s: %w", what, err))
+func dataFolderError(operation string, err error) error {
+	return fault.Wrap(fault.DataFolder, fmt.Errorf("%s: %w", operation, err))
 }
 
-func damaged(format string, args ...any) error {
+func damagedLog(format string, args ...any) error {
 	return fault.New(fault.DamagedLog, format, args...)
 }
 
@@ -82,15 +82,15 @@
 		return nil
 	}
 	if err != nil {
-		return diskFault("read snapshot", err)
+		return dataFolderError("read snapshot", err)
 	}
-	payload, rest, ok := cutRecord(data)
+	payload, rest, ok := decodeRecord(data)
 	if !ok || len(rest) > 0 {
-		return damaged("the snapshot's checksum is wrong")
+		return damagedLog("the snapshot's checksum is wrong")
 	}
 	s := &wire.SnapshotFile{}
 	if err := proto.Unmarshal(payload, s); err != nil {
-		return damaged("the snapshot cannot be read: %s", err)
+		return damagedLog("the snapshot cannot be read: %s", err)
 	}
 	loaded.Snapshot = s
 	return nil
@@ -103,21 +103,21 @@
 		return 0, nil
 	}
 	if err != nil {
-		return 0, diskFault("read log", err)
+		return 0, dataFolderError("read log", err)
 	}
 	rest := data
 	for len(rest) > 0 {
-		payload, after, ok := cutRecord(rest)
+		payload, after, ok := decodeRecord(rest)
 		if !ok {
-			if !isTail(rest) {
-				return 0, damaged("the log's record at byte %d is damaged and others follow it", len(data)-len(rest))
+			if !mayBeTornWrite(rest) {
+				return 0, damagedLog("the log's record at byte %d is damaged and others follow it", len(data)-len(rest))
 			}
 			loaded.Torn = true
 			break
 		}
 		r := &wire.Record{}
 		if err := proto.Unmarshal(payload, r); err != nil {
-			return 0, damaged("the log's record at byte %d cannot be read: %s", len(data)-len(rest), err)
+			return 0, damagedLog("the log's record at byte %d cannot be read: %s", len(data)-len(rest), err)
 		}
 		if err := loaded.replay(r); err != nil {
 			return 0, err
@@ -127,14 +127,14 @@
 	return int64(len(data) - len(rest)), nil
 }
 
-// isTail reports whether a bad record may be an unfinished last write: its
+// mayBeTornWrite reports whether a bad record may be an unfinished last write: its
 // length reaches the end of the file or beyond it, or the rest is empty pages.
-func isTail(rest []byte) bool {
-	if len(rest) < headerLen {
+func mayBeTornWrite(rest []byte) bool {
+	if len(rest) < recordHeaderSize {
 		return true
 	}
 	length := int(binary.LittleEndian.Uint32(rest))
-	if headerLen+length >= len(rest) {
+	if recordHeaderSize+length >= len(rest) {
 		return true
 	}
 	for _, b := range rest {
@@ -150,14 +150,14 @@
 		l.Hard = r.Hard
 	}
 	if r.Cuts {
-		l.cutAfter(r.CutAfter)
+		l.truncateAfter(r.CutAfter)
 	}
 	for _, e := range r.Entries {
 		if l.Snapshot != nil && e.Index <= l.Snapshot.Index {
 			continue
 		}
 		if want := l.lastIndex() + 1; e.Index != want {
-			return damaged("the log continues at index %d, expected %d", e.Index, want)
+			return damagedLog("the log continues at index %d, expected %d", e.Index, want)
 		}
 		l.Entries = append(l.Entries, e)
 	}
@@ -174,7 +174,7 @@
 	return 0
 }
 
-func (l *Loaded) cutAfter(index uint64) {
+func (l *Loaded) truncateAfter(index uint64) {
 	for len(l.Entries) > 0 && l.Entries[len(l.Entries)-1].Index > index {
 		l.Entries = l.Entries[:len(l.Entries)-1]
 	}
@@ -182,8 +182,8 @@
 
 // Append writes a batch and syncs it.
 func (s *Store) Append(r *wire.Record) error {
-	if s.broken != nil {
-		return s.broken
+	if s.failure != nil {
+		return s.failure
 	}
 	data, err := encodeRecord(r)
 	if err != nil {
@@ -204,19 +204,19 @@
 
 // fail makes the store refuse everything: after a failed write or sync it is
 // not known what the disk holds.
-func (s *Store) fail(what string, err error) error {
-	s.broken = diskFault(what, err)
-	return s.broken
+func (s *Store) fail(operation string, err error) error {
+	s.failure = dataFolderError(operation, err)
+	return s.failure
 }
 
 // SaveSnapshot replaces the snapshot and begins a new log with what follows
 // it. The old log stays until the new one is whole; replay skips entries that
 // the snapshot covers.
 func (s *Store) SaveSnapshot(snapshot *wire.SnapshotFile, hard *wire.HardState, after []*wire.LogEntry) error {
-	if s.broken != nil {
-		return s.broken
+	if s.failure != nil {
+		return s.failure
 	}
-	if err := replaceFile(s.files, nextSnapshot, snapshotName, snapshot); err != nil {
+	if err := replaceFile(s.files, nextSnapshotName, snapshotName, snapshot); err != nil {
 		return s.fail("write snapshot", err)
 	}
 	if err := replaceFile(s.files, nextLogName, logName, &wire.Record{Hard: hard, Entries: after, Cuts: true, CutAfter: snapshot.Index}); err != nil {
@@ -254,7 +254,7 @@
 // returns once it lasts; an error is of kind DataFolder.
 func SaveMessage(files Files, name string, m proto.Message) error {
 	if err := replaceFile(files, name+".next", name, m); err != nil {
-		return diskFault("write "+name, err)
+		return dataFolderError("write "+name, err)
 	}
 	return nil
 }
@@ -267,14 +267,14 @@
 		return false, nil
 	}
 	if err != nil {
-		return false, diskFault("read "+name, err)
+		return false, dataFolderError("read "+name, err)
 	}
-	payload, rest, ok := cutRecord(data)
+	payload, rest, ok := decodeRecord(data)
 	if !ok || len(rest) > 0 {
-		return false, damaged("the checksum of %s is wrong", name)
+		return false, damagedLog("the checksum of %s is wrong", name)
 	}
 	if err := proto.Unmarshal(payload, m); err != nil {
-		return false, damaged("%s cannot be read: %s", name, err)
+		return false, damagedLog("%s cannot be read: %s", name, err)
 	}
 	return true, nil
 }
@@ -287,24 +287,24 @@
 	if err != nil {
 		return nil, fmt.Errorf("encode record: %w", err)
 	}
-	data := make([]byte, headerLen, headerLen+len(payload))
+	data := make([]byte, recordHeaderSize, recordHeaderSize+len(payload))
 	binary.LittleEndian.PutUint32(data, uint32(len(payload)))
 	binary.LittleEndian.PutUint32(data[4:], crc32.Checksum(payload, castagnoli))
 	return append(data, payload...), nil
 }
 
-// cutRecord takes the first record off the data; false where it is not whole.
-func cutRecord(data []byte) (payload, rest []byte, ok bool) {
-	if len(data) < headerLen {
+// decodeRecord takes the first record off the data; false where it is not whole.
+func decodeRecord(data []byte) (payload, rest []byte, ok bool) {
+	if len(data) < recordHeaderSize {
 		return nil, nil, false
 	}
 	length := int(binary.LittleEndian.Uint32(data))
-	if length == 0 || length > len(data)-headerLen {
+	if length == 0 || length > len(data)-recordHeaderSize {
 		return nil, nil, false
 	}
-	payload = data[headerLen : headerLen+length]
+	payload = data[recordHeaderSize : recordHeaderSize+length]
 	if crc32.Checksum(payload, castagnoli) != binary.LittleEndian.Uint32(data[4:]) {
 		return nil, nil, false
 	}
-	return payload, data[headerLen+length:], true
+	return payload, data[recordHeaderSize+length:], true
 }
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -48,7 +48,7 @@
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	g.Expect(s.Append(record(1, 1))).To(gomega.Succeed())
 	g.Expect(s.Append(record(2, 1))).To(gomega.Succeed())
-	m.Damage("log", 10)
+	m.Corrupt("log", 10)
 	_, _, err = storage.Open(m.Files())
 	g.Expect(fault.KindOf(err)).To(gomega.Equal(fault.DamagedLog))
 }
--- a/internal/storage/storagetest/failing.go
+++ b/internal/storage/storagetest/failing.go
@@ -16,10 +16,10 @@
 type Failing struct {
 	open func() (storage.Files, error)
 
-	mu     sync.Mutex
-	full   bool
-	delay  time.Duration // of each write and sync
-	stands chan struct{} // closed once the disk goes on, nil while it does
+	mu      sync.Mutex
+	full    bool
+	delay   time.Duration // of each write and sync
+	resumed chan struct{} // closed once the disk goes on, nil while it does
 }
 
 // NewFailing returns a folder that does what the opened one does, until it is
@@ -41,16 +41,16 @@
 }
 
 // Stall makes every write and sync wait until goOn is called.
-func (f *Failing) Stall() (goOn func()) {
+func (f *Failing) Stall() (resume func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	stands := make(chan struct{})
-	f.stands = stands
+	resumed := make(chan struct{})
+	f.resumed = resumed
 	return sync.OnceFunc(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.stands = nil
-		close(stands)
+		f.resumed = nil
+		close(resumed)
 	})
 }
 
@@ -61,37 +61,37 @@
 		return files, err
 	}
 	appendTo, create := files.Append, files.Create
-	files.Append = func(name string) (*storage.File, error) { return f.file(appendTo(name)) }
-	files.Create = func(name string) (*storage.File, error) { return f.file(create(name)) }
+	files.Append = func(name string) (*storage.File, error) { return f.wrap(appendTo(name)) }
+	files.Create = func(name string) (*storage.File, error) { return f.wrap(create(name)) }
 	return files, nil
 }
 
-// file makes an open file fail as the disk does.
-func (f *Failing) file(file *storage.File, err error) (*storage.File, error) {
+// wrap makes an open wrap fail as the disk does.
+func (f *Failing) wrap(file *storage.File, err error) (*storage.File, error) {
 	if err != nil {
 		return nil, err
 	}
 	write, flush := file.Write, file.Sync
 	file.Write = func(data []byte) (int, error) {
-		if err := f.wait(); err != nil {
+		if err := f.awaitDisk(); err != nil {
 			return 0, err
 		}
 		return write(data)
 	}
 	file.Sync = func() error {
-		_ = f.wait() // a full disk still syncs what it has
+		_ = f.awaitDisk() // a full disk still syncs what it has
 		return flush()
 	}
 	return file, nil
 }
 
-// wait waits as long as the disk takes, and then says whether it is full.
-func (f *Failing) wait() error {
+// awaitDisk waits as long as the disk takes, and then says whether it is full.
+func (f *Failing) awaitDisk() error {
 	f.mu.Lock()
-	stands, delay := f.stands, f.delay
+	resumed, delay := f.resumed, f.delay
 	f.mu.Unlock()
-	if stands != nil {
-		<-stands
+	if resumed != nil {
+		<-resumed
 	}
 	time.Sleep(delay)
 	f.mu.Lock()
--- a/internal/storage/storagetest/memory.go
+++ b/internal/storage/storagetest/memory.go
@@ -12,10 +12,10 @@
 // Memory is a data folder in memory that forgets, at a crash, what was not
 // synced. Tests use it to crash at every write and sync.
 type Memory struct {
-	synced  map[string][]byte // what a crash leaves
-	current map[string][]byte // what a reader sees
-	steps   int               // writes and syncs left before the crash; below 0 is none
-	crashed bool
+	synced    map[string][]byte // what a crash leaves
+	current   map[string][]byte // what a reader sees
+	stepsLeft int               // writes and syncs left before the crash; below 0 is none
+	crashed   bool
 }
 
 // ErrCrashed is returned by everything after the crash.
@@ -23,11 +23,11 @@
 
 // NewMemory returns an empty folder.
 func NewMemory() *Memory {
-	return &Memory{synced: map[string][]byte{}, current: map[string][]byte{}, steps: -1}
+	return &Memory{synced: map[string][]byte{}, current: map[string][]byte{}, stepsLeft: -1}
 }
 
 // CrashAfter makes the folder crash after so many more writes and syncs.
-func (m *Memory) CrashAfter(steps int) { m.steps = steps }
+func (m *Memory) CrashAfter(steps int) { m.stepsLeft = steps }
 
 // Crashed reports whether the crash has come.
 func (m *Memory) Crashed() bool { return m.crashed }
@@ -51,11 +51,11 @@
 			m.current[name] = append([]byte(nil), data...)
 		}
 	}
-	m.crashed, m.steps = false, -1
+	m.crashed, m.stepsLeft = false, -1
 }
 
-// Damage flips one byte of a file.
-func (m *Memory) Damage(name string, at int) {
+// Corrupt flips one byte of a file.
+func (m *Memory) Corrupt(name string, at int) {
 	m.current[name][at] ^= 0x55
 	m.synced[name] = append([]byte(nil), m.current[name]...)
 }
@@ -69,16 +69,16 @@
 // Bytes returns what a reader sees of a file.
 func (m *Memory) Bytes(name string) []byte { return m.current[name] }
 
-func (m *Memory) step() error {
+func (m *Memory) countStep() error {
 	if m.crashed {
 		return ErrCrashed
 	}
-	if m.steps == 0 {
+	if m.stepsLeft == 0 {
 		m.crashed = true
 		return ErrCrashed
 	}
-	if m.steps > 0 {
-		m.steps--
+	if m.stepsLeft > 0 {
+		m.stepsLeft--
 	}
 	return nil
 }
@@ -104,7 +104,7 @@
 			return m.file(name), nil
 		},
 		Rename: func(from, to string) error {
-			if err := m.step(); err != nil {
+			if err := m.countStep(); err != nil {
 				return err
 			}
 			m.current[to] = m.current[from]
@@ -117,7 +117,7 @@
 			return nil
 		},
 		SyncDir: func() error {
-			if err := m.step(); err != nil {
+			if err := m.countStep(); err != nil {
 				return err
 			}
 			for name, data := range m.current {
@@ -132,13 +132,13 @@
 	return &storage.File{
 		Write: func(data []byte) (int, error) {
 			m.current[name] = append(m.current[name], data...)
-			if err := m.step(); err != nil {
+			if err := m.countStep(); err != nil {
 				return 0, err
 			}
 			return len(data), nil
 		},
 		Sync: func() error {
-			if err := m.step(); err != nil {
+			if err := m.countStep(); err != nil {
 				return err
 			}
 			m.synced[name] = append([]byte(nil), m.current[name]...)
