--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -166,22 +166,22 @@
 			f.step()
 		}
 		var leader, follower *instance
-		for _, m := range f.instances {
-			if m.d.Roster(f.now).Leads {
+		for _, inst := range f.instances {
+			if inst.d.Roster(f.now).Leads {
 				Expect(leader).To(BeNil())
-				leader = m
+				leader = inst
 			}
 		}
 		Expect(leader).NotTo(BeNil())
-		for _, m := range f.instances {
-			if m != leader && m.domain == leader.domain {
-				follower = m
+		for _, inst := range f.instances {
+			if inst != leader && inst.domain == leader.domain {
+				follower = inst
 			}
 		}
-		for _, m := range f.instances {
-			if m.domain != leader.domain {
+		for _, inst := range f.instances {
+			if inst.domain != leader.domain {
 				for _, cut := range []*instance{leader, follower} {
-					f.blockedLinks[[2]string{m.address, cut.address}], f.blockedLinks[[2]string{cut.address, m.address}] = true, true
+					f.blockedLinks[[2]string{inst.address, cut.address}], f.blockedLinks[[2]string{cut.address, inst.address}] = true, true
 				}
 			}
 		}
--- a/internal/directory/faults_test.go
+++ b/internal/directory/faults_test.go
@@ -58,22 +58,22 @@
 }
 
 func (f *fleet) stopAll() {
-	for _, m := range f.instances {
-		f.stop(m)
+	for _, inst := range f.instances {
+		f.stop(inst)
 	}
 }
 
 // restartStopped starts what is down.
 func (f *fleet) restartStopped() {
-	for _, m := range f.instances {
-		if m.d != nil && !m.disk.Crashed() {
+	for _, inst := range f.instances {
+		if inst.d != nil && !inst.disk.Crashed() {
 			continue
 		}
-		m.disk.Restart(f.rng.IntN(40))
-		if !m.wipedAt.IsZero() && m.d == nil && m.store == nil {
-			m.wipedAt = f.now // its time to catch up begins now
+		inst.disk.Restart(f.rng.IntN(40))
+		if !inst.wipedAt.IsZero() && inst.d == nil && inst.store == nil {
+			inst.wipedAt = f.now // its time to catch up begins now
 		}
-		f.start(m)
+		f.start(inst)
 	}
 }
 
@@ -102,9 +102,9 @@
 // postponeCatchUp restarts the time that lost disks are given while others
 // are disturbed too.
 func (f *fleet) postponeCatchUp() {
-	for _, m := range f.instances {
-		if !m.wipedAt.IsZero() && f.now.Sub(m.wipedAt) < catchUpTime {
-			m.wipedAt = f.now
+	for _, inst := range f.instances {
+		if !inst.wipedAt.IsZero() && f.now.Sub(inst.wipedAt) < catchUpTime {
+			inst.wipedAt = f.now
 		}
 	}
 }
@@ -113,21 +113,21 @@
 func (f *fleet) recoverAndCheck() {
 	clear(f.blockedLinks)
 	f.restartStopped()
-	for _, m := range f.instances {
-		m.pausedUntil = time.Time{}
-		m.disk.CrashAfter(-1)
+	for _, inst := range f.instances {
+		inst.pausedUntil = time.Time{}
+		inst.disk.CrashAfter(-1)
 	}
 	for range recoveryTime / testStep {
 		f.step()
 	}
 	leaders := 0
-	for _, m := range f.instances {
-		doc, err := m.d.Read(f.now)
+	for _, inst := range f.instances {
+		doc, err := inst.d.Read(f.now)
 		if err != nil {
 			continue
 		}
 		leaders++
-		f.checkAcknowledgedOrders(m)
+		f.checkAcknowledgedOrders(inst)
 		if f.ackedVersion > 0 {
 			Expect(doc).NotTo(BeNil(), "seed %d: everything acknowledged is lost", f.seed)
 			Expect(doc.Version()).To(BeNumerically(">=", f.ackedVersion), "seed %d: the newest acknowledged is lost", f.seed)
@@ -140,17 +140,17 @@
 // String tells what everybody believes.
 func (f *fleet) String() string {
 	var b strings.Builder
-	for _, m := range f.instances {
-		s := m.d.Status(f.now)
-		fmt.Fprintf(&b, "\n%s: %s of %q, term %d, commit %d, last %d, voters %v", m.id, s.Role, s.Leader, s.Term, s.Commit, m.d.replica.LastIndex(), s.Voters)
+	for _, inst := range f.instances {
+		s := inst.d.Status(f.now)
+		fmt.Fprintf(&b, "\n%s: %s of %q, term %d, commit %d, last %d, voters %v", inst.id, s.Role, s.Leader, s.Term, s.Commit, inst.d.replica.LastIndex(), s.Voters)
 	}
 	return b.String()
 }
 
 // checkVoters asserts that the voters are as many as wanted and all alive.
 func (f *fleet) checkVoters() {
-	for _, m := range f.instances {
-		s := m.d.Status(f.now)
+	for _, inst := range f.instances {
+		s := inst.d.Status(f.now)
 		if !s.Current {
 			continue
 		}
--- a/internal/directory/fleet_test.go
+++ b/internal/directory/fleet_test.go
@@ -99,12 +99,12 @@
 	for i := range min(3, n) {
 		f.founders = append(f.founders, f.instances[i].address)
 	}
-	for i, m := range f.instances {
-		m.id = m.address
+	for i, inst := range f.instances {
+		inst.id = inst.address
 		if i >= len(f.founders) {
-			m.id += "#0"
+			inst.id += "#0"
 		}
-		f.start(m)
+		f.start(inst)
 	}
 	return f
 }
@@ -143,8 +143,8 @@
 // countLostDisks counts the disks that may not hold yet what was acknowledged.
 func (f *fleet) countLostDisks() int {
 	n := 0
-	for _, m := range f.instances {
-		if !m.wipedAt.IsZero() && (m.d == nil || f.now.Sub(m.wipedAt) < catchUpTime) {
+	for _, inst := range f.instances {
+		if !inst.wipedAt.IsZero() && (inst.d == nil || f.now.Sub(inst.wipedAt) < catchUpTime) {
 			n++
 		}
 	}
@@ -155,8 +155,8 @@
 // whose disk is lost be given the time to catch up.
 func (f *fleet) allRunning() bool {
 	up := 0
-	for _, m := range f.instances {
-		if m.d != nil && !m.pausedUntil.After(f.now) {
+	for _, inst := range f.instances {
+		if inst.d != nil && !inst.pausedUntil.After(f.now) {
 			up++
 		}
 	}
@@ -230,9 +230,9 @@
 }
 
 func (f *fleet) byAddress(address string) *instance {
-	for _, m := range f.instances {
-		if m.address == address {
-			return m
+	for _, inst := range f.instances {
+		if inst.address == address {
+			return inst
 		}
 	}
 	return nil
@@ -255,10 +255,10 @@
 			inst.d.Hear(f.now, s.roster)
 		}
 	}
-	for _, m := range f.instances {
-		if m.d != nil && !m.pausedUntil.After(f.now) {
-			m.d.Tick(f.now)
-			f.processReady(m)
+	for _, inst := range f.instances {
+		if inst.d != nil && !inst.pausedUntil.After(f.now) {
+			inst.d.Tick(f.now)
+			f.processReady(inst)
 		}
 	}
 	f.exchangeRosters()
@@ -271,16 +271,16 @@
 		return
 	}
 	f.nextRosterAt = f.now.Add(200 * time.Millisecond)
-	for _, m := range f.instances {
-		if m.d == nil || m.pausedUntil.After(f.now) {
+	for _, inst := range f.instances {
+		if inst.d == nil || inst.pausedUntil.After(f.now) {
 			continue
 		}
-		roster := m.d.Roster(f.now)
-		called := map[string]bool{m.address: true}
-		for _, address := range append(m.d.Addresses(), f.instances[0].address, f.instances[1].address, f.instances[2].address) {
+		roster := inst.d.Roster(f.now)
+		called := map[string]bool{inst.address: true}
+		for _, address := range append(inst.d.Addresses(), f.instances[0].address, f.instances[1].address, f.instances[2].address) {
 			if !called[address] {
 				called[address] = true
-				f.send(delivery{from: m.address, to: address, roster: roster})
+				f.send(delivery{from: inst.address, to: address, roster: roster})
 			}
 		}
 	}
@@ -317,11 +317,11 @@
 
 // checkReads asserts that whoever answers shows nothing older than acknowledged.
 func (f *fleet) checkReads() {
-	for _, m := range f.instances {
-		if m.d == nil || m.pausedUntil.After(f.now) {
+	for _, inst := range f.instances {
+		if inst.d == nil || inst.pausedUntil.After(f.now) {
 			continue
 		}
-		doc, err := m.d.Read(f.now)
+		doc, err := inst.d.Read(f.now)
 		if err != nil {
 			continue
 		}
@@ -329,8 +329,8 @@
 		if doc != nil {
 			version = doc.Version()
 		}
-		Expect(version).To(BeNumerically(">=", f.ackedVersion), "seed %d: %s shows an old version", f.seed, m.id)
-		f.checkAcknowledgedOrders(m)
+		Expect(version).To(BeNumerically(">=", f.ackedVersion), "seed %d: %s shows an old version", f.seed, inst.id)
+		f.checkAcknowledgedOrders(inst)
 	}
 }
 
--- a/internal/directory/voters_test.go
+++ b/internal/directory/voters_test.go
@@ -25,9 +25,9 @@
 
 // leader returns the machine that leads.
 func (f *fleet) leader() *instance {
-	for _, m := range f.instances {
-		if m.d != nil && m.d.Status(f.now).Current {
-			return m
+	for _, inst := range f.instances {
+		if inst.d != nil && inst.d.Status(f.now).Current {
+			return inst
 		}
 	}
 	return nil
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -60,16 +60,16 @@
 	for i := range n {
 		c.instances = append(c.instances, &instance{name: fmt.Sprint("c", i), disk: storagetest.NewMemory(), clockRate: 1 + (c.rng.Float64()-0.5)*0.1})
 	}
-	for _, n := range c.instances {
-		c.start(n)
+	for _, inst := range c.instances {
+		c.start(inst)
 	}
 	return c
 }
 
 func (c *cluster) names() []string {
 	var names []string
-	for _, n := range c.instances {
-		names = append(names, n.name)
+	for _, inst := range c.instances {
+		names = append(names, inst.name)
 	}
 	return names
 }
@@ -190,19 +190,19 @@
 			c.processReady(to)
 		}
 	}
-	for _, n := range c.instances {
-		if n.running && !n.pausedUntil.After(c.now) {
-			n.replica.Tick(c.clock(n))
-			c.processReady(n)
+	for _, inst := range c.instances {
+		if inst.running && !inst.pausedUntil.After(c.now) {
+			inst.replica.Tick(c.clock(inst))
+			c.processReady(inst)
 		}
 	}
 	c.checkLeaders()
 }
 
 func (c *cluster) byName(name string) *instance {
-	for _, n := range c.instances {
-		if n.name == name {
-			return n
+	for _, inst := range c.instances {
+		if inst.name == name {
+			return inst
 		}
 	}
 	return nil
@@ -212,31 +212,31 @@
 // lease at the same moment.
 func (c *cluster) checkLeaders() {
 	current := ""
-	for _, n := range c.instances {
-		if !n.running || n.replica.Role() != Leader {
+	for _, inst := range c.instances {
+		if !inst.running || inst.replica.Role() != Leader {
 			continue
 		}
-		if other, known := c.leaders[n.replica.Term()]; known && other != n.name {
-			c.t.Fatalf("seed %d: term %d has leaders %s and %s", c.seed, n.replica.Term(), other, n.name)
+		if other, known := c.leaders[inst.replica.Term()]; known && other != inst.name {
+			c.t.Fatalf("seed %d: term %d has leaders %s and %s", c.seed, inst.replica.Term(), other, inst.name)
 		}
-		c.leaders[n.replica.Term()] = n.name
-		if n.replica.Current(c.clock(n)) {
+		c.leaders[inst.replica.Term()] = inst.name
+		if inst.replica.Current(c.clock(inst)) {
 			if current != "" {
-				c.t.Fatalf("seed %d: %s and %s both show a lease", c.seed, current, n.name)
+				c.t.Fatalf("seed %d: %s and %s both show a lease", c.seed, current, inst.name)
 			}
-			current = n.name
+			current = inst.name
 		}
 	}
 }
 
 func (c *cluster) propose() {
-	for _, n := range c.instances {
-		if !n.running || n.pausedUntil.After(c.now) {
+	for _, inst := range c.instances {
+		if !inst.running || inst.pausedUntil.After(c.now) {
 			continue
 		}
 		c.proposed++
-		if _, err := n.replica.Propose(c.clock(n), fmt.Appendf(nil, "p%d", c.proposed)); err == nil {
-			c.processReady(n)
+		if _, err := inst.replica.Propose(c.clock(inst), fmt.Appendf(nil, "p%d", c.proposed)); err == nil {
+			c.processReady(inst)
 			return
 		}
 	}
@@ -245,18 +245,18 @@
 // toggleVoter lets the leader drop or take back the last instance.
 func (c *cluster) toggleVoter() {
 	last := c.instances[len(c.instances)-1].name
-	for _, n := range c.instances {
-		if !n.running || n.pausedUntil.After(c.now) {
+	for _, inst := range c.instances {
+		if !inst.running || inst.pausedUntil.After(c.now) {
 			continue
 		}
-		voters := slices.Clone(n.replica.Voters())
+		voters := slices.Clone(inst.replica.Voters())
 		if i := slices.Index(voters, last); i >= 0 {
 			voters = slices.Delete(voters, i, i+1)
 		} else {
 			voters = append(voters, last)
 		}
-		if _, err := n.replica.ProposeVoters(c.clock(n), voters); err == nil {
-			c.processReady(n)
+		if _, err := inst.replica.ProposeVoters(c.clock(inst), voters); err == nil {
+			c.processReady(inst)
 			return
 		}
 	}
@@ -306,9 +306,9 @@
 // voters returns the control instances by the longest log.
 func (c *cluster) voters() []string {
 	best := c.instances[0]
-	for _, n := range c.instances {
-		if n.replica.Commit() > best.replica.Commit() {
-			best = n
+	for _, inst := range c.instances {
+		if inst.replica.Commit() > best.replica.Commit() {
+			best = inst
 		}
 	}
 	return best.replica.Voters()
@@ -317,13 +317,13 @@
 // checkConvergence mends everything; a leader must come and all must agree.
 func (c *cluster) checkConvergence() {
 	clear(c.isolated)
-	for _, n := range c.instances {
-		n.pausedUntil = time.Time{}
-		if !n.running || n.disk.Crashed() {
-			n.running = false
-			c.restart(n)
+	for _, inst := range c.instances {
+		inst.pausedUntil = time.Time{}
+		if !inst.running || inst.disk.Crashed() {
+			inst.running = false
+			c.restart(inst)
 		}
-		n.disk.CrashAfter(-1)
+		inst.disk.CrashAfter(-1)
 	}
 	for range 800 {
 		c.step()
@@ -332,12 +332,12 @@
 	for range 100 {
 		c.step()
 	}
-	for _, n := range c.instances {
-		if !slices.Contains(c.voters(), n.name) {
+	for _, inst := range c.instances {
+		if !slices.Contains(c.voters(), inst.name) {
 			continue // it was dropped and hears nothing any more
 		}
-		if !n.running || len(n.applied) != len(c.committed) {
-			c.t.Fatalf("seed %d: at rest %s (up %v) has applied %d of %d", c.seed, n.name, n.running, len(n.applied)-1, len(c.committed)-1)
+		if !inst.running || len(inst.applied) != len(c.committed) {
+			c.t.Fatalf("seed %d: at rest %s (up %v) has applied %d of %d", c.seed, inst.name, inst.running, len(inst.applied)-1, len(c.committed)-1)
 		}
 	}
 }
