--- a/internal/storage/files.go
+++ b/internal/storage/files.go
@@ -1,8 +1,9 @@
 // Package storage keeps a control instance's log and snapshot in one data
-// folder. A batch of the log is one checksummed record, written at once and
-// synced before anything is acknowledged; a snapshot is written aside, synced
-// and then renamed. A torn last record is cut. A damaged older one is an
-// error: what follows it cannot be trusted, and the instance must not vote.
+// folder. Each batch of log entries is one checksummed record, synced before
+// it is acknowledged. A snapshot is written to a temporary file, synced and
+// renamed. An incomplete last record is truncated; damage in an earlier one is
+// an error, since the instance may have lost acknowledged entries and must not
+// vote.
 package storage
 
 import (
@@ -13,8 +14,8 @@
 )
 
 type (
-	// File is an open file of the data folder, by functions so that tests
-	// can lose what was not synced.
+	// File is an open file of the data folder. Its operations are functions so
+	// that tests can simulate disk faults.
 	File struct {
 		Write    func(data []byte) (int, error)
 		Sync     func() error
@@ -22,18 +23,18 @@
 		Close    func() error
 	}
 
-	// Files is the data folder, by functions.
+	// Files provides access to the data folder.
 	Files struct {
-		Read    func(name string) ([]byte, error) // os.ErrNotExist where there is none
-		Append  func(name string) (*File, error)  // opens at the end, made if missing
-		Create  func(name string) (*File, error)  // empty
+		Read    func(name string) ([]byte, error) // os.ErrNotExist if there is no such file
+		Append  func(name string) (*File, error)  // opens for appending, creates if missing
+		Create  func(name string) (*File, error)  // creates or truncates
 		Rename  func(from, to string) error
 		Remove  func(name string) error
 		SyncDir func() error
 	}
 )
 
-// Folder returns the files of a folder on disk; it makes the folder.
+// Folder returns the files of a folder on disk, which it creates if missing.
 func Folder(path string) (Files, error) {
 	const folderMode, fileMode = 0o750, 0o640
 	if err := os.MkdirAll(path, folderMode); err != nil {
--- a/internal/storage/probe_test.go
+++ b/internal/storage/probe_test.go
@@ -27,13 +27,13 @@
 		Expect(err).NotTo(HaveOccurred())
 	})
 
-	ginkgo.It("shows that it takes writes, and leaves nothing behind", func() {
+	ginkgo.It("succeeds on a writable folder and removes its file", func() {
 		Expect(storage.Probe(files)).To(Succeed())
 		_, err := files.Read("probe")
 		Expect(err).To(MatchError(os.ErrNotExist))
 	})
 
-	ginkgo.It("fails while the disk is full, and succeeds once it is not", func() {
+	ginkgo.It("fails while the disk is full and succeeds afterwards", func() {
 		disk.SetFull(true)
 		Expect(fault.KindOf(storage.Probe(files))).To(Equal(fault.DataFolder))
 		disk.SetFull(false)
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -18,15 +18,15 @@
 	nextLogName      = "log.next"
 	snapshotName     = "snapshot"
 	nextSnapshotName = "snapshot.next"
-	recordHeaderSize = 8 // length and checksum of a record
+	recordHeaderSize = 8 // bytes: length and checksum, 4 each
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
 type (
-	// Store is the open log and snapshot. One goroutine uses it. After an
-	// error it is broken for good: the process must not acknowledge anything
-	// that it has not seen synced.
+	// Store is the open log and snapshot. It is not safe for concurrent use.
+	// After a failed write or sync every later one returns the same error, since
+	// the contents of the disk are unknown.
 	Store struct {
 		files   Files
 		log     *File
@@ -34,12 +34,12 @@
 		failure error
 	}
 
-	// Loaded is what the data folder held at the start.
+	// Loaded is the state read from the data folder when it is opened.
 	Loaded struct {
 		Hard     *wire.HardState
-		Snapshot *wire.SnapshotFile // nil where there is none
-		Entries  []*wire.LogEntry   // after the snapshot, without a gap
-		Torn     bool               // an unfinished last record was cut
+		Snapshot *wire.SnapshotFile // nil if there is none
+		Entries  []*wire.LogEntry   // contiguous entries after the snapshot
+		Torn     bool               // an incomplete last record was truncated
 	}
 )
 
@@ -59,7 +59,7 @@
 	}
 	if loaded.Torn {
 		if err := s.log.Truncate(validSize); err != nil {
-			return nil, nil, dataFolderError("cut torn record", err)
+			return nil, nil, dataFolderError("truncate incomplete record", err)
 		}
 	}
 	if err := errors.Join(s.log.Sync(), files.SyncDir()); err != nil {
@@ -86,17 +86,17 @@
 	}
 	payload, rest, ok := decodeRecord(data)
 	if !ok || len(rest) > 0 {
-		return damagedLog("the snapshot's checksum is wrong")
+		return damagedLog("snapshot: checksum mismatch")
 	}
 	s := &wire.SnapshotFile{}
 	if err := proto.Unmarshal(payload, s); err != nil {
-		return damagedLog("the snapshot cannot be read: %s", err)
+		return damagedLog("decode snapshot: %s", err)
 	}
 	loaded.Snapshot = s
 	return nil
 }
 
-// readLog replays the log and returns the size of its good part.
+// readLog replays the log and returns the size in bytes of its valid part.
 func readLog(files Files, loaded *Loaded) (int64, error) {
 	data, err := files.Read(logName)
 	if errors.Is(err, os.ErrNotExist) {
@@ -110,14 +110,14 @@
 		payload, after, ok := decodeRecord(rest)
 		if !ok {
 			if !mayBeTornWrite(rest) {
-				return 0, damagedLog("the log's record at byte %d is damaged and others follow it", len(data)-len(rest))
+				return 0, damagedLog("log record at byte %d is corrupt and is not the last one", len(data)-len(rest))
 			}
 			loaded.Torn = true
 			break
 		}
 		r := &wire.Record{}
 		if err := proto.Unmarshal(payload, r); err != nil {
-			return 0, damagedLog("the log's record at byte %d cannot be read: %s", len(data)-len(rest), err)
+			return 0, damagedLog("decode log record at byte %d: %s", len(data)-len(rest), err)
 		}
 		if err := loaded.replay(r); err != nil {
 			return 0, err
@@ -127,8 +127,9 @@
 	return int64(len(data) - len(rest)), nil
 }
 
-// mayBeTornWrite reports whether a bad record may be an unfinished last write: its
-// length reaches the end of the file or beyond it, or the rest is empty pages.
+// mayBeTornWrite reports whether an invalid record may be an incomplete last
+// write: its length reaches the end of the file or beyond, or only zero bytes
+// remain.
 func mayBeTornWrite(rest []byte) bool {
 	if len(rest) < recordHeaderSize {
 		return true
@@ -157,7 +158,7 @@
 			continue
 		}
 		if want := l.lastIndex() + 1; e.Index != want {
-			return damagedLog("the log continues at index %d, expected %d", e.Index, want)
+			return damagedLog("log entry has index %d, expected %d", e.Index, want)
 		}
 		l.Entries = append(l.Entries, e)
 	}
@@ -180,7 +181,7 @@
 	}
 }
 
-// Append writes a batch and syncs it.
+// Append writes a record to the log and syncs it.
 func (s *Store) Append(r *wire.Record) error {
 	if s.failure != nil {
 		return s.failure
@@ -199,19 +200,19 @@
 	return nil
 }
 
-// Size returns the size of the log file in bytes.
+// Size returns the bytes of the log file that were read by Open or written by
+// Append; SaveSnapshot resets it to 0.
 func (s *Store) Size() int64 { return s.size }
 
-// fail makes the store refuse everything: after a failed write or sync it is
-// not known what the disk holds.
+// fail makes all later writes return the error.
 func (s *Store) fail(operation string, err error) error {
 	s.failure = dataFolderError(operation, err)
 	return s.failure
 }
 
-// SaveSnapshot replaces the snapshot and begins a new log with what follows
-// it. The old log stays until the new one is whole; replay skips entries that
-// the snapshot covers.
+// SaveSnapshot replaces the snapshot, and then the log by one with only the
+// entries after it. A crash in between leaves the old log, of which replay
+// skips the entries that the snapshot covers.
 func (s *Store) SaveSnapshot(snapshot *wire.SnapshotFile, hard *wire.HardState, after []*wire.LogEntry) error {
 	if s.failure != nil {
 		return s.failure
@@ -220,7 +221,7 @@
 		return s.fail("write snapshot", err)
 	}
 	if err := replaceFile(s.files, nextLogName, logName, &wire.Record{Hard: hard, Entries: after, Cuts: true, CutAfter: snapshot.Index}); err != nil {
-		return s.fail("begin log", err)
+		return s.fail("write new log", err)
 	}
 	old := s.log
 	log, err := s.files.Append(logName)
@@ -232,8 +233,8 @@
 	return old.Close()
 }
 
-// replaceFile writes a message to the file next, which then takes the place of
-// name, and returns once that lasts.
+// replaceFile writes a message to the temporary file next, syncs it and renames
+// it to name. It returns once the rename is durable.
 func replaceFile(files Files, next, name string, m proto.Message) error {
 	data, err := encodeRecord(m)
 	if err != nil {
@@ -250,8 +251,8 @@
 	return errors.Join(files.Rename(next, name), files.SyncDir())
 }
 
-// SaveMessage replaces a file of the folder by one checksummed message, and
-// returns once it lasts; an error is of kind DataFolder.
+// SaveMessage atomically replaces a file of the folder by one checksummed
+// message, and returns once it is durable. Errors are of kind DataFolder.
 func SaveMessage(files Files, name string, m proto.Message) error {
 	if err := replaceFile(files, name+".next", name, m); err != nil {
 		return dataFolderError("write "+name, err)
@@ -259,8 +260,9 @@
 	return nil
 }
 
-// LoadMessage reads what SaveMessage wrote; false is that there is no file. An
-// error is of kind DataFolder, or DamagedLog where the file cannot be decoded.
+// LoadMessage reads a file written by SaveMessage, and returns false if there
+// is none. Errors are of kind DataFolder, or DamagedLog if the file cannot be
+// decoded.
 func LoadMessage(files Files, name string, m proto.Message) (bool, error) {
 	data, err := files.Read(name)
 	if errors.Is(err, os.ErrNotExist) {
@@ -271,10 +273,10 @@
 	}
 	payload, rest, ok := decodeRecord(data)
 	if !ok || len(rest) > 0 {
-		return false, damagedLog("the checksum of %s is wrong", name)
+		return false, damagedLog("%s: checksum mismatch", name)
 	}
 	if err := proto.Unmarshal(payload, m); err != nil {
-		return false, damagedLog("%s cannot be read: %s", name, err)
+		return false, damagedLog("decode %s: %s", name, err)
 	}
 	return true, nil
 }
@@ -282,6 +284,7 @@
 // Close closes the log.
 func (s *Store) Close() error { return s.log.Close() }
 
+// encodeRecord marshals a message and prepends its length and checksum.
 func encodeRecord(m proto.Message) ([]byte, error) {
 	payload, err := proto.Marshal(m)
 	if err != nil {
@@ -293,7 +296,8 @@
 	return append(data, payload...), nil
 }
 
-// decodeRecord takes the first record off the data; false where it is not whole.
+// decodeRecord splits off the payload of the first record. It returns false if
+// the record is incomplete or its checksum does not match.
 func decodeRecord(data []byte) (payload, rest []byte, ok bool) {
 	if len(data) < recordHeaderSize {
 		return nil, nil, false
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -29,7 +29,7 @@
 	g.Expect(s.Append(record(1, 3))).To(gomega.Succeed())
 	m.CrashAfter(1)
 	g.Expect(s.Append(record(4, 2))).NotTo(gomega.Succeed())
-	g.Expect(s.Append(record(4, 2))).NotTo(gomega.Succeed(), "a store that failed stays failed")
+	g.Expect(s.Append(record(4, 2))).NotTo(gomega.Succeed(), "a store does not recover from an error")
 	m.Restart(7)
 	s, loaded, err := storage.Open(m.Files())
 	g.Expect(err).NotTo(gomega.HaveOccurred())
@@ -70,8 +70,8 @@
 	g.Expect(loaded.Entries[2].Index).To(gomega.Equal(uint64(6)))
 }
 
-// Whatever the moment of a crash: what Append and SaveSnapshot have
-// acknowledged is there after it, and nothing that was never written.
+// A crash at any write or sync must neither lose acknowledged entries nor
+// produce entries that were never written.
 func TestCrashAtEveryStep(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		m := storagetest.NewMemory()
@@ -116,6 +116,7 @@
 	})
 }
 
+// FuzzOpen guards against panics of Open on arbitrary log files.
 func FuzzOpen(f *testing.F) {
 	m := storagetest.NewMemory()
 	s, _, err := storage.Open(m.Files())
@@ -131,7 +132,7 @@
 		m.Put("log", data)
 		_, loaded, err := storage.Open(m.Files())
 		if err == nil && loaded == nil {
-			t.Fatal("neither an answer nor an error")
+			t.Fatal("Open returned neither a state nor an error")
 		}
 	})
 }
--- a/internal/storage/storagetest/failing.go
+++ b/internal/storage/storagetest/failing.go
@@ -11,36 +11,36 @@
 // ErrFull is returned by every write while the disk is full.
 var ErrFull = errors.New("no space left")
 
-// Failing is a data folder whose disk can be made full, slow, or made to stand
-// still; several goroutines may use it.
+// Failing is a data folder whose disk can be made full, slow or stalled. It is
+// safe for concurrent use.
 type Failing struct {
 	open func() (storage.Files, error)
 
 	mu      sync.Mutex
 	full    bool
 	delay   time.Duration // of each write and sync
-	resumed chan struct{} // closed once the disk goes on, nil while it does
+	resumed chan struct{} // closed when a stall ends, nil if not stalled
 }
 
-// NewFailing returns a folder that does what the opened one does, until it is
-// told to fail.
+// NewFailing returns a folder that passes operations on to the one opened by
+// open, until a fault is set.
 func NewFailing(open func() (storage.Files, error)) *Failing { return &Failing{open: open} }
 
-// SetFull makes the disk take no more bytes, or take them again.
+// SetFull makes every write fail with ErrFull, or succeed again.
 func (f *Failing) SetFull(full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.full = full
 }
 
-// SetDelay makes each write and each sync take so much longer.
+// SetDelay delays each write and each sync.
 func (f *Failing) SetDelay(delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = delay
 }
 
-// Stall makes every write and sync wait until goOn is called.
+// Stall blocks every write and sync until resume is called.
 func (f *Failing) Stall() (resume func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -67,6 +67,7 @@
 }
 
 // wrap makes an open wrap fail as the disk does.
+// wrap applies the faults of the disk to an open file.
 func (f *Failing) wrap(file *storage.File, err error) (*storage.File, error) {
 	if err != nil {
 		return nil, err
@@ -79,13 +80,14 @@
 		return write(data)
 	}
 	file.Sync = func() error {
-		_ = f.awaitDisk() // a full disk still syncs what it has
+		_ = f.awaitDisk() // a full disk can still sync
 		return flush()
 	}
 	return file, nil
 }
 
-// awaitDisk waits as long as the disk takes, and then says whether it is full.
+// awaitDisk waits while the disk is stalled, then for its delay, and returns
+// ErrFull if it is full.
 func (f *Failing) awaitDisk() error {
 	f.mu.Lock()
 	resumed, delay := f.resumed, f.delay
--- a/internal/storage/storagetest/memory.go
+++ b/internal/storage/storagetest/memory.go
@@ -1,4 +1,4 @@
-// Package storagetest has a data folder in memory for tests.
+// Package storagetest provides data folders with simulated disk faults.
 package storagetest
 
 import (
@@ -9,16 +9,16 @@
 	"oxbowsaddle/internal/storage"
 )
 
-// Memory is a data folder in memory that forgets, at a crash, what was not
-// synced. Tests use it to crash at every write and sync.
+// Memory is a data folder in memory that loses unsynced data in a simulated
+// crash.
 type Memory struct {
-	synced    map[string][]byte // what a crash leaves
-	current   map[string][]byte // what a reader sees
-	stepsLeft int               // writes and syncs left before the crash; below 0 is none
+	synced    map[string][]byte // contents that survive a crash
+	current   map[string][]byte // contents seen by readers
+	stepsLeft int               // writes and syncs until the crash, negative for no crash
 	crashed   bool
 }
 
-// ErrCrashed is returned by everything after the crash.
+// ErrCrashed is returned by the write or sync that crashes and those after it.
 var ErrCrashed = errors.New("crashed")
 
 // NewMemory returns an empty folder.
@@ -26,14 +26,15 @@
 	return &Memory{synced: map[string][]byte{}, current: map[string][]byte{}, stepsLeft: -1}
 }
 
-// CrashAfter makes the folder crash after so many more writes and syncs.
+// CrashAfter makes the folder crash after the given number of writes and
+// syncs; a negative number cancels the crash.
 func (m *Memory) CrashAfter(steps int) { m.stepsLeft = steps }
 
-// Crashed reports whether the crash has come.
+// Crashed reports whether the folder has crashed.
 func (m *Memory) Crashed() bool { return m.crashed }
 
-// Restart makes the folder usable again with what was synced. Of what was
-// appended and not synced, keep bytes are left over as a torn write.
+// Restart makes the folder usable again with its synced contents. Up to keep
+// bytes of unsynced appended data survive as a torn write.
 func (m *Memory) Restart(keep int) {
 	for name, data := range m.current {
 		base := m.synced[name]
@@ -60,15 +61,16 @@
 	m.synced[name] = append([]byte(nil), m.current[name]...)
 }
 
-// Put sets a file as if it had been written and synced.
+// Put sets the synced contents of a file.
 func (m *Memory) Put(name string, data []byte) {
 	m.current[name] = data
 	m.synced[name] = append([]byte(nil), data...)
 }
 
-// Bytes returns what a reader sees of a file.
+// Bytes returns the current contents of a file.
 func (m *Memory) Bytes(name string) []byte { return m.current[name] }
 
+// countStep counts one write or sync, and crashes when none are left.
 func (m *Memory) countStep() error {
 	if m.crashed {
 		return ErrCrashed
@@ -83,7 +85,7 @@
 	return nil
 }
 
-// Files returns the folder by functions.
+// Files returns the operations of the folder.
 func (m *Memory) Files() storage.Files {
 	return storage.Files{
 		Read: func(name string) ([]byte, error) {
@@ -109,7 +111,7 @@
 			}
 			m.current[to] = m.current[from]
 			delete(m.current, from)
-			// A rename lasts whole or not at all; a crash before SyncDir keeps the old file.
+			// The rename becomes durable with SyncDir; a crash before keeps the old file.
 			return nil
 		},
 		Remove: func(name string) error {
