--- a/internal/replica/append.go
+++ b/internal/replica/append.go
@@ -7,8 +7,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// broadcast sends an append to every follower, empty or not; its stamp is
-// what the leader's lease counts from.
+// broadcast sends an append, possibly without entries, to every follower. The
+// leader's lease is measured from its timestamp.
 func (r *Replica) broadcast(now time.Time) {
 	r.lastBroadcast = now
 	for _, name := range r.peers() {
@@ -16,7 +16,8 @@
 	}
 }
 
-// sendNewEntries sends entries that were appended since the last broadcast.
+// sendNewEntries sends appended entries to each follower that has no batch
+// in flight, or whose last batch is older than a heartbeat.
 func (r *Replica) sendNewEntries(now time.Time) {
 	for _, name := range r.peers() {
 		f := r.followers[name]
@@ -26,6 +27,8 @@
 	}
 }
 
+// sendAppend sends a follower its next batch of entries, or a snapshot where
+// these entries have been compacted.
 func (r *Replica) sendAppend(now time.Time, name string) {
 	f := r.followers[name]
 	if f.next <= r.log.snapIndex {
@@ -57,6 +60,8 @@
 	})
 }
 
+// acceptLeader follows the sender and renews the promise not to vote for
+// another candidate for one lease.
 func (r *Replica) acceptLeader(now time.Time, m *wire.LogMessage) {
 	r.becomeFollower(now, m.Term, m.From)
 	r.resetElectionDeadline(now)
@@ -67,7 +72,7 @@
 	r.acceptLeader(now, m)
 	reply := &wire.LogMessage{Kind: wire.LogMessage_APPEND_REPLY, Term: r.hardState.Term, To: m.From, Stamp: m.Stamp}
 	if m.Index > r.log.lastIndex() || m.Index >= r.log.snapIndex && r.log.term(m.Index) != m.LogTerm {
-		reply.Hint = min(m.Index, r.log.lastIndex()+1) // where the leader should go on
+		reply.Hint = min(m.Index, r.log.lastIndex()+1) // next index the leader should try
 		r.send(reply)
 		return
 	}
@@ -80,8 +85,9 @@
 	r.send(reply)
 }
 
-// storeEntry stores an entry of the leader; one of another term at the same index,
-// and all after it, were never committed and go.
+// storeEntry appends an entry from the leader. A conflicting entry of another
+// term at the same index, and all entries after it, are uncommitted and are
+// removed.
 func (r *Replica) storeEntry(e *wire.LogEntry) {
 	if e.Index <= r.log.snapIndex {
 		return
@@ -120,16 +126,16 @@
 	}
 }
 
-// acknowledgeOwnLog notes that the leader's own log is on synced disk; the caller
-// persists it before it sends or applies anything of the same Ready.
+// acknowledgeOwnLog counts the leader's own log as replicated: the caller
+// syncs it before it sends or applies anything of the same Ready.
 func (r *Replica) acknowledgeOwnLog() {
 	if slices.Contains(r.log.voters(), r.config.Self) {
 		r.followers[r.config.Self] = &progress{match: r.log.lastIndex(), next: r.log.lastIndex() + 1}
 	}
 }
 
-// advanceCommit commits what a majority holds, if it is of the own term: an
-// entry of an older term could still be replaced.
+// advanceCommit commits the highest index that a majority holds, if its entry
+// is of the current term: an entry of an older term could still be replaced.
 func (r *Replica) advanceCommit() {
 	voters := r.log.voters()
 	matches := make([]uint64, 0, len(voters))
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -20,7 +20,7 @@
 )
 
 // instance is one control instance with a disk that may crash and a clock that
-// may be wrong within the stated bound.
+// drifts within the configured bound.
 type instance struct {
 	name        string
 	disk        *storagetest.Memory
@@ -32,7 +32,8 @@
 	applied     []string // commands by index, from snapshot and log
 }
 
-// cluster drives control instances with lost, late and doubled messages.
+// cluster simulates control instances whose messages are lost, delayed and
+// duplicated.
 type cluster struct {
 	t         *testing.T
 	seed      uint64
@@ -41,9 +42,9 @@
 	instances []*instance
 	pending   []delivery
 	isolated  map[string]bool
-	committed []string          // the one history, by index
+	committed []string          // committed commands by index
 	leaders   map[uint64]string // by term
-	acked     map[uint64]string // commands that were acknowledged as committed
+	acked     map[uint64]string
 	proposed  int
 }
 
@@ -74,8 +75,8 @@
 	return names
 }
 
-// clock is a node's own time: it runs up to 5% wrong, which over one lease is
-// within the drift that the log is configured for.
+// clock returns the local time of an instance. It drifts by up to 5%, which
+// over one lease is within the configured drift.
 func (c *cluster) clock(inst *instance) time.Time {
 	return time.Unix(0, int64(float64(c.now.UnixNano()-5e12)*inst.clockRate)+5e12)
 }
@@ -118,7 +119,8 @@
 	return applied
 }
 
-// processReady does what a Ready asks, in its order; a crash of the disk ends it.
+// processReady performs the work of a Ready; a failing disk crashes the
+// instance.
 func (c *cluster) processReady(inst *instance) {
 	ready := inst.replica.Ready(c.clock(inst))
 	if ready.Snapshot != nil {
@@ -148,7 +150,7 @@
 
 func (c *cluster) crash(inst *instance) { inst.running = false }
 
-// apply asserts that every instance applies the same history.
+// apply asserts that all instances apply the same commands in the same order.
 func (c *cluster) apply(inst *instance, e *wire.LogEntry) {
 	if e.Index != uint64(len(inst.applied)) {
 		c.t.Fatalf("seed %d: %s applies index %d after %d", c.seed, inst.name, e.Index, len(inst.applied)-1)
@@ -208,8 +210,8 @@
 	return nil
 }
 
-// checkLeaders asserts one leader a term, and never two that both can show a
-// lease at the same moment.
+// checkLeaders asserts that each term has one leader, and that no two leaders
+// hold a valid lease at the same time.
 func (c *cluster) checkLeaders() {
 	current := ""
 	for _, inst := range c.instances {
@@ -222,7 +224,7 @@
 		c.leaders[inst.replica.Term()] = inst.name
 		if inst.replica.Current(c.clock(inst)) {
 			if current != "" {
-				c.t.Fatalf("seed %d: %s and %s both show a lease", c.seed, current, inst.name)
+				c.t.Fatalf("seed %d: %s and %s both hold a valid lease", c.seed, current, inst.name)
 			}
 			current = inst.name
 		}
@@ -242,7 +244,8 @@
 	}
 }
 
-// toggleVoter lets the leader drop or take back the last instance.
+// toggleVoter has the leader remove the last instance from the voters, or add
+// it back.
 func (c *cluster) toggleVoter() {
 	last := c.instances[len(c.instances)-1].name
 	for _, inst := range c.instances {
@@ -303,7 +306,8 @@
 	}
 }
 
-// voters returns the control instances by the longest log.
+// voters returns the voters according to the instance with the highest commit
+// index.
 func (c *cluster) voters() []string {
 	best := c.instances[0]
 	for _, inst := range c.instances {
@@ -314,7 +318,8 @@
 	return best.replica.Voters()
 }
 
-// checkConvergence mends everything; a leader must come and all must agree.
+// checkConvergence ends all faults and asserts that every voter then applies
+// all committed commands.
 func (c *cluster) checkConvergence() {
 	clear(c.isolated)
 	for _, inst := range c.instances {
@@ -334,10 +339,10 @@
 	}
 	for _, inst := range c.instances {
 		if !slices.Contains(c.voters(), inst.name) {
-			continue // it was dropped and hears nothing any more
+			continue // removed voters receive no further entries
 		}
 		if !inst.running || len(inst.applied) != len(c.committed) {
-			c.t.Fatalf("seed %d: at rest %s (up %v) has applied %d of %d", c.seed, inst.name, inst.running, len(inst.applied)-1, len(c.committed)-1)
+			c.t.Fatalf("seed %d: after recovery %s (running %v) has applied %d of %d", c.seed, inst.name, inst.running, len(inst.applied)-1, len(c.committed)-1)
 		}
 	}
 }
--- a/internal/replica/election.go
+++ b/internal/replica/election.go
@@ -7,8 +7,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// startElection asks for votes; first by a pre-vote, which changes nothing at
-// the others, so that an instance that was cut off does not disturb them.
+// startElection requests votes. A pre-vote comes first: it changes no state on
+// the other voters, so that an instance returning from a partition does not
+// raise their term.
 func (r *Replica) startElection(now time.Time, preVote bool) {
 	r.role, r.leader, r.preVote = Candidate, "", preVote
 	r.votes = map[string]bool{r.config.Self: true}
@@ -43,13 +44,14 @@
 	r.becomeLeader(now)
 }
 
-// becomeLeader begins a term: an entry of the own term must be committed before
-// anything is served, since only then all earlier ones are known to be.
+// becomeLeader starts leading the current term. It appends an entry, since
+// earlier entries are known to be committed only once one of the leader's own
+// term is.
 func (r *Replica) becomeLeader(now time.Time) {
 	r.role, r.leader = Leader, r.config.Self
 	r.followers = map[string]*progress{}
-	// It names the control instances, so that from the first term on the log
-	// says who they are, whatever the settings are changed to.
+	// The entry lists the voters, so that the log rather than the settings
+	// defines them from the first term on.
 	r.termFirstIndex = r.append(&wire.LogEntry{Voters: r.log.voters()})
 	r.broadcast(now)
 }
@@ -59,7 +61,8 @@
 	r.hardStateChanged = true
 }
 
-// becomeFollower steps down into a term.
+// becomeFollower follows a leader, "" where it is unknown, and adopts the term
+// if it is higher.
 func (r *Replica) becomeFollower(now time.Time, term uint64, leader string) {
 	if term > r.hardState.Term {
 		r.setHardState(term, "")
@@ -70,7 +73,7 @@
 	r.role, r.leader = Follower, leader
 }
 
-// Step takes a message of another control instance.
+// Step handles a message from another control instance.
 func (r *Replica) Step(now time.Time, m *wire.LogMessage) {
 	switch m.Kind {
 	case wire.LogMessage_PRE_VOTE:
@@ -105,7 +108,7 @@
 	}
 }
 
-// rejectStaleTerm tells a sender of an old term about the present one.
+// rejectStaleTerm replies to a leader of an older term with the current one.
 func (r *Replica) rejectStaleTerm(m *wire.LogMessage) {
 	if m.Kind == wire.LogMessage_APPEND || m.Kind == wire.LogMessage_SNAPSHOT {
 		r.send(&wire.LogMessage{Kind: wire.LogMessage_APPEND_REPLY, Term: r.hardState.Term, To: m.From})
@@ -116,7 +119,7 @@
 	granted := m.Term > r.hardState.Term && r.log.upToDate(m.Index, m.LogTerm) && r.mayVote(now)
 	term := m.Term
 	if !granted {
-		term = r.hardState.Term // so that one that was away learns the term
+		term = r.hardState.Term // lets a candidate with an older term catch up
 	}
 	r.send(&wire.LogMessage{Kind: wire.LogMessage_PRE_VOTE_REPLY, Term: term, To: m.From, Granted: granted})
 }
@@ -131,13 +134,13 @@
 	}
 }
 
-// mayVote reports whether no leader holds this instance's promise.
+// mayVote reports whether this instance is not bound by a leader's lease.
 func (r *Replica) mayVote(now time.Time) bool {
 	return r.role != Leader && !now.Before(r.noVoteBefore) || r.role == Leader && !now.Before(r.LeaseUntil())
 }
 
-// onVote grants a vote at most once a term, to a log that is new enough, and
-// not while a leader holds this instance's promise.
+// onVote grants at most one vote per term, only to a candidate whose log is up
+// to date, and not during a leader's lease.
 func (r *Replica) onVote(now time.Time, m *wire.LogMessage) {
 	if !r.mayVote(now) {
 		return
@@ -158,7 +161,8 @@
 	r.messages = append(r.messages, m)
 }
 
-// updateFollowers makes progress of everybody whom a leader sends the log.
+// updateFollowers tracks progress for every peer of the leader and drops it
+// for former peers.
 func (r *Replica) updateFollowers() {
 	peers := r.peers()
 	for _, name := range peers {
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -5,7 +5,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// entryLog is the part of the log after the last snapshot.
+// entryLog holds the last snapshot and the log entries after it.
 type entryLog struct {
 	snapIndex, snapTerm uint64
 	snapState           []byte
@@ -23,7 +23,7 @@
 
 func (l *entryLog) lastIndex() uint64 { return l.snapIndex + uint64(len(l.entries)) }
 
-// term returns the term of an entry, or 0 where it is not known.
+// term returns the term of the entry at an index, or 0 if it is unknown.
 func (l *entryLog) term(index uint64) uint64 {
 	if index == l.snapIndex {
 		return l.snapTerm
@@ -34,7 +34,7 @@
 	return l.entries[index-l.snapIndex-1].Term
 }
 
-// between returns the entries after one index up to another.
+// between returns the entries after index after, up to and including upTo.
 func (l *entryLog) between(after, upTo uint64) []*wire.LogEntry {
 	if after < l.snapIndex || upTo <= after {
 		return nil
@@ -45,7 +45,7 @@
 func (l *entryLog) append(e *wire.LogEntry) { l.entries = append(l.entries, e) }
 
 func (l *entryLog) truncateAfter(index uint64) {
-	// The slice is copied: parts of it may have been handed out.
+	// Copied, since callers may hold slices of the old array.
 	l.entries = append([]*wire.LogEntry(nil), l.entries[:index-l.snapIndex]...)
 }
 
@@ -59,8 +59,8 @@
 	l.snapIndex, l.snapTerm, l.snapState, l.snapVoters = s.Index, s.Term, s.State, s.Voters
 }
 
-// voters returns the control instances by the last entry that names them; it
-// counts from when it is appended, committed or not.
+// voters returns the voters listed by the last entry that changes them. Such an
+// entry takes effect when appended, committed or not.
 func (l *entryLog) voters() []string { return l.votersAt(l.lastIndex()) }
 
 func (l *entryLog) votersAt(index uint64) []string {
@@ -72,6 +72,7 @@
 	return l.snapVoters
 }
 
+// votersIndex returns the index of the last entry that changes the voters.
 func (l *entryLog) votersIndex() uint64 {
 	for i := l.lastIndex(); i > l.snapIndex; i-- {
 		if len(l.entries[i-l.snapIndex-1].Voters) > 0 {
@@ -81,7 +82,8 @@
 	return l.snapIndex
 }
 
-// upToDate reports whether a log that ends so is at least as new as this one.
+// upToDate reports whether a log whose last entry has the given index and term
+// is at least as up to date as this one.
 func (l *entryLog) upToDate(index, term uint64) bool {
 	lastTerm := l.term(l.lastIndex())
 	return term > lastTerm || term == lastTerm && index >= l.lastIndex()
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -1,9 +1,8 @@
-// Package replica is the replicated log of the control instances: terms,
-// votes, a leader with a lease that it can show, and commit by a majority. It
-// is a core without input or output: the caller feeds in messages, proposals
-// and the time, and takes out what to persist, then what to send, then what
-// to apply, in that order. The rules are Raft's (Ongaro and Ousterhout, 2014),
-// with pre-votes, leader leases, and changes of one control instance at a time.
+// Package replica implements the replicated log of the control instances. It
+// is Raft (Ongaro and Ousterhout, 2014) with pre-votes, leader leases and
+// single-voter membership changes. The package does no I/O: the caller passes
+// in messages, proposals and the time, and gets back what to persist, send and
+// apply, in that order.
 package replica
 
 import (
@@ -24,43 +23,44 @@
 )
 
 const (
-	// maxBatchEntries bounds the entries of one message, maxBatchBytes their size.
+	// maxBatchEntries and maxBatchBytes limit the entries of one message.
 	maxBatchEntries = 256
 	maxBatchBytes   = 512 << 10
 )
 
 type (
-	// Role is what a control instance is at the moment.
+	// Role is the Raft role of a control instance.
 	Role int
 
-	// Config sets the times of the log.
+	// Config identifies an instance and sets the timing of the log.
 	Config struct {
 		Self      string
-		Voters    []string      // at the first start; later the log says
-		Heartbeat time.Duration // between appends of a leader
-		Lease     time.Duration // followers vote for nobody else so long after an append
-		Drift     time.Duration // the most that clocks differ over one lease
+		Voters    []string      // initial voters, until the log lists them
+		Heartbeat time.Duration // interval between appends of a leader
+		Lease     time.Duration // a follower votes for no other candidate this long after an append
+		Drift     time.Duration // maximum clock drift over one lease
 		Rand      *rand.Rand
 	}
 
-	// Ready is what the caller must do, in this order: persist Record, save
-	// Snapshot, send Messages, apply Committed.
+	// Ready lists the work of the caller, in this order: save Snapshot, persist
+	// Record, send Messages, apply Committed.
 	Ready struct {
-		Record    *wire.Record // nil where there is nothing to persist
+		Record    *wire.Record // nil if there is nothing to persist
 		Snapshot  *wire.SnapshotFile
-		Hard      *wire.HardState // to be saved with Snapshot, whose log begins anew
+		Hard      *wire.HardState // saved with Snapshot, which replaces the log file
 		Messages  []*wire.LogMessage
 		Committed []*wire.LogEntry
 	}
 
-	// progress is what a leader knows of a follower.
+	// progress is the replication state of a follower, kept by the leader.
 	progress struct {
 		next, match   uint64
-		lastAcked     int64 // stamp of the last append that was answered
-		inFlightSince time.Time
+		lastAcked     int64     // timestamp of the last acknowledged append, in Unix nanoseconds
+		inFlightSince time.Time // when the unanswered batch was sent, zero if there is none
 	}
 
-	// Replica is the core of one control instance. One goroutine uses it.
+	// Replica is the Raft state of one control instance. It is not safe for
+	// concurrent use.
 	Replica struct {
 		config    Config
 		role      Role
@@ -68,17 +68,17 @@
 		leader    string
 		log       entryLog
 		commit    uint64
-		delivered uint64 // last index handed out to be applied
+		delivered uint64 // last index returned in Ready.Committed
 
 		electionDeadline time.Time
-		noVoteBefore     time.Time // until when no vote is given
+		noVoteBefore     time.Time // a leader's lease forbids votes before this
 		votes            map[string]bool
 		preVote          bool
 
 		followers      map[string]*progress
-		learners       []string // are sent the log, but do not count
+		learners       []string // receive the log but do not vote
 		lastBroadcast  time.Time
-		termFirstIndex uint64 // of the leader's own term
+		termFirstIndex uint64 // first index of the leader's term
 
 		unsaved          []*wire.LogEntry
 		truncateAfter    uint64
@@ -92,8 +92,8 @@
 // String returns the role's name.
 func (r Role) String() string { return [...]string{"follower", "candidate", "leader"}[r] }
 
-// New returns a replica with what the disk held. It forgot what it promised
-// before it stopped, so it votes for nobody for one lease.
+// New returns a replica with the state loaded from disk. The promise to a
+// leader is not stored, so after a restart it grants no vote for one lease.
 func New(c Config, now time.Time, loaded *storage.Loaded) *Replica {
 	r := &Replica{config: c, hardState: loaded.Hard, noVoteBefore: now.Add(c.Lease)}
 	r.log = newEntryLog(c.Voters, loaded)
@@ -103,26 +103,26 @@
 	return r
 }
 
-// Role returns what the instance is.
+// Role returns the current role.
 func (r *Replica) Role() Role { return r.role }
 
 // Term returns the current term.
 func (r *Replica) Term() uint64 { return r.hardState.Term }
 
-// Leader returns the leader of the current term, or "".
+// Leader returns the known leader of the current term, or "".
 func (r *Replica) Leader() string { return r.leader }
 
-// Commit returns the index that a majority has on synced disk.
+// Commit returns the highest index known to be committed.
 func (r *Replica) Commit() uint64 { return r.commit }
 
 // LastIndex returns the index of the last entry of the log.
 func (r *Replica) LastIndex() uint64 { return r.log.lastIndex() }
 
-// Voters returns the control instances by the last entry that names them.
+// Voters returns the voters according to the last log entry that changes them.
 func (r *Replica) Voters() []string { return r.log.voters() }
 
-// SetLearners names the instances that a leader sends the log without their
-// counting for anything, so that one of them can become a voter at once.
+// SetLearners sets the non-voting instances that the leader replicates the log
+// to, so that one of them can become a voter without catching up first.
 func (r *Replica) SetLearners(names []string) {
 	r.learners = names
 	if r.role == Leader {
@@ -130,8 +130,8 @@
 	}
 }
 
-// Match returns up to which index an instance is known to hold the leader's
-// log, 0 where that is not known.
+// Match returns the highest index that an instance is known to have
+// replicated, or 0 if this is unknown.
 func (r *Replica) Match(name string) uint64 {
 	if f := r.followers[name]; r.role == Leader && f != nil {
 		return f.match
@@ -139,14 +139,14 @@
 	return 0
 }
 
-// Confirmed reports whether what is committed here includes all that was
-// committed when the leader of the present term was elected: the last
-// committed entry is of this term.
+// Confirmed reports whether the local commit index covers everything that was
+// committed when the current leader was elected, that is, whether the last
+// committed entry is of the current term.
 func (r *Replica) Confirmed() bool {
 	return r.leader != "" && r.hardState.Term > 0 && r.log.term(r.commit) == r.hardState.Term
 }
 
-// peers returns everybody that a leader sends the log.
+// peers returns the other voters and the learners.
 func (r *Replica) peers() []string {
 	voters := r.log.voters()
 	peers := make([]string, 0, len(voters)+len(r.learners))
@@ -164,13 +164,14 @@
 }
 
 // Current reports whether this instance is the leader, has committed an entry
-// of its own term, and can show a lease: a majority has promised to vote for
-// nobody else until after now.
+// of its own term, and holds a valid lease: a majority votes for no other
+// candidate until after now.
 func (r *Replica) Current(now time.Time) bool {
 	return r.role == Leader && r.commit >= r.termFirstIndex && now.Before(r.LeaseUntil())
 }
 
-// LeaseUntil returns until when a majority's promises hold.
+// LeaseUntil returns when the leader's lease expires, or the zero time if this
+// instance does not lead.
 func (r *Replica) LeaseUntil() time.Time {
 	if r.role != Leader {
 		return time.Time{}
@@ -192,7 +193,8 @@
 
 func majority(n int) int { return n/2 + 1 }
 
-// Propose appends a command; only a leader that can show its lease takes one.
+// Propose appends a command and returns its index. It fails with NotCurrent
+// unless this instance leads with a valid lease.
 func (r *Replica) Propose(now time.Time, command []byte) (uint64, error) {
 	if !r.Current(now) {
 		return 0, fault.New(fault.NotCurrent, "%s is not the current leader", r.config.Self)
@@ -200,21 +202,22 @@
 	return r.append(&wire.LogEntry{Command: command}), nil
 }
 
-// ProposeVoters changes the control instances by one, added or removed. It is
-// refused while an earlier change is not committed.
+// ProposeVoters adds or removes one voter. It fails while an earlier change is
+// not committed.
 func (r *Replica) ProposeVoters(now time.Time, voters []string) (uint64, error) {
 	if !r.Current(now) {
 		return 0, fault.New(fault.NotCurrent, "%s is not the current leader", r.config.Self)
 	}
 	if r.log.votersIndex() > r.commit {
-		return 0, fault.New(fault.Conflict, "the last change of control instances is not committed yet")
+		return 0, fault.New(fault.Conflict, "the previous change of voters is not committed yet")
 	}
 	if countDifferences(r.log.voters(), voters) != 1 || len(voters) == 0 {
-		return 0, fault.New(fault.InvalidChange, "control instances change by one at a time: %v to %v", r.log.voters(), voters)
+		return 0, fault.New(fault.InvalidChange, "voters must change by exactly one instance: %v to %v", r.log.voters(), voters)
 	}
 	return r.append(&wire.LogEntry{Voters: voters}), nil
 }
 
+// countDifferences counts the names that are in only one of the two lists.
 func countDifferences(a, b []string) int {
 	n := 0
 	for _, name := range a {
@@ -238,7 +241,7 @@
 	return e.Index
 }
 
-// Tick does what is due: an election or the leader's next append.
+// Tick starts an election or sends the leader's heartbeat, if it is due.
 func (r *Replica) Tick(now time.Time) {
 	switch {
 	case r.role == Leader && now.Sub(r.lastBroadcast) >= r.config.Heartbeat:
@@ -253,8 +256,8 @@
 	r.electionDeadline = now.Add(r.config.Lease + r.config.Heartbeat + time.Duration(r.config.Rand.Int64N(maxJitter)))
 }
 
-// Ready returns what is to be done and assumes that it is done: the caller
-// must persist, send and apply before it calls anything else.
+// Ready returns the pending work and considers it done: the caller must
+// complete it before calling any other method.
 func (r *Replica) Ready(now time.Time) Ready {
 	if r.role == Leader {
 		r.sendNewEntries(now)
@@ -266,7 +269,6 @@
 	}
 	r.unsaved, r.truncates, r.hardStateChanged, r.pendingSnapshot = nil, false, false, nil
 	if r.role == Leader {
-		// What is persisted now counts as this instance's own acknowledgement.
 		r.acknowledgeOwnLog()
 		r.advanceCommit()
 		r.stepDownIfRemoved(now)
@@ -277,23 +279,24 @@
 	return ready
 }
 
-// stepDownIfRemoved steps down once a change that drops this instance is committed.
+// stepDownIfRemoved steps down once the removal of this instance from the
+// voters is committed.
 func (r *Replica) stepDownIfRemoved(now time.Time) {
 	if r.commit >= r.log.votersIndex() && !slices.Contains(r.log.voters(), r.config.Self) {
 		r.becomeFollower(now, r.hardState.Term, "")
 	}
 }
 
-// Compact drops the log up to an index that a saved snapshot covers, and
-// returns what the snapshot file must name beside the state.
+// Compact discards the log up to an index and returns the snapshot that
+// replaces it, with the hard state and the remaining entries to save beside it.
 func (r *Replica) Compact(index uint64, state []byte) (*wire.SnapshotFile, *wire.HardState, []*wire.LogEntry) {
 	file := &wire.SnapshotFile{Index: index, Term: r.log.term(index), Voters: r.log.votersAt(index), State: state}
 	r.log.compact(file)
 	return file, &wire.HardState{Term: r.hardState.Term, Vote: r.hardState.Vote}, r.log.entries
 }
 
-// Entries returns committed entries from an index on, or false where the log
-// begins after it.
+// Entries returns committed entries starting at an index, at most maxBytes of
+// commands but at least one entry. It returns false if the index is compacted.
 func (r *Replica) Entries(from uint64, maxBytes int) ([]*wire.LogEntry, bool) {
 	if from <= r.log.snapIndex {
 		return nil, false
@@ -308,7 +311,8 @@
 	return entries, true
 }
 
-// Follows reports whether this instance has heard the leader within a lease.
+// Follows reports whether this instance is a follower and has heard from its
+// leader within a lease.
 func (r *Replica) Follows(now time.Time) bool {
 	return r.role == Follower && r.leader != "" && now.Before(r.noVoteBefore)
 }
--- a/internal/replica/replica_test.go
+++ b/internal/replica/replica_test.go
@@ -7,10 +7,12 @@
 )
 
 var (
-	firstSeed = flag.Uint64("replica.seed", 1, "first seed of the schedules")
-	schedules = flag.Int("replica.runs", 300, "schedules, each with the next seed")
+	firstSeed = flag.Uint64("replica.seed", 1, "seed of the first schedule")
+	schedules = flag.Int("replica.runs", 300, "number of schedules, each with the next seed")
 )
 
+// TestSchedules guards against lost commits and concurrent leaders under
+// random faults.
 func TestSchedules(t *testing.T) {
 	for i := range uint64(*schedules) {
 		t.Run(fmt.Sprint(*firstSeed+i), func(t *testing.T) {
--- a/internal/replica/rules_test.go
+++ b/internal/replica/rules_test.go
@@ -13,7 +13,8 @@
 
 var testStart = time.Unix(1000, 0)
 
-// newTestReplica is "a" of three, with one entry of an old term on disk.
+// newTestReplica returns instance "a" of three voters, with one entry of term 1
+// on disk.
 func newTestReplica() *Replica {
 	loaded := &storage.Loaded{Hard: &wire.HardState{Term: 1}, Entries: []*wire.LogEntry{{Index: 1, Term: 1, Command: []byte("old")}}}
 	return New(Config{
@@ -22,7 +23,7 @@
 	}, testStart, loaded)
 }
 
-// elect makes it the leader of term 2 by the votes of b.
+// elect makes the replica leader of term 2 with the vote of b.
 func elect(r *Replica, now time.Time) {
 	r.Tick(now)
 	r.Ready(now)
@@ -32,8 +33,8 @@
 	r.Ready(now)
 }
 
-// An entry of an older term at a majority may still be replaced by another
-// leader: only one of the own term commits it.
+// An entry of an older term that a majority holds may still be replaced by
+// another leader, so it commits only with an entry of the current term.
 func TestOldTermsAreNotCommittedByCounting(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newTestReplica()
@@ -46,15 +47,15 @@
 	}
 	reply(1)
 	g.Expect(r.Commit()).To(gomega.BeZero())
-	g.Expect(r.Current(now)).To(gomega.BeFalse(), "nothing of the own term is committed")
+	g.Expect(r.Current(now)).To(gomega.BeFalse(), "no entry of the current term is committed")
 	reply(2)
 	g.Expect(r.Commit()).To(gomega.Equal(uint64(2)))
 	g.Expect(r.Current(now)).To(gomega.BeTrue())
-	g.Expect(r.Current(now.Add(testLease))).To(gomega.BeFalse(), "the lease has run out")
+	g.Expect(r.Current(now.Add(testLease))).To(gomega.BeFalse(), "the lease has expired")
 }
 
-// A follower that has just heard a leader votes for nobody else for a lease,
-// whatever the term and the log of the one who asks.
+// A follower grants no vote within a lease of its leader's last append, whatever
+// the term and log of the candidate.
 func TestNoVoteDuringLeaderLease(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newTestReplica()
@@ -73,17 +74,17 @@
 	soon := now.Add(testLease / 2)
 	g.Expect(granted(soon, wire.LogMessage_PRE_VOTE)).To(gomega.BeFalse())
 	g.Expect(granted(soon, wire.LogMessage_VOTE)).To(gomega.BeFalse())
-	g.Expect(r.Term()).To(gomega.Equal(uint64(2)), "the term is not taken over either")
+	g.Expect(r.Term()).To(gomega.Equal(uint64(2)), "the candidate's term is not adopted")
 	late := now.Add(testLease)
 	g.Expect(granted(late, wire.LogMessage_VOTE)).To(gomega.BeTrue())
-	g.Expect(granted(late, wire.LogMessage_VOTE)).To(gomega.BeTrue(), "the same one again")
+	g.Expect(granted(late, wire.LogMessage_VOTE)).To(gomega.BeTrue(), "repeated request of the same candidate")
 	r.Step(late, &wire.LogMessage{Kind: wire.LogMessage_VOTE, Term: 9, From: "b", To: "a", Index: 50, LogTerm: 8})
 	for _, m := range r.Ready(late).Messages {
-		g.Expect(m.Granted).To(gomega.BeFalse(), "one vote a term")
+		g.Expect(m.Granted).To(gomega.BeFalse(), "one vote per term")
 	}
 }
 
-// After a restart the promise is not known any more, so no vote is given for a lease.
+// A promise to a leader is lost in a restart, so no vote is granted for one lease.
 func TestNoVoteAfterRestart(t *testing.T) {
 	g := gomega.NewWithT(t)
 	r := newTestReplica()
--- a/internal/replica/snapshot_test.go
+++ b/internal/replica/snapshot_test.go
@@ -18,9 +18,9 @@
 }
 
 var _ = ginkgo.Describe("a snapshot of the leader", func() {
-	// The log file begins anew with it: a vote that is not saved beside it is
-	// forgotten, and could be given twice in one term.
-	ginkgo.It("is to be saved with the vote of the term, though that has not changed", func() {
+	// Saving a snapshot replaces the log file: a vote missing from the new one
+	// could be granted twice in the same term.
+	ginkgo.It("is saved with the current vote even if that is unchanged", func() {
 		now := time.Unix(5000, 0)
 		voters := []string{"a", "b", "c"}
 		r := New(Config{
