--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,9 +1,9 @@
-// Package directory is the core of a control instance of a fleet whose fabric
-// carries tags: the document in force, kept by the replicated log under the
-// rule that the highest version wins, the evacuated failure domains, of which the
-// last order in the log wins, and the list of control instances, kept
-// in the log too. It has no I/O: the caller feeds in messages, orders and the
-// time, and takes out what to persist, to send and to answer, in that order.
+// Package directory is the state of a control instance in a fleet whose
+// network fabric carries tags. The replicated log holds the routing document,
+// of which the highest version wins, the evacuated failure domains, for which
+// the last order wins, and the voting control instances. The package does no
+// I/O: the caller passes in messages, orders and the time, and gets back what
+// to persist, send and answer, in that order.
 package directory
 
 import (
@@ -18,10 +18,10 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// The times of the replicated log. A follower calls an election between one
-// and two leases after it heard the leader last, so a lost leader is replaced
-// within a second; heartbeats come six times in a lease, so that single
-// losses and a disk of 200 ms a sync do not end it.
+// Timing of the replicated log. A follower starts an election between one and
+// two leases after its leader's last append, so a failed leader is replaced
+// within about a second. Six heartbeats per lease tolerate single lost messages
+// and syncs of 200 ms.
 const (
 	Heartbeat = 75 * time.Millisecond
 	Lease     = 450 * time.Millisecond
@@ -29,33 +29,34 @@
 )
 
 type (
-	// Config sets who an instance is.
+	// Config identifies a control instance.
 	Config struct {
-		Self    string // id; its disk keeps it
-		Address string // where peers call, IP:port
-		Front   string // where operators and endpoints call
-		Domain  string
-		// Founders are the voters of the very first start, nil at any other:
-		// an empty disk is otherwise never a vote.
+		Self    string // id, stored on its disk
+		Address string // for other control instances, IP:port
+		Front   string // for operators and endpoints, IP:port
+		Domain  string // failure domain
+		// Founders are the voters of the first start of a new fleet, nil at any
+		// other start, so that an instance with an empty disk cannot vote.
 		Founders []string
-		// Voters is how many voters are wanted.
+		// Voters is the target number of voters.
 		Voters int
 		// Committed is an index up to which the log on disk is known to be
-		// committed, 0 where nothing is known.
+		// committed, 0 if unknown.
 		Committed uint64
 		Rand      *rand.Rand
 	}
 
-	// Ready is what the caller must do, in this order: persist what Log says,
-	// send its messages, then tell Done to those who wait.
+	// Ready lists the work of the caller, in this order: persist and send what
+	// Log contains, then notify the proposers.
 	Ready struct {
 		Log replica.Ready
-		// Done holds the proposals that are committed, Lost those of which it
-		// is not known, since this instance leads no more.
+		// Done lists the log indexes of committed proposals, Lost those of
+		// proposals that were replaced or whose outcome is unknown because this
+		// instance no longer leads.
 		Done, Lost []uint64
 	}
 
-	// Status is what an instance believes.
+	// Status is an instance's own view of the fleet.
 	Status struct {
 		Self, Role, Leader    string
 		Term, Commit, Version uint64
@@ -64,22 +65,23 @@
 		Current, Confirmed    bool
 	}
 
-	// Directory is one control instance. One goroutine uses it.
+	// Directory is the state of one control instance. It is not safe for
+	// concurrent use.
 	Directory struct {
 		config      Config
 		replica     *replica.Replica
 		document    *document.Document
 		evacuations *evacuation.Set
 		applied     uint64
-		proposals   map[uint64]uint64 // term by index
-		peers       map[string]*peer
-		replaced    map[string]bool // ids whose address another id has now
-		leaderSince time.Time
+		proposals   map[uint64]uint64 // term by log index
+		peers       map[string]*peer  // by id
+		replaced    map[string]bool   // ids whose address now belongs to another id
+		leaderSince time.Time         // zero while this instance is not the current leader
 	}
 )
 
-// New returns an instance with what its disk held; an error is of kind
-// DamagedLog where that cannot be decoded.
+// New returns an instance with the state loaded from disk. The error is of kind
+// DamagedLog if the state cannot be decoded.
 func New(c Config, now time.Time, loaded *storage.Loaded) (*Directory, error) {
 	d := &Directory{
 		config: c, proposals: map[uint64]uint64{}, peers: map[string]*peer{}, replaced: map[string]bool{},
@@ -103,15 +105,16 @@
 	return d, nil
 }
 
-// Step takes a message of another control instance; one to an earlier holder
-// of the address is dropped.
+// Step handles a message from another control instance. Messages to a previous
+// id at this address are dropped.
 func (d *Directory) Step(now time.Time, m *wire.LogMessage) {
 	if m.To == d.config.Self {
 		d.replica.Step(now, m)
 	}
 }
 
-// Tick does what is due.
+// Tick runs the replicated log's timers and, on the leader, updates learners
+// and voters.
 func (d *Directory) Tick(now time.Time) {
 	d.replica.Tick(now)
 	if !d.replica.Current(now) {
@@ -125,10 +128,10 @@
 	d.changeVoters(now)
 }
 
-// Leader returns who leads, as far as this instance knows, or "".
+// Leader returns the id of the known leader, or "".
 func (d *Directory) Leader() string { return d.replica.Leader() }
 
-// Status returns what the instance believes.
+// Status returns the instance's own view of the fleet.
 func (d *Directory) Status(now time.Time) Status {
 	s := Status{
 		Self: d.config.Self, Role: d.replica.Role().String(), Leader: d.replica.Leader(), Term: d.replica.Term(),
@@ -141,8 +144,8 @@
 	return s
 }
 
-// Ready returns what is to be done and assumes that it is done: a caller that
-// fails to persist must not use this instance any further.
+// Ready returns the pending work and considers it done: a caller that fails to
+// persist it must stop using the instance.
 func (d *Directory) Ready(now time.Time) (Ready, error) {
 	ready := Ready{Log: d.replica.Ready(now)}
 	if s := ready.Log.Snapshot; s != nil {
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -15,15 +15,16 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// operator is an operator of one failure domain. It has one order under way at a
-// time, and sends it again to any instance until it is acknowledged.
+// operator evacuates one failure domain and undoes this. It has one pending
+// order at a time, and resends it to random instances until it is acknowledged.
 type operator struct {
 	domain       string
-	pending      *evacuation.Order // under way, nil for none
-	acknowledged *evacuation.Order // acknowledged last, nil for none
+	pending      *evacuation.Order // nil if there is none
+	acknowledged *evacuation.Order // the last one acknowledged, nil if there is none
 }
 
-// operate begins an order now and then, and sends the one under way to some machine.
+// operate creates an order at random and sends the pending one to a random
+// instance.
 func (f *fleet) operate(op *operator) {
 	if op.pending == nil {
 		if f.rng.IntN(10) > 0 {
@@ -52,21 +53,21 @@
 	}
 }
 
-// checkEvacuations asserts that an instance goes only forward within one life,
-// and that a revision means the same everywhere.
+// checkEvacuations asserts that the revision of a running instance never
+// decreases, and that all instances agree on the contents of a revision.
 func (f *fleet) checkEvacuations(inst *instance) {
 	set := inst.d.Evacuations()
-	Expect(set.Revision()).To(BeNumerically(">=", inst.shownRevision), "seed %d: %s went back", f.seed, inst.id)
+	Expect(set.Revision()).To(BeNumerically(">=", inst.shownRevision), "seed %d: the revision of %s decreased", f.seed, inst.id)
 	inst.shownRevision = set.Revision()
 	domains := fmt.Sprint(set.Domains())
 	if known, ok := f.domainsByRevision[set.Revision()]; ok {
-		Expect(domains).To(Equal(known), "seed %d: revision %d is two things", f.seed, set.Revision())
+		Expect(domains).To(Equal(known), "seed %d: two different contents of revision %d", f.seed, set.Revision())
 	}
 	f.domainsByRevision[set.Revision()] = domains
 }
 
-// checkAcknowledgedOrders asserts that whoever can show the newest holds what was
-// acknowledged last.
+// checkAcknowledgedOrders asserts that an instance with a current state holds
+// the acknowledged orders.
 func (f *fleet) checkAcknowledgedOrders(inst *instance) {
 	for _, e := range f.operators {
 		if e.pending == nil && e.acknowledged != nil {
@@ -75,7 +76,7 @@
 	}
 }
 
-// newSingleVoter returns an instance that is the only voter, and has elected itself.
+// newSingleVoter returns an instance that is the only voter.
 func newSingleVoter(now time.Time, loaded *storage.Loaded) *Directory {
 	d, err := New(Config{
 		Self: "10.0.0.1:7000", Address: "10.0.0.1:7000", Founders: []string{"10.0.0.1:7000"}, Voters: 1, Rand: rand.New(rand.NewPCG(1, 1)),
@@ -84,7 +85,8 @@
 	return d
 }
 
-// runOneSecond lets an instance go on for a second, and returns what is done.
+// runOneSecond runs an instance for one second and returns the committed
+// proposals and the time afterwards.
 func runOneSecond(d *Directory, now time.Time) (done []uint64, after time.Time) {
 	for range 40 {
 		now = now.Add(25 * time.Millisecond)
@@ -96,7 +98,7 @@
 	return done, now
 }
 
-var _ = Describe("evacuations at one control instance", func() {
+var _ = Describe("evacuations on a control instance", func() {
 	var (
 		d   *Directory
 		now time.Time
@@ -107,19 +109,19 @@
 		_, now = runOneSecond(d, now)
 	})
 
-	It("take an order back that is offered before the first one is committed", func() {
+	It("are undone by an order proposed before the first one is committed", func() {
 		first, done, err := d.Evacuate(now, evacuation.Order{Domain: "a"})
 		Expect(err).NotTo(HaveOccurred())
 		Expect(done).To(BeFalse())
 		second, done, err := d.Evacuate(now, evacuation.Order{Domain: "a", Undo: true})
 		Expect(err).NotTo(HaveOccurred())
-		Expect(done).To(BeFalse(), "acknowledged though the order before it is still to come")
+		Expect(done).To(BeFalse(), "acknowledged before the previous order is applied")
 		finished, _ := runOneSecond(d, now)
 		Expect(finished).To(Equal([]uint64{first, second}))
 		Expect(d.Evacuations().Domains()).To(BeEmpty())
 	})
 
-	It("are acknowledged again without another entry of the log", func() {
+	It("are acknowledged again without another log entry", func() {
 		_, _, err := d.Evacuate(now, evacuation.Order{Domain: "a"})
 		Expect(err).NotTo(HaveOccurred())
 		_, now = runOneSecond(d, now)
@@ -130,7 +132,7 @@
 		Expect(d.replica.LastIndex()).To(Equal(last))
 	})
 
-	It("outlive a snapshot, beside the document", func() {
+	It("are restored from a snapshot together with the document", func() {
 		doc, faults := document.New(document.Config{Version: 7})
 		Expect(faults).To(BeEmpty())
 		_, _, err := d.Put(now, doc)
@@ -146,21 +148,21 @@
 		Expect(again.Document().Version()).To(Equal(uint64(7)))
 	})
 
-	It("leave a log that was written before them readable", func() {
+	It("do not prevent reading a log written before they were introduced", func() {
 		doc, faults := document.New(document.Config{Version: 9, Source: []byte("{}")})
 		Expect(faults).To(BeEmpty())
-		bare, err := proto.Marshal(doc.Message())
+		unwrapped, err := proto.Marshal(doc.Message())
 		Expect(err).NotTo(HaveOccurred())
 		old := newSingleVoter(now, &storage.Loaded{
 			Hard:     &wire.HardState{Term: 1},
-			Snapshot: &wire.SnapshotFile{Index: 4, Term: 1, Voters: []string{"10.0.0.1:7000"}, State: bare},
+			Snapshot: &wire.SnapshotFile{Index: 4, Term: 1, Voters: []string{"10.0.0.1:7000"}, State: unwrapped},
 		})
 		Expect(old.Document().Version()).To(Equal(uint64(9)))
-		Expect(old.applyCommand(5, bare)).To(Succeed())
+		Expect(old.applyCommand(5, unwrapped)).To(Succeed())
 		Expect(old.Evacuations().Domains()).To(BeEmpty())
 	})
 
-	It("are vouched for by who can show its lease, not by one that was cut off as leader, nor by its follower", func() {
+	It("are confirmed neither by a leader without a lease nor by its follower", func() {
 		f := newFleet(77, 6, 2)
 		for range startupTime / testStep {
 			f.step()
@@ -188,9 +190,9 @@
 		for range (Lease + time.Second) / testStep {
 			f.step()
 		}
-		Expect(follower.d.Leader()).To(Equal(leader.id), "which it still hears")
-		for _, m := range []*instance{leader, follower} {
-			Expect(m.d.Roster(f.now).Leads).To(BeFalse(), m.id)
+		Expect(follower.d.Leader()).To(Equal(leader.id), "the follower still hears it")
+		for _, inst := range []*instance{leader, follower} {
+			Expect(inst.d.Roster(f.now).Leads).To(BeFalse(), inst.id)
 		}
 	})
 })
--- a/internal/directory/faults_test.go
+++ b/internal/directory/faults_test.go
@@ -8,12 +8,12 @@
 	. "github.com/onsi/gomega"
 )
 
-// injectFault does something to the machines, or mends what was done.
+// injectFault injects a random fault, or ends all faults.
 func (f *fleet) injectFault() {
 	inst := f.instances[f.rng.IntN(len(f.instances))]
 	switch f.rng.IntN(14) {
 	case 0, 1:
-		inst.disk.CrashAfter(f.rng.IntN(6)) // power fails at one of the next writes
+		inst.disk.CrashAfter(f.rng.IntN(6)) // power loss at one of the next writes
 	case 2:
 		if f.countLostDisks() < f.maxLosses {
 			f.wipe(inst)
@@ -42,7 +42,8 @@
 	}
 }
 
-// replaceInstance takes a machine away for good; an empty one comes elsewhere.
+// replaceInstance removes an instance and adds one with an empty disk at another
+// address.
 func (f *fleet) replaceInstance(inst *instance) {
 	if f.countLostDisks() >= f.maxLosses {
 		return
@@ -63,7 +64,7 @@
 	}
 }
 
-// restartStopped starts what is down.
+// restartStopped restarts stopped and crashed instances.
 func (f *fleet) restartStopped() {
 	for _, inst := range f.instances {
 		if inst.d != nil && !inst.disk.Crashed() {
@@ -71,7 +72,7 @@
 		}
 		inst.disk.Restart(f.rng.IntN(40))
 		if !inst.wipedAt.IsZero() && inst.d == nil && inst.store == nil {
-			inst.wipedAt = f.now // its time to catch up begins now
+			inst.wipedAt = f.now // first start of a replacement
 		}
 		f.start(inst)
 	}
@@ -99,8 +100,7 @@
 	}
 }
 
-// postponeCatchUp restarts the time that lost disks are given while others
-// are disturbed too.
+// postponeCatchUp restarts the catch-up time of instances with a lost disk.
 func (f *fleet) postponeCatchUp() {
 	for _, inst := range f.instances {
 		if !inst.wipedAt.IsZero() && f.now.Sub(inst.wipedAt) < catchUpTime {
@@ -109,7 +109,8 @@
 	}
 }
 
-// recoverAndCheck mends everything and asserts that what was acknowledged is there.
+// recoverAndCheck ends all faults and asserts that no acknowledged document or
+// order is lost.
 func (f *fleet) recoverAndCheck() {
 	clear(f.blockedLinks)
 	f.restartStopped()
@@ -129,15 +130,15 @@
 		leaders++
 		f.checkAcknowledgedOrders(inst)
 		if f.ackedVersion > 0 {
-			Expect(doc).NotTo(BeNil(), "seed %d: everything acknowledged is lost", f.seed)
-			Expect(doc.Version()).To(BeNumerically(">=", f.ackedVersion), "seed %d: the newest acknowledged is lost", f.seed)
+			Expect(doc).NotTo(BeNil(), "seed %d: all acknowledged documents are lost", f.seed)
+			Expect(doc.Version()).To(BeNumerically(">=", f.ackedVersion), "seed %d: the latest acknowledged version is lost", f.seed)
 		}
 	}
-	Expect(leaders).To(Equal(1), "seed %d: who can show the newest of %s", f.seed, f)
+	Expect(leaders).To(Equal(1), "seed %d: instances with a confirmed read: %s", f.seed, f)
 	f.checkVoters()
 }
 
-// String tells what everybody believes.
+// String describes the state of every instance.
 func (f *fleet) String() string {
 	var b strings.Builder
 	for _, inst := range f.instances {
@@ -147,7 +148,8 @@
 	return b.String()
 }
 
-// checkVoters asserts that the voters are as many as wanted and all alive.
+// checkVoters asserts that the number of voters is as configured and that none
+// of them has lost its disk.
 func (f *fleet) checkVoters() {
 	for _, inst := range f.instances {
 		s := inst.d.Status(f.now)
@@ -157,7 +159,7 @@
 		Expect(s.Voters).To(HaveLen(min(2*f.maxLosses+1, len(f.instances))), "seed %d", f.seed)
 		for _, id := range s.Voters {
 			holder := f.byAddress(AddressOf(id))
-			Expect(holder).NotTo(BeNil(), "seed %d: voter %s is gone", f.seed, id)
+			Expect(holder).NotTo(BeNil(), "seed %d: no instance at the address of voter %s", f.seed, id)
 			Expect(holder.id).To(Equal(id), "seed %d: voter %s has lost its disk", f.seed, id)
 		}
 	}
--- a/internal/directory/fleet_test.go
+++ b/internal/directory/fleet_test.go
@@ -17,8 +17,8 @@
 )
 
 var (
-	firstSeed = flag.Uint64("directory.seed", 1, "first seed of the schedules")
-	runs      = flag.Uint64("directory.runs", 10, "how many schedules are run")
+	firstSeed = flag.Uint64("directory.seed", 1, "seed of the first schedule")
+	runs      = flag.Uint64("directory.runs", 10, "number of schedules, each with the next seed")
 )
 
 func TestDirectory(t *testing.T) {
@@ -28,32 +28,33 @@
 
 const (
 	testStep = 5 * time.Millisecond
-	// catchUpTime is how long after its start an instance with an empty disk
-	// still counts as lost.
+	// catchUpTime is how long an instance with an empty disk counts as lost after
+	// its start.
 	catchUpTime = 4 * time.Second
-	// startupTime is how long the first start is left alone.
+	// startupTime is how long a new fleet runs without faults.
 	startupTime = 5 * time.Second
-	// recoveryTime is how long everybody is left alone before the end is judged.
+	// recoveryTime is how long the fleet runs without faults before the final
+	// checks.
 	recoveryTime = 12 * time.Second
 )
 
 type (
-	// instance is one control instance with its disk and what it has shown.
+	// instance is one control instance with its disk and its observed state.
 	instance struct {
 		address          string
 		domain           string
 		disk             *storagetest.Memory
 		store            *storage.Store
 		id               string
-		diskGeneration   int // of its disk
+		diskGeneration   int // number of lost disks
 		d                *Directory
 		pausedUntil      time.Time
-		wipedAt          time.Time // when it last started with an empty disk
-		committedHint    uint64    // committed index on its disk, as it was at some time
-		shownVersion     uint64    // version in force in this life
+		wipedAt          time.Time // when its disk was last empty, zero if never
+		committedHint    uint64    // committed index stored at some earlier time
+		shownVersion     uint64    // document version since the last start
 		proposedVersions map[uint64]uint64
-		// Of evacuations: the shownRevision shown in this life, and what is told when an
-		// order is committed, by its index.
+		// Evacuations: the revision since the last start, and the callbacks for
+		// committed orders by log index.
 		shownRevision uint64
 		onCommit      map[uint64]func()
 	}
@@ -65,9 +66,9 @@
 		roster   *wire.Roster
 	}
 
-	// fleet drives control instances with lost, late, doubled and one-way
-	// messages, losses of power at every write, lost disks and replaced
-	// machines, and asserts what must hold.
+	// fleet simulates control instances with lost, delayed and duplicated
+	// messages, one-way partitions, power losses at any write, lost disks and
+	// replaced instances.
 	fleet struct {
 		seed             uint64
 		rng              *rand.Rand
@@ -113,7 +114,7 @@
 	return &instance{address: fmt.Sprintf("10.0.0.%d:7000", i), domain: fmt.Sprint("d", i%3), disk: storagetest.NewMemory()}
 }
 
-// start runs a machine on what its disk holds.
+// start starts an instance from its disk.
 func (f *fleet) start(inst *instance) {
 	store, loaded, err := storage.Open(inst.disk.Files())
 	Expect(err).NotTo(HaveOccurred(), "seed %d: %s", f.seed, inst.id)
@@ -132,7 +133,7 @@
 
 func (f *fleet) stop(inst *instance) { inst.d = nil }
 
-// wipe loses a machine's disk; it comes back as somebody else.
+// wipe replaces an instance's disk by an empty one, and so changes its id.
 func (f *fleet) wipe(inst *instance) {
 	f.stop(inst)
 	inst.diskGeneration++
@@ -140,7 +141,8 @@
 	inst.disk, inst.id, inst.wipedAt = storagetest.NewMemory(), fmt.Sprintf("%s#%d", inst.address, inst.diskGeneration), f.now
 }
 
-// countLostDisks counts the disks that may not hold yet what was acknowledged.
+// countLostDisks counts the instances that lost their disk and have not caught
+// up yet.
 func (f *fleet) countLostDisks() int {
 	n := 0
 	for _, inst := range f.instances {
@@ -151,8 +153,8 @@
 	return n
 }
 
-// allRunning reports whether most machines run undisturbed: only then may a machine
-// whose disk is lost be given the time to catch up.
+// allRunning reports whether all instances run and no link is blocked. Only
+// then can an instance with an empty disk be expected to catch up.
 func (f *fleet) allRunning() bool {
 	up := 0
 	for _, inst := range f.instances {
@@ -201,21 +203,21 @@
 	return true
 }
 
-// checkDocument asserts that an instance goes only forward within one life, and
-// that a version means the same everywhere.
+// checkDocument asserts that the version of a running instance never decreases,
+// and that all instances agree on the contents of a version.
 func (f *fleet) checkDocument(inst *instance) {
-	Expect(len(inst.d.replica.Voters())).To(BeNumerically("<=", 2*f.maxLosses+1), "seed %d: a newcomer came before the dead voter went", f.seed)
+	Expect(len(inst.d.replica.Voters())).To(BeNumerically("<=", 2*f.maxLosses+1), "seed %d: a voter was added before the dead one was removed", f.seed)
 	doc := inst.d.Document()
 	if doc == nil {
 		return
 	}
-	Expect(doc.Version()).To(BeNumerically(">=", inst.shownVersion), "seed %d: %s went back", f.seed, inst.id)
+	Expect(doc.Version()).To(BeNumerically(">=", inst.shownVersion), "seed %d: the version of %s decreased", f.seed, inst.id)
 	inst.shownVersion = doc.Version()
 	content, known := f.contentByVersion[doc.Version()]
 	if !known {
 		f.contentByVersion[doc.Version()] = string(doc.Source())
 	} else {
-		Expect(string(doc.Source())).To(Equal(content), "seed %d: version %d is two things", f.seed, doc.Version())
+		Expect(string(doc.Source())).To(Equal(content), "seed %d: two different contents of version %d", f.seed, doc.Version())
 	}
 }
 
@@ -264,8 +266,8 @@
 	f.exchangeRosters()
 }
 
-// exchangeRosters lets each machine call those that it knows of, and the
-// seeds: the first three machines at their present addresses.
+// exchangeRosters sends the roster of each instance to its known peers and to
+// the seeds, which are the first three instances.
 func (f *fleet) exchangeRosters() {
 	if f.now.Before(f.nextRosterAt) {
 		return
@@ -286,7 +288,8 @@
 	}
 }
 
-// proposeNext offers the next version, or an old one again, to some machine.
+// proposeNext proposes the next version, or the last one again, to a random
+// instance.
 func (f *fleet) proposeNext() {
 	inst := f.instances[f.rng.IntN(len(f.instances))]
 	if inst.d == nil || inst.pausedUntil.After(f.now) {
@@ -308,14 +311,15 @@
 	}
 }
 
-// document has another content each time, also under the same version.
+// document returns a document with unique contents, even for the same version.
 func (f *fleet) document(version uint64) *document.Document {
 	doc, faults := document.New(document.Config{Version: version, Source: fmt.Appendf(nil, "%d by %d", version, f.rng.Uint64())})
 	Expect(faults).To(BeEmpty())
 	return doc
 }
 
-// checkReads asserts that whoever answers shows nothing older than acknowledged.
+// checkReads asserts that no read returns a version older than an acknowledged
+// one.
 func (f *fleet) checkReads() {
 	for _, inst := range f.instances {
 		if inst.d == nil || inst.pausedUntil.After(f.now) {
@@ -329,16 +333,16 @@
 		if doc != nil {
 			version = doc.Version()
 		}
-		Expect(version).To(BeNumerically(">=", f.ackedVersion), "seed %d: %s shows an old version", f.seed, inst.id)
+		Expect(version).To(BeNumerically(">=", f.ackedVersion), "seed %d: %s returned an outdated version", f.seed, inst.id)
 		f.checkAcknowledgedOrders(inst)
 	}
 }
 
-var _ = Describe("control instances under every loss", func() {
-	for _, size := range []struct{ machines, losses int }{{3, 1}, {4, 1}, {5, 2}, {6, 2}} {
-		It(fmt.Sprintf("lose nothing acknowledged and show nothing old: %d of them, %d lost at once", size.machines, size.losses), func() {
+var _ = Describe("control instances under random faults", func() {
+	for _, size := range []struct{ instances, maxLosses int }{{3, 1}, {4, 1}, {5, 2}, {6, 2}} {
+		It(fmt.Sprintf("lose no acknowledged change and return no outdated one: %d instances, %d disks lost at once", size.instances, size.maxLosses), func() {
 			for seed := *firstSeed; seed < *firstSeed+*runs; seed++ {
-				f := newFleet(seed, size.machines, size.losses)
+				f := newFleet(seed, size.instances, size.maxLosses)
 				f.run(4000)
 				f.recoverAndCheck()
 			}
--- a/internal/directory/members.go
+++ b/internal/directory/members.go
@@ -8,18 +8,18 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// maxListedSilence is how long an instance that was heard of stays in rosters.
+// maxListedSilence is how long a silent instance stays in rosters.
 const maxListedSilence = 20 * time.Second
 
-// peer is a control instance that was heard of.
+// peer is another control instance known from rosters.
 type peer struct {
 	instance  *wire.ControlInstance
 	lastHeard time.Time
 }
 
-// Hear takes the roster of another control instance, which names itself
-// first. An id at the address of another one has replaced it: the disk that
-// kept the old id is lost.
+// Hear updates the known peers from the roster of another control instance,
+// which lists itself first. An instance that reports a new id at a known
+// address has lost its disk, so the previous id is marked as replaced.
 func (d *Directory) Hear(now time.Time, roster *wire.Roster) {
 	for i, c := range roster.Instances {
 		if c.Id == d.config.Self || d.replaced[c.Id] {
@@ -55,8 +55,8 @@
 	}
 }
 
-// addressTaken reports whether the address of an instance that another one
-// names is that of this instance or of another one that was heard of.
+// addressTaken reports whether the address of an instance belongs to this
+// instance or to a known peer with another id.
 func (d *Directory) addressTaken(c *wire.ControlInstance) bool {
 	if c.Address == d.config.Address {
 		return true
@@ -69,14 +69,14 @@
 	return false
 }
 
-// AddressOf returns the peer address that an id was made at.
+// AddressOf returns the peer address contained in an id.
 func AddressOf(id string) string {
 	address, _, _ := strings.Cut(id, "#")
 	return address
 }
 
-// Roster lists this instance first, then the others that it heard of within
-// listedFor, by id; it drops those that it heard of earlier.
+// Roster lists this instance first, then its peers by id. Peers silent for
+// longer than maxListedSilence are forgotten.
 func (d *Directory) Roster(now time.Time) *wire.Roster {
 	r := &wire.Roster{Voters: d.replica.Voters(), Leader: d.replica.Leader(), Leads: d.replica.Current(now)}
 	r.Current = r.Leads || d.replica.Follows(now)
@@ -98,7 +98,8 @@
 	return r
 }
 
-// Addresses returns where the other control instances may be called.
+// Addresses returns the sorted addresses of the known peers and voters, without
+// this instance's own.
 func (d *Directory) Addresses() []string {
 	var all []string
 	addOther := func(address string) {
@@ -116,7 +117,8 @@
 	return all
 }
 
-// Front returns the address for operators of an instance, or "".
+// Front returns the address for operators and endpoints of an instance, or ""
+// if it is unknown.
 func (d *Directory) Front(id string) string {
 	if id == d.config.Self {
 		return d.config.Front
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -11,7 +11,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// restore sets the applied index to that of a snapshot and takes what it holds.
+// restore applies the state of a snapshot.
 func (d *Directory) restore(s *wire.SnapshotFile) error {
 	d.applied = s.Index
 	if len(s.State) == 0 {
@@ -33,7 +33,7 @@
 	return d.applyDocument(m.Document)
 }
 
-// applyCommand does what the command at an index of the log says.
+// applyCommand applies the command at a log index.
 func (d *Directory) applyCommand(index uint64, command []byte) error {
 	m := &wire.DirectoryCommand{}
 	if err := proto.Unmarshal(command, m); err != nil {
@@ -50,8 +50,8 @@
 	}
 }
 
-// applyBareDocument takes a document that stands by itself, as logs and snapshots
-// did before evacuations were known.
+// applyBareDocument applies a document without the enclosing message, as logs
+// and snapshots held it before evacuations were introduced.
 func (d *Directory) applyBareDocument(encoded []byte) error {
 	m := &wire.Document{}
 	if err := proto.Unmarshal(encoded, m); err != nil {
@@ -60,7 +60,7 @@
 	return d.applyDocument(m)
 }
 
-// applyDocument puts a document in force if its version is the highest.
+// applyDocument replaces the document if the version of the new one is higher.
 func (d *Directory) applyDocument(m *wire.Document) error {
 	if d.document != nil && m.Version <= d.document.Version() {
 		return nil
@@ -73,9 +73,9 @@
 	return nil
 }
 
-// Put offers a document. It is done at once where its version is not above
-// the one in force; else index tells which proposal to wait for. An error
-// where this instance does not lead is of kind NotCurrent.
+// Put proposes a document. It is done at once if its version is not higher than
+// that of the document in force; otherwise the caller waits for index in
+// Ready.Done. The error is of kind NotCurrent if this instance does not lead.
 func (d *Directory) Put(now time.Time, doc *document.Document) (index uint64, done bool, err error) {
 	if !d.replica.Current(now) {
 		return 0, false, fault.New(fault.NotCurrent, "%s does not lead", d.config.Self)
@@ -87,10 +87,9 @@
 	return index, false, err
 }
 
-// Evacuate offers an order about a failure domain; its results are as for Put.
-// It is done at once where it changes nothing and nothing is under way that may.
-// Orders take effect in the order of the log: of two that are acknowledged one
-// after the other the second one stands.
+// Evacuate proposes to evacuate a failure domain or to undo this; its results
+// are those of Put. It is done at once if the order is in effect and the whole
+// log is applied. Orders take effect in log order, so the last one wins.
 func (d *Directory) Evacuate(now time.Time, o evacuation.Order) (index uint64, done bool, err error) {
 	if !d.replica.Current(now) {
 		return 0, false, fault.New(fault.NotCurrent, "%s does not lead", d.config.Self)
@@ -102,7 +101,7 @@
 	return index, false, err
 }
 
-// propose has the log take a command, and returns its index.
+// propose appends a command to the log and returns its index.
 func (d *Directory) propose(now time.Time, m *wire.DirectoryCommand) (index uint64, err error) {
 	command, err := proto.Marshal(m)
 	if err != nil {
@@ -115,25 +114,27 @@
 	return index, nil
 }
 
-// Read returns the document in force, if this instance can show that there is
-// no newer one; nil is that there was none yet. An error is of kind NotCurrent.
+// Read returns the latest committed document, or nil if there is none. The
+// error is of kind NotCurrent if this instance cannot confirm that its document
+// is the latest.
 func (d *Directory) Read(now time.Time) (*document.Document, error) {
 	if !d.replica.Current(now) || d.applied < d.replica.Commit() {
-		return nil, fault.New(fault.NotCurrent, "%s cannot show that it holds the newest", d.config.Self)
+		return nil, fault.New(fault.NotCurrent, "%s cannot confirm that its document is the latest", d.config.Self)
 	}
 	return d.document, nil
 }
 
-// Document returns the document in force as far as this instance knows, nil
-// where there is none.
+// Document returns the document in force at this instance, which may be
+// outdated, or nil if there is none.
 func (d *Directory) Document() *document.Document { return d.document }
 
-// Evacuations returns the evacuated failure domains as far as this instance knows.
+// Evacuations returns the evacuated failure domains known to this instance,
+// which may be outdated.
 func (d *Directory) Evacuations() *evacuation.Set { return d.evacuations }
 
-// apply takes a committed entry and tells ready what became of the proposal
-// for it, if this instance made one: an entry of another term took its place
-// where the terms differ.
+// apply applies a committed entry. If this instance proposed at the same index,
+// the proposal is done if the terms match; otherwise it was replaced and is
+// lost.
 func (d *Directory) apply(e *wire.LogEntry, ready *Ready) error {
 	if len(e.Command) > 0 {
 		if err := d.applyCommand(e.Index, e.Command); err != nil {
@@ -152,8 +153,9 @@
 	return nil
 }
 
-// Compact returns what a snapshot at the applied index holds, with the log
-// that goes on after it; a nil file is that nothing was applied yet.
+// Compact discards the applied log and returns the snapshot that replaces it,
+// with the hard state and the remaining entries. The snapshot is nil if nothing
+// has been applied yet.
 func (d *Directory) Compact() (*wire.SnapshotFile, *wire.HardState, []*wire.LogEntry, error) {
 	if d.applied == 0 {
 		return nil, nil, nil, nil
--- a/internal/directory/voters.go
+++ b/internal/directory/voters.go
@@ -6,16 +6,14 @@
 )
 
 const (
-	// maxLearnerSilence is how recently an instance must have been heard of to become
-	// a voter: five rosters.
+	// maxLearnerSilence is five roster intervals; an instance that is silent for
+	// longer cannot become a voter.
 	maxLearnerSilence = time.Second
-	// maxVoterSilence is how long a voter must have been silent before another
-	// instance takes its place: well above a restart, well below the time in
-	// which a lost instance must be replaced.
+	// maxVoterSilence allows a voter to restart before it is replaced.
 	maxVoterSilence = 2 * time.Second
 )
 
-// learners returns the instances that are alive and do not vote.
+// learners returns the live instances that are not voters.
 func (d *Directory) learners(now time.Time) []string {
 	var ids []string
 	for id, p := range d.peers {
@@ -27,8 +25,8 @@
 	return ids
 }
 
-// isDead reports whether a voter is lost: its disk is, or it has been silent
-// for long while this instance led.
+// isDead reports whether a voter has lost its disk, or has been silent for more
+// than maxVoterSilence while this instance led.
 func (d *Directory) isDead(now time.Time, id string) bool {
 	if id == d.config.Self {
 		return false
@@ -43,12 +41,11 @@
 	return now.Sub(heard) > maxVoterSilence
 }
 
-// changeVoters proposes the next change of the voters, if one is wanted. A
-// dead voter goes first, and only then another one comes: the other order
-// would raise the majority by one, and the newcomer's loss, which is still the
-// same loss, would leave too few. A voter that is only silent may come back
-// with its disk, so it goes only when a newcomer can take its place at once.
-// One change at a time: the log refuses the next while one is not committed.
+// changeVoters proposes the next change of the voters, if one is needed. A
+// dead voter is removed before its replacement is added: the opposite order
+// raises the majority by one, so that losing the new voter could leave too few.
+// A voter that is only silent may return with its disk, so it is removed only
+// if a replacement is ready.
 func (d *Directory) changeVoters(now time.Time) {
 	voters := d.replica.Voters()
 	var dead, live []string
@@ -59,7 +56,7 @@
 			live = append(live, id)
 		}
 	}
-	// Those whose disk is lost for certain go first.
+	// Voters with a lost disk are removed first.
 	slices.SortStableFunc(dead, func(a, b string) int { return d.removalOrder(a) - d.removalOrder(b) })
 	candidate := d.promotableLearner(now, live)
 	switch {
@@ -72,8 +69,8 @@
 	}
 }
 
-// removalOrder sorts dead voters: 0 for one whose disk is lost for certain, 1
-// for one that has only been silent.
+// removalOrder is the sort key of dead voters: 0 for a lost disk, 1 for
+// silence only.
 func (d *Directory) removalOrder(id string) int {
 	if d.replaced[id] {
 		return 0
@@ -81,15 +78,15 @@
 	return 1
 }
 
-// proposeVoters proposes other voters to the replicated log.
+// proposeVoters proposes a new list of voters to the replicated log.
 func (d *Directory) proposeVoters(now time.Time, voters []string) {
-	// A refusal means that the last change is still under way; the next tick
-	// asks again.
+	// An error means that the previous change is not committed yet; the next
+	// tick retries.
 	_, _ = d.replica.ProposeVoters(now, voters)
 }
 
-// promotableLearner returns the learner that holds the committed log and whose failure
-// domain has the fewest voters, or "".
+// promotableLearner returns the learner that holds all committed entries and
+// whose failure domain has the fewest live voters, or "".
 func (d *Directory) promotableLearner(now time.Time, live []string) string {
 	best, fewest := "", 0
 	for _, id := range d.learners(now) {
@@ -103,8 +100,8 @@
 	return best
 }
 
-// surplusVoter returns the voter, other than this instance, whose failure domain
-// has the most voters.
+// surplusVoter returns the voter other than this instance whose failure domain
+// has the most live voters.
 func (d *Directory) surplusVoter(live []string) string {
 	best, most := "", -1
 	for _, id := range live {
@@ -115,7 +112,7 @@
 	return best
 }
 
-// countInDomain counts the instances of a failure domain.
+// countInDomain counts the ids in a failure domain.
 func (d *Directory) countInDomain(ids []string, domain string) int {
 	n := 0
 	for _, id := range ids {
@@ -126,8 +123,7 @@
 	return n
 }
 
-// domainOf returns the failure domainOf of an instance, "" where it was not heard
-// of.
+// domainOf returns the failure domain of an instance, or "" if it is unknown.
 func (d *Directory) domainOf(id string) string {
 	if id == d.config.Self {
 		return d.config.Domain
@@ -138,7 +134,7 @@
 	return ""
 }
 
-// without returns a copy of the ids that lacks one.
+// without returns a copy of ids with one removed.
 func without(ids []string, id string) []string {
 	return slices.DeleteFunc(slices.Clone(ids), func(other string) bool { return other == id })
 }
--- a/internal/directory/voters_test.go
+++ b/internal/directory/voters_test.go
@@ -7,7 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// startFleet lets a fleet run undisturbed until its voters are as many as wanted.
+// startFleet runs a new fleet without faults until it has the configured number
+// of voters.
 func startFleet(instances, maxLosses int) *fleet {
 	f := newFleet(1, instances, maxLosses)
 	for range startupTime / testStep {
@@ -17,13 +18,14 @@
 	return f
 }
 
+// runFor runs the fleet without new faults.
 func (f *fleet) runFor(d time.Duration) {
 	for range d / testStep {
 		f.step()
 	}
 }
 
-// leader returns the machine that leads.
+// leader returns the current leader, or nil.
 func (f *fleet) leader() *instance {
 	for _, inst := range f.instances {
 		if inst.d != nil && inst.d.Status(f.now).Current {
@@ -33,7 +35,7 @@
 	return nil
 }
 
-// commitDocument puts a document and waits until it is committed.
+// commitDocument proposes documents until one is acknowledged.
 func (f *fleet) commitDocument() {
 	before := f.ackedVersion
 	for range 2000 {
@@ -42,11 +44,11 @@
 		}
 		f.step()
 	}
-	Fail("nothing is acknowledged")
+	Fail("no document is acknowledged")
 }
 
 var _ = Describe("the voters", func() {
-	It("grow from the seeds to what the tolerance needs, spread over the failure domains", func() {
+	It("grow from the founders to the configured number, spread over the failure domains", func() {
 		f := startFleet(6, 2)
 		domains := map[string]int{}
 		for _, id := range f.leader().d.Status(f.now).Voters {
@@ -58,7 +60,7 @@
 		}
 	})
 
-	It("replace a machine that is gone for good by an empty one at another address", func() {
+	It("replace a lost instance by an empty one at another address", func() {
 		f := startFleet(3, 1)
 		f.commitDocument()
 		f.replaceInstance(f.leader())
@@ -68,7 +70,7 @@
 		f.checkVoters()
 	})
 
-	It("bear that a newcomer loses its disk again before it has caught up", func() {
+	It("survive a new instance losing its disk before it has caught up", func() {
 		f := startFleet(5, 2)
 		f.commitDocument()
 		first, second := f.instances[0], f.instances[1]
@@ -84,13 +86,13 @@
 		f.recoverAndCheck()
 	})
 
-	It("find the acknowledged when its holder's disk is lost as all others lose power", func() {
+	It("keep acknowledged documents when the leader's disk is lost in a power outage", func() {
 		f := startFleet(3, 1)
-		behind := f.instances[2]
-		if behind == f.leader() {
-			behind = f.instances[1]
+		lagging := f.instances[2]
+		if lagging == f.leader() {
+			lagging = f.instances[1]
 		}
-		f.isolate(behind) // misses the last changes
+		f.isolate(lagging) // misses the next two documents
 		f.commitDocument()
 		f.commitDocument()
 		f.wipe(f.leader())
@@ -99,33 +101,33 @@
 		f.recoverAndCheck()
 	})
 
-	It("do not count an empty disk as a vote, whatever the rest of the machines do", func() {
+	It("do not include an instance with an empty disk, even if all others are stopped", func() {
 		f := startFleet(3, 1)
 		f.commitDocument()
-		holder, behind := f.instances[0], f.instances[1]
-		f.wipe(behind)
+		holder, lagging := f.instances[0], f.instances[1]
+		f.wipe(lagging)
 		f.stop(f.instances[2])
 		f.stop(holder)
-		f.start(behind)
+		f.start(lagging)
 		f.runFor(5 * time.Second)
-		Expect(behind.d.Status(f.now).Role).To(Equal("follower"))
-		Expect(behind.d.Status(f.now).Voters).To(BeEmpty())
+		Expect(lagging.d.Status(f.now).Role).To(Equal("follower"))
+		Expect(lagging.d.Status(f.now).Voters).To(BeEmpty())
 		f.recoverAndCheck()
 	})
 
-	It("offer after a restart only what was committed, not what was merely written", func() {
+	It("restore only committed documents after a restart", func() {
 		f := startFleet(3, 1)
 		f.commitDocument()
-		alone, before := f.leader(), f.ackedVersion
-		f.isolate(alone)
-		alone.committedHint = alone.d.Status(f.now).Commit
-		_, done, err := alone.d.Put(f.now, f.document(before+10))
+		isolated, before := f.leader(), f.ackedVersion
+		f.isolate(isolated)
+		isolated.committedHint = isolated.d.Status(f.now).Commit
+		_, done, err := isolated.d.Put(f.now, f.document(before+10))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(done).To(BeFalse())
-		f.processReady(alone)
-		f.stop(alone)
-		alone.disk.Restart(0)
-		f.start(alone)
-		Expect(alone.d.Document().Version()).To(Equal(before))
+		f.processReady(isolated)
+		f.stop(isolated)
+		isolated.disk.Restart(0)
+		f.start(isolated)
+		Expect(isolated.d.Document().Version()).To(Equal(before))
 	})
 })
