--- a/internal/control/compile.go
+++ b/internal/control/compile.go
@@ -10,8 +10,8 @@
 	"oxbowsaddle/internal/route"
 )
 
-// compile brings the affected services of the table to the document. It moves
-// no bucket: that is the placer's work, by commands of its own.
+// compile updates the affected services of the table from the document. It does
+// not move buckets; the controller does this with separate commands.
 func (s *State) compile(b *route.Builder, now time.Time, affected map[string]bool) {
 	for _, name := range slices.Sorted(maps.Keys(affected)) {
 		_, wanted := s.document.Service(name)
@@ -25,8 +25,8 @@
 	}
 }
 
-// needsUpdate reports whether a service or the team over it could differ from the
-// table; comparing is cheaper than copying the service's buckets.
+// needsUpdate reports whether a service or its team's policy may differ from
+// the table. It avoids copying the buckets of unchanged services.
 func (s *State) needsUpdate(b *route.Builder, name string) bool {
 	id, known := s.services[name]
 	if !known {
@@ -53,7 +53,8 @@
 		have.Connections() == want.Connections && have.Leaving() == want.Leaving
 }
 
-// countListed counts the endpoints that the document still named at last compile.
+// countListed counts the endpoints that the document listed when the service
+// was last compiled.
 func (s *State) countListed(have *route.Service) int {
 	n := 0
 	for _, id := range have.Endpoints() {
@@ -84,8 +85,8 @@
 	}
 }
 
-// putEndpoint brings one endpoint to the document. The address is its
-// identity: under another address it is another place with its own flows.
+// putEndpoint adds or updates an endpoint. Endpoints are identified by address:
+// a changed address makes a new endpoint with its own flows.
 func (s *State) putEndpoint(b *route.Builder, now time.Time, service uint32, e intent.Endpoint) uint32 {
 	var id uint32
 	if have := b.Table().EndpointAt(e.Address); have != nil {
@@ -109,7 +110,7 @@
 }
 
 // addressConflicts returns a fault for each endpoint address of the affected
-// services that another service still has flows on.
+// services that the table still holds for another service.
 func (s *State) addressConflicts(next intent.Document, affected map[string]bool) []string {
 	var faults []string
 	for _, name := range slices.Sorted(maps.Keys(affected)) {
@@ -124,8 +125,8 @@
 	return faults
 }
 
-// markRemoved marks an endpoint that the document no longer names: it stays in the
-// table without new work until no bucket is on it.
+// markRemoved marks an endpoint that the document no longer lists. It stays in
+// the table without new work until no bucket uses it.
 func (s *State) markRemoved(b *route.Builder, now time.Time, e *route.Endpoint) {
 	l, already := s.leavingEndpoints[e.ID()]
 	if !already {
@@ -148,8 +149,8 @@
 	delete(s.services, name)
 }
 
-// deleteRemovedEndpoints drops endpoints that the document no longer names and that no
-// bucket is on or has its flows on.
+// deleteRemovedEndpoints deletes endpoints that the document no longer lists
+// and that no bucket uses.
 func (s *State) deleteRemovedEndpoints(b *route.Builder) {
 	for _, id := range slices.Sorted(maps.Keys(s.leavingEndpoints)) {
 		if !s.leavingEndpoints[id].removed || InUse(b.Table(), id) {
@@ -160,7 +161,8 @@
 	}
 }
 
-// InUse reports whether a bucket is on an endpoint or may have flows there.
+// InUse reports whether a bucket is assigned to an endpoint or may still have
+// flows on it.
 func InUse(t *route.Table, endpoint uint32) bool {
 	e := t.Endpoint(endpoint)
 	if e == nil {
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -15,7 +15,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Snapshot returns the whole state as bytes; equal states give equal bytes.
+// Snapshot returns the encoded state; equal states have equal encodings.
 func (s *State) Snapshot() ([]byte, error) {
 	w := &wire.State{
 		Index: s.index, Revision: s.revision, Checksum: s.checksum,
@@ -78,7 +78,7 @@
 	return w
 }
 
-// Restore returns the state that a snapshot holds.
+// Restore decodes a state encoded by Snapshot.
 func Restore(data []byte) (*State, error) {
 	w := &wire.State{}
 	if err := proto.Unmarshal(data, w); err != nil {
@@ -154,7 +154,8 @@
 	return nil
 }
 
-// Objects returns the stored objects in order, with who made each.
+// Objects returns the stored objects with their authors, sorted by kind and
+// name.
 func (s *State) Objects() []*wire.StoredObject {
 	var all []*wire.StoredObject
 	for _, key := range sortedObjects(s.objects) {
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -1,7 +1,8 @@
-// Package control is the state machine that the replicated log drives: the
-// operators' document, the live entries and the route table. Applying the
-// same commands in the same order gives the same state on every instance; no
-// clock, random number or map order enters.
+// Package control implements the state machine of the replicated log: the
+// operators' document, the live entry instances and the route table. It is
+// deterministic: applying the same commands in the same order gives the same
+// state on every instance. It must not depend on the clock, random numbers or
+// map order.
 package control
 
 import (
@@ -20,10 +21,9 @@
 )
 
 const (
-	// outcomeLimit bounds the change ids that are remembered: more than a day
-	// at the size to design for. An operator resends within minutes.
+	// outcomeLimit is the number of change ids kept to detect resent changes.
 	outcomeLimit = 20000
-	// historyLimit bounds the changes that can be shown and reverted.
+	// historyLimit is the number of changes kept to be shown and reverted.
 	historyLimit = 500
 )
 
@@ -37,11 +37,10 @@
 )
 
 type (
-	// Outcome is one of the closed list of answers that the state machine
-	// gives to a change.
+	// Outcome tells how a change was answered; it is one of the constants above.
 	Outcome string
 
-	// Answer is the outcome of a change with what belongs to it.
+	// Answer is the outcome of a change with its details.
 	Answer struct {
 		Outcome  Outcome
 		Revision uint64
@@ -56,11 +55,11 @@
 	// leavingEndpoint is an endpoint that takes no new work.
 	leavingEndpoint struct {
 		since   time.Time
-		removed bool
+		removed bool // no longer listed by the document
 	}
 
-	// State is the control state. One goroutine owns it; what it publishes
-	// (Table, Document) is immutable.
+	// State is the control state. It is not safe for concurrent use, but its
+	// Table and Document are immutable.
 	State struct {
 		index            uint64
 		revision         uint64
@@ -69,7 +68,7 @@
 		document         intent.Document
 		objects          map[objectKey]*wire.StoredObject
 		outcomes         map[string]*wire.Outcome
-		outcomeOrder     []string // change ids in the order they came
+		outcomeOrder     []string // change ids, oldest first
 		history          []*wire.HistoryEntry
 		leavingEndpoints map[uint32]leavingEndpoint
 		services         map[string]uint32
@@ -98,8 +97,8 @@
 // Revision returns the index of the last accepted change.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Checksum returns a hash of every command that was applied, in order. Two
-// instances at the same index with different sums do not have the same log.
+// Checksum returns a hash over all applied commands. If it differs between two
+// instances at the same index, their logs differ.
 func (s *State) Checksum() uint64 { return s.checksum }
 
 // Table returns the immutable route table.
@@ -108,20 +107,21 @@
 // Document returns the operators' document; it must not be changed.
 func (s *State) Document() intent.Document { return s.document }
 
-// History returns the accepted changes, the oldest first.
+// History returns the latest accepted changes, oldest first.
 func (s *State) History() []*wire.HistoryEntry { return s.history }
 
-// LeavingSince returns when an endpoint began to leave, and whether it does.
+// LeavingSince returns when an endpoint started leaving, and false if it is not
+// leaving.
 func (s *State) LeavingSince(endpoint uint32) (time.Time, bool) {
 	l, ok := s.leavingEndpoints[endpoint]
 	return l.since, ok
 }
 
-// Apply applies one committed command. Commands that are at or below the
-// index are refused: the state goes only forward.
+// Apply applies one committed command. It fails unless index directly follows
+// the last applied one.
 func (s *State) Apply(index uint64, command []byte) (Answer, error) {
 	if index != s.index+1 {
-		return Answer{}, fault.New(fault.Internal, "apply index %d after %d", index, s.index)
+		return Answer{}, fault.New(fault.Internal, "cannot apply index %d after %d", index, s.index)
 	}
 	c := &wire.Command{}
 	if err := proto.Unmarshal(command, c); err != nil {
@@ -135,6 +135,7 @@
 	return answer, nil
 }
 
+// chainChecksum extends a checksum by the command at an index.
 func chainChecksum(sum, index uint64, command []byte) uint64 {
 	return siphash.Hash(sum, index, command)
 }
@@ -147,7 +148,7 @@
 	return Answer{Outcome: Accepted, Revision: s.revision}
 }
 
-// applyDecision applies what the controller has decided.
+// applyDecision applies a decision of the controller.
 func (s *State) applyDecision(b *route.Builder, c *wire.Command) {
 	switch body := c.Body.(type) {
 	case *wire.Command_Moves:
@@ -203,7 +204,7 @@
 	}
 }
 
-// Preview tells what a change would answer now, without applying it.
+// Preview returns the answer that a change would get now, without applying it.
 func (s *State) Preview(change *wire.Change) Answer {
 	answer, _ := s.preview(change)
 	return answer
@@ -213,16 +214,16 @@
 	if o, ok := s.outcomes[change.Id]; ok {
 		return Answer{Outcome: AlreadyAccepted, Revision: o.Revision, Detail: o.Detail}, s.document
 	}
-	if a, lost := s.conflict(change); lost {
+	if a, conflicts := s.conflict(change); conflicts {
 		return a, s.document
 	}
 	next, faults := s.applyEdits(change)
-	touched := affected(change, s.document, next)
-	faults = append(faults, s.addressConflicts(next, touched)...)
+	services := affected(change, s.document, next)
+	faults = append(faults, s.addressConflicts(next, services)...)
 	if len(faults) > 0 {
 		return Answer{Outcome: Invalid, Faults: faults, Detail: fmt.Sprintf("%d faults", len(faults))}, next
 	}
-	if warnings := intent.Warnings(s.document, next, slices.Sorted(maps.Keys(touched))); len(warnings) > 0 && !change.Confirmed {
+	if warnings := intent.Warnings(s.document, next, slices.Sorted(maps.Keys(services))); len(warnings) > 0 && !change.Confirmed {
 		return Answer{Outcome: Unconfirmed, Faults: faultTexts(warnings), Detail: "a service would be emptied"}, next
 	}
 	return Answer{Outcome: Accepted}, next
@@ -231,7 +232,7 @@
 func (s *State) applyChange(b *route.Builder, now time.Time, change *wire.Change) Answer {
 	answer, next := s.preview(change)
 	if answer.Outcome != Accepted {
-		return answer // only an accepted id is remembered: the others may be mended and sent again
+		return answer // not recorded, so that a corrected change can be sent with the same id
 	}
 	s.recordChange(now, change)
 	before := s.document
@@ -241,7 +242,8 @@
 	return answer
 }
 
-// conflict finds the first object that another change took after the base.
+// conflict finds the first object that another change modified after the base
+// revision.
 func (s *State) conflict(change *wire.Change) (Answer, bool) {
 	for _, o := range change.Objects {
 		held, ok := s.objects[objectKey{o.Kind, o.Name}]
@@ -256,6 +258,8 @@
 	return Answer{}, false
 }
 
+// applyEdits returns a copy of the document with the change applied, and the
+// faults of the result.
 func (s *State) applyEdits(change *wire.Change) (intent.Document, []string) {
 	next := s.document.Clone()
 	var faults []string
@@ -276,7 +280,7 @@
 	return next, append(faults, faultTexts(checkTouched(change, next))...)
 }
 
-// checkTouched checks the objects of a change and those that name them; the
+// checkTouched checks the objects of a change and those that refer to them. All
 // others were checked when they were accepted.
 func checkTouched(change *wire.Change, next intent.Document) []intent.Fault {
 	templates, services, teams := map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -308,7 +312,7 @@
 	return lines
 }
 
-// recordChange keeps the change id, the history and who made each object.
+// recordChange updates the outcomes, the history and the stored objects.
 func (s *State) recordChange(now time.Time, change *wire.Change) {
 	s.revision = s.index
 	s.recordOutcome(&wire.Outcome{ChangeId: change.Id, Kind: string(Accepted), Revision: s.revision})
@@ -341,7 +345,7 @@
 	}
 }
 
-// affected returns the services whose part of the table a change may alter.
+// affected returns the services whose entries in the table may change.
 func affected(change *wire.Change, before, after intent.Document) map[string]bool {
 	names := map[string]bool{}
 	for _, o := range change.Objects {
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -83,7 +83,7 @@
 	a := apply(t, s, change("bad", s.Revision(), object("service", "other", bad), object("team", "visa", `{"template":"none","services":["other","missing"],"parameters":{"idle":3,"frob":1}}`)))
 	g.Expect(a.Outcome).To(gomega.Equal(Invalid))
 	g.Expect(len(a.Faults)).To(gomega.BeNumerically(">=", 9), "%v", a.Faults)
-	g.Expect(s.Table().Service(2)).To(gomega.BeNil(), "an invalid change alters nothing")
+	g.Expect(s.Table().Service(2)).To(gomega.BeNil(), "an invalid change is not applied")
 }
 
 func TestEmptyingServiceNeedsConfirmation(t *testing.T) {
@@ -118,8 +118,8 @@
 	g.Expect(s.Table().Endpoint(1)).NotTo(gomega.BeNil())
 }
 
-// The state must be the same whichever way it was reached: by every command,
-// or by a snapshot in the middle and the rest.
+// Restoring snapshots between commands must give the same state as applying
+// all commands.
 func TestSnapshotEqualsReplay(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		whole := newStateWithService(rt, 4)
@@ -170,7 +170,7 @@
 	}
 }
 
-// The state goes only forward, by one command at a time.
+// A command whose index does not follow the last one must change nothing.
 func TestOutOfOrderCommandsAreRefused(t *testing.T) {
 	g := gomega.NewWithT(t)
 	s := newStateWithService(t, 3)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -1,8 +1,8 @@
-// Package member is the entry's side of control: it learns the replicated log
-// by beats to the leading control instance, holds the lease that lets the
-// entry decide, and makes the view that the traffic goroutine reads. State
-// goes only forward, by index, and only from a source that shows its term. It
-// has no input or output.
+// Package member keeps the control state of an entry instance. It follows the
+// replicated log through heartbeats to the leading control instance, holds the
+// lease under which the entry makes decisions, and builds the view used by the
+// traffic goroutine. The state never goes back to a lower index, and replies
+// with an older term are ignored. The package does no I/O.
 package member
 
 import (
@@ -17,19 +17,19 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// maxSteps bounds the tables that are kept for readers that were slow.
+// maxSteps limits the tables kept for a reader that skipped some of them.
 const maxSteps = 32
 
 type (
-	// Config names the entry.
+	// Config identifies the entry.
 	Config struct {
 		Name        string
 		Domain      string
-		Incarnation uint64 // differs in each life
+		Incarnation uint64 // differs after each restart
 		Peers       peer.Config
 	}
 
-	// Core is the entry's control state. One goroutine uses it.
+	// Core is the control state of an entry. It is not safe for concurrent use.
 	Core struct {
 		config      Config
 		state       *control.State
@@ -40,68 +40,70 @@
 		leaseUntil  time.Time
 		confirmed   time.Time
 		stopping    bool
-		leavingAt   uint64 // index from which the state lists it as leaving
+		leavingAt   uint64 // index at which the entry was first seen as leaving
 		download    download
 		steps       []*route.Table
 		stopped     bool
-		firstViewAt time.Time // of the first view
+		firstViewAt time.Time
 		view        *flow.View
 	}
 
-	// download is a snapshot that arrives in chunks.
+	// download is a partially received snapshot.
 	download struct {
 		index uint64
 		data  []byte
 	}
 )
 
-// New returns the core of an entry that knows nothing.
+// New returns a core with an empty state.
 func New(c Config) *Core {
 	return &Core{config: c, state: control.NewState(), peers: peer.New(c.Peers), view: &flow.View{Table: control.NewState().Table()}}
 }
 
-// State returns the learned state; it must not be changed.
+// State returns the replicated state; it must not be modified.
 func (c *Core) State() *control.State { return c.state }
 
-// Leader returns the name of the leading control instance last heard of.
+// Leader returns the name of the last known leading control instance.
 func (c *Core) Leader() string { return c.leader }
 
-// Term returns the highest term that a source has shown.
+// Term returns the highest term seen in a leader's reply.
 func (c *Core) Term() uint64 { return c.term }
 
-// Active returns the index up to which changes are in use.
+// Active returns the index up to which changes are in effect.
 func (c *Core) Active() uint64 { return c.active }
 
-// LeaseUntil returns until when the entry may decide.
+// LeaseUntil returns when the lease expires under which the entry makes
+// decisions.
 func (c *Core) LeaseUntil() time.Time { return c.leaseUntil }
 
-// Confirmed returns when a current leader last confirmed the state.
+// Confirmed returns the send time of the last heartbeat that renewed the lease.
 func (c *Core) Confirmed() time.Time { return c.confirmed }
 
-// Peers returns the tracker of the other entries.
+// Peers returns the tracker of the other entry instances.
 func (c *Core) Peers() *peer.Tracker { return c.peers }
 
-// Stop makes the following beats announce a planned stop.
+// Stop makes later heartbeats announce a planned stop.
 func (c *Core) Stop() { c.stopping = true }
 
-// Stopped makes the next beat the last: everything is handed over.
+// Stopped makes later heartbeats announce that the handover is complete.
 func (c *Core) Stopped() { c.stopped = true }
 
-// HasStopped reports whether the last beat was announced.
+// HasStopped reports whether the handover was marked as complete.
 func (c *Core) HasStopped() bool { return c.stopped }
 
-// Steps returns the last tables at which the entries changed, in order.
+// Steps returns the latest tables with a changed list of entry instances,
+// oldest first.
 func (c *Core) Steps() []*route.Table { return c.steps }
 
-// Leaving reports whether the state lists this entry as one that stops.
+// Leaving reports whether the state lists this entry as leaving.
 func (c *Core) Leaving() bool {
 	m, ok := c.state.Table().Member(c.config.Name)
 	return ok && m.Leaving()
 }
 
-// MayStop reports whether a planned stop may end the process: since it was
-// listed as leaving, one whole pass over its flows has been made and all that
-// the holders had to be told has been confirmed.
+// MayStop reports whether the process may exit in a planned stop: since the
+// entry was listed as leaving, it has counted all its flows once and no push
+// to the holders is unconfirmed.
 func (c *Core) MayStop(count flow.Count, backlog uint64) bool {
 	if !c.stopping || !c.Leaving() {
 		return false
@@ -112,13 +114,13 @@
 	return count.Index >= c.leavingAt && backlog == 0
 }
 
-// Listed reports whether the state lists this life of the entry.
+// Listed reports whether the state lists this incarnation of the entry.
 func (c *Core) Listed() bool {
 	m, ok := c.state.Table().Member(c.config.Name)
 	return ok && m.Incarnation() == c.config.Incarnation
 }
 
-// Request returns the next beat.
+// Request returns the next heartbeat.
 func (c *Core) Request(count flow.Count, loads []*wire.EndpointLoad) *wire.BeatRequest {
 	r := &wire.BeatRequest{
 		Name: c.config.Name, Domain: c.config.Domain, Incarnation: c.config.Incarnation,
@@ -131,11 +133,11 @@
 	return r
 }
 
-// Reply takes the answer to a beat that was sent at the given time. It
-// reports whether the state went forward, so that the next beat is due at once.
+// Reply handles the reply to a heartbeat sent at the given time. It reports
+// whether it made progress, so that the next heartbeat is due at once.
 func (c *Core) Reply(sent time.Time, r *wire.BeatReply) (bool, error) {
 	if r.Term < c.term {
-		return false, nil // an old leader's answer that came late
+		return false, nil // late reply of a previous leader
 	}
 	if r.LeaderName != "" {
 		c.leader = r.LeaderName
@@ -158,7 +160,7 @@
 	return c.state.Index() > before || len(c.download.data) > 0, nil
 }
 
-// applyLog applies what the reply brings of the log.
+// applyLog applies the log entries or the snapshot chunk of a reply.
 func (c *Core) applyLog(r *wire.BeatReply) error {
 	if s := r.Snapshot; s != nil {
 		return c.addSnapshotChunk(s)
@@ -176,8 +178,8 @@
 	return nil
 }
 
-// recordMemberChange keeps the table where the entries have changed. The slice is
-// copied, since views hold it.
+// recordMemberChange keeps the current table if the list of entry instances
+// has changed. The slice is copied, since views refer to it.
 func (c *Core) recordMemberChange(before []route.Member) {
 	if slices.Equal(before, c.state.Table().Members()) {
 		return
@@ -194,7 +196,7 @@
 		c.download = download{index: s.Index}
 	}
 	if s.Offset != uint64(len(c.download.data)) {
-		return nil // a chunk that came twice or out of order; the next beat says what is missing
+		return nil // duplicate or out of order; the next heartbeat states the expected offset
 	}
 	c.download.data = append(c.download.data, s.State...)
 	if uint64(len(c.download.data)) < s.Total {
@@ -207,14 +209,14 @@
 		return err
 	}
 	if state.Index() != s.Index {
-		return fault.New(fault.DamagedLog, "snapshot says index %d, its header %d", state.Index(), s.Index)
+		return fault.New(fault.DamagedLog, "snapshot contains index %d, its header says %d", state.Index(), s.Index)
 	}
 	c.state = state
 	return nil
 }
 
-// View returns the view for the traffic goroutine. It is the same value as
-// before where nothing has changed.
+// View returns the view for the traffic goroutine. It returns the same pointer
+// as before if nothing has changed.
 func (c *Core) View(now time.Time) *flow.View {
 	table := c.state.Table()
 	if c.firstViewAt.IsZero() {
@@ -223,7 +225,7 @@
 	lease := c.leaseUntil
 	reachable := c.peers.Reachable(now, table)
 	if now.Sub(c.firstViewAt) < c.config.Peers.HeardFor && len(reachable)+1 < len(table.Members()) {
-		lease = time.Time{} // it has not heard its peers yet: it would share records with nobody
+		lease = time.Time{} // without known peers its flow records would not be replicated
 	}
 	next := &flow.View{
 		Table: table, Steps: c.steps, Active: c.active, LeaseUntil: lease,
