--- a/internal/directory/members.go
+++ b/internal/directory/members.go
@@ -79,7 +79,7 @@
 // longer than maxListedSilence are forgotten.
 func (d *Directory) Roster(now time.Time) *wire.Roster {
 	r := &wire.Roster{Voters: d.replica.Voters(), Leader: d.replica.Leader(), Leads: d.replica.Current(now)}
-	r.Current = r.Leads || d.replica.Follows(now)
+	r.Current = r.Leads || d.replica.FollowsLeader(now)
 	r.Instances = append(r.Instances, &wire.ControlInstance{
 		Id: d.config.Self, Address: d.config.Address, Domain: d.config.Domain, Front: d.config.Front,
 	})
--- a/internal/directory/voters_test.go
+++ b/internal/directory/voters_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-// startFleet runs a new fleet without faults until it has the configured number
-// of voters.
+// startFleet runs a new fleet without faults and asserts that it reaches the
+// configured number of voters.
 func startFleet(instances, maxLosses int) *fleet {
 	f := newFleet(1, instances, maxLosses)
 	for range startupTime / testStep {
--- a/internal/replica/cluster_test.go
+++ b/internal/replica/cluster_test.go
@@ -49,8 +49,8 @@
 }
 
 type delivery struct {
-	at time.Time
-	m  *wire.LogMessage
+	at      time.Time
+	message *wire.LogMessage
 }
 
 func newCluster(t *testing.T, seed uint64, n int) *cluster {
@@ -178,17 +178,17 @@
 	c.now = c.now.Add(testStep)
 	batch := c.pending
 	c.pending = nil
-	for _, f := range batch {
-		if f.at.After(c.now) {
-			c.pending = append(c.pending, f)
+	for _, d := range batch {
+		if d.at.After(c.now) {
+			c.pending = append(c.pending, d)
 			continue
 		}
-		if to := c.byName(f.m.To); to != nil && to.running && !c.isolated[f.m.To] && !c.isolated[f.m.From] {
+		if to := c.byName(d.message.To); to != nil && to.running && !c.isolated[d.message.To] && !c.isolated[d.message.From] {
 			if to.pausedUntil.After(c.now) {
-				c.pending = append(c.pending, delivery{to.pausedUntil.Add(time.Millisecond), f.m})
+				c.pending = append(c.pending, delivery{to.pausedUntil.Add(time.Millisecond), d.message})
 				continue
 			}
-			to.replica.Step(c.clock(to), f.m)
+			to.replica.Step(c.clock(to), d.message)
 			c.processReady(to)
 		}
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -311,8 +311,8 @@
 	return entries, true
 }
 
-// Follows reports whether this instance is a follower and has heard from its
+// FollowsLeader reports whether this instance is a follower and has heard from its
 // leader within a lease.
-func (r *Replica) Follows(now time.Time) bool {
+func (r *Replica) FollowsLeader(now time.Time) bool {
 	return r.role == Follower && r.leader != "" && now.Before(r.noVoteBefore)
 }
