--- a/internal/control/compile.go
+++ b/internal/control/compile.go
@@ -10,24 +10,24 @@
 	"oxbowsaddle/internal/route"
 )
 
-// compile brings the affected services of the table to the document. It moves
-// no bucket: that is the placer's work, by commands of its own.
+// compile updates the affected services of the table from the document. It does
+// not move buckets; the controller does this with separate commands.
 func (s *State) compile(b *route.Builder, now time.Time, affected map[string]bool) {
 	for _, name := range slices.Sorted(maps.Keys(affected)) {
 		_, wanted := s.document.Service(name)
 		_, known := s.services[name]
 		switch {
-		case wanted && s.changed(b, name):
+		case wanted && s.needsUpdate(b, name):
 			s.putService(b, now, name)
 		case !wanted && known:
-			s.dropService(b, name)
+			s.removeService(b, name)
 		}
 	}
 }
 
-// changed reports whether a service or the team over it could differ from the
-// table; comparing is cheaper than copying the service's buckets.
-func (s *State) changed(b *route.Builder, name string) bool {
+// needsUpdate reports whether a service or its team's policy may differ from
+// the table. It avoids copying the buckets of unchanged services.
+func (s *State) needsUpdate(b *route.Builder, name string) bool {
 	id, known := s.services[name]
 	if !known {
 		return true
@@ -45,7 +45,7 @@
 		}
 		held++
 	}
-	return held != s.listed(have)
+	return held != s.countListed(have)
 }
 
 func sameEndpoint(have *route.Endpoint, want intent.Endpoint) bool {
@@ -53,11 +53,12 @@
 		have.Connections() == want.Connections && have.Leaving() == want.Leaving
 }
 
-// listed counts the endpoints that the document still named at last compile.
-func (s *State) listed(have *route.Service) int {
+// countListed counts the endpoints that the document listed when the service
+// was last compiled.
+func (s *State) countListed(have *route.Service) int {
 	n := 0
 	for _, id := range have.Endpoints() {
-		if !s.leavers[id].removed {
+		if !s.leavingEndpoints[id].removed {
 			n++
 		}
 	}
@@ -68,8 +69,8 @@
 	service, _ := s.document.Service(name)
 	id, known := s.services[name]
 	if !known {
-		id = s.nextSvc
-		s.nextSvc++
+		id = s.nextServiceID
+		s.nextServiceID++
 		s.services[name] = id
 	}
 	b.PutService(id, name, s.document.Classes(name), s.document.Policy(name), route.BucketsFor(len(service.Endpoints)))
@@ -79,38 +80,38 @@
 	}
 	for _, old := range b.Table().EndpointsOf(id) {
 		if !named[old.ID()] {
-			s.leave(b, now, old)
+			s.markRemoved(b, now, old)
 		}
 	}
 }
 
-// putEndpoint brings one endpoint to the document. The address is its
-// identity: under another address it is another place with its own flows.
+// putEndpoint adds or updates an endpoint. Endpoints are identified by address:
+// a changed address makes a new endpoint with its own flows.
 func (s *State) putEndpoint(b *route.Builder, now time.Time, service uint32, e intent.Endpoint) uint32 {
 	var id uint32
 	if have := b.Table().EndpointAt(e.Address); have != nil {
 		id = have.ID()
 	} else {
-		id = s.nextID
-		s.nextID++
+		id = s.nextEndpointID
+		s.nextEndpointID++
 	}
 	b.PutEndpoint(route.NewEndpoint(route.EndpointConfig{
 		ID: id, Service: service, Name: e.Name, Addr: e.Address, Health: e.Health, Domain: e.Domain,
 		Slots: e.Slots, Connections: e.Connections, Leaving: e.Leaving,
 	}))
 	if !e.Leaving {
-		delete(s.leavers, id)
-	} else if l, already := s.leavers[id]; already {
-		s.leavers[id] = leaver{since: l.since}
+		delete(s.leavingEndpoints, id)
+	} else if l, already := s.leavingEndpoints[id]; already {
+		s.leavingEndpoints[id] = leavingEndpoint{since: l.since}
 	} else {
-		s.leavers[id] = leaver{since: now}
+		s.leavingEndpoints[id] = leavingEndpoint{since: now}
 	}
 	return id
 }
 
-// heldElsewhere returns a fault for each endpoint address of the affected
-// services that another service still has flows on.
-func (s *State) heldElsewhere(next intent.Document, affected map[string]bool) []string {
+// addressConflicts returns a fault for each endpoint address of the affected
+// services that the table still holds for another service.
+func (s *State) addressConflicts(next intent.Document, affected map[string]bool) []string {
 	var faults []string
 	for _, name := range slices.Sorted(maps.Keys(affected)) {
 		service, _ := next.Service(name)
@@ -124,43 +125,44 @@
 	return faults
 }
 
-// leave marks an endpoint that the document no longer names: it stays in the
-// table without new work until no bucket is on it.
-func (s *State) leave(b *route.Builder, now time.Time, e *route.Endpoint) {
-	l, already := s.leavers[e.ID()]
+// markRemoved marks an endpoint that the document no longer lists. It stays in
+// the table without new work until no bucket uses it.
+func (s *State) markRemoved(b *route.Builder, now time.Time, e *route.Endpoint) {
+	l, already := s.leavingEndpoints[e.ID()]
 	if !already {
 		l.since = now
 	}
 	l.removed = true
-	s.leavers[e.ID()] = l
+	s.leavingEndpoints[e.ID()] = l
 	b.PutEndpoint(route.NewEndpoint(route.EndpointConfig{
 		ID: e.ID(), Service: e.Service(), Name: e.Name(), Addr: e.Addr(), Health: e.Health(), Domain: e.Domain(),
 		Slots: e.Slots(), Connections: e.Connections(), Leaving: true,
 	}))
 }
 
-func (s *State) dropService(b *route.Builder, name string) {
+func (s *State) removeService(b *route.Builder, name string) {
 	id := s.services[name]
 	for _, e := range b.Table().EndpointsOf(id) {
-		delete(s.leavers, e.ID())
+		delete(s.leavingEndpoints, e.ID())
 	}
 	b.RemoveService(id)
 	delete(s.services, name)
 }
 
-// forgetRemoved drops endpoints that the document no longer names and that no
-// bucket is on or has its flows on.
-func (s *State) forgetRemoved(b *route.Builder) {
-	for _, id := range slices.Sorted(maps.Keys(s.leavers)) {
-		if !s.leavers[id].removed || InUse(b.Table(), id) {
+// deleteRemovedEndpoints deletes endpoints that the document no longer lists
+// and that no bucket uses.
+func (s *State) deleteRemovedEndpoints(b *route.Builder) {
+	for _, id := range slices.Sorted(maps.Keys(s.leavingEndpoints)) {
+		if !s.leavingEndpoints[id].removed || InUse(b.Table(), id) {
 			continue
 		}
 		b.RemoveEndpoint(id)
-		delete(s.leavers, id)
+		delete(s.leavingEndpoints, id)
 	}
 }
 
-// InUse reports whether a bucket is on an endpoint or may have flows there.
+// InUse reports whether a bucket is assigned to an endpoint or may still have
+// flows on it.
 func InUse(t *route.Table, endpoint uint32) bool {
 	e := t.Endpoint(endpoint)
 	if e == nil {
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -1,7 +1,8 @@
-// Package control is the state machine that the replicated log drives: the
-// operators' document, the live entries and the route table. Applying the
-// same commands in the same order gives the same state on every instance; no
-// clock, random number or map order enters.
+// Package control implements the state machine of the replicated log: the
+// operators' document, the live entry instances and the route table. It is
+// deterministic: applying the same commands in the same order gives the same
+// state on every instance. It must not depend on the clock, random numbers or
+// map order.
 package control
 
 import (
@@ -20,10 +21,9 @@
 )
 
 const (
-	// outcomeLimit bounds the change ids that are remembered: more than a day
-	// at the size to design for. An operator resends within minutes.
+	// outcomeLimit is the number of change ids kept to detect resent changes.
 	outcomeLimit = 20000
-	// historyLimit bounds the changes that can be shown and reverted.
+	// historyLimit is the number of changes kept to be shown and reverted.
 	historyLimit = 500
 )
 
@@ -37,11 +37,10 @@
 )
 
 type (
-	// Outcome is one of the closed list of answers that the state machine
-	// gives to a change.
+	// Outcome tells how a change was answered; it is one of the constants above.
 	Outcome string
 
-	// Answer is the outcome of a change with what belongs to it.
+	// Answer is the outcome of a change with its details.
 	Answer struct {
 		Outcome  Outcome
 		Revision uint64
@@ -53,42 +52,42 @@
 		kind, name string
 	}
 
-	// leaver is an endpoint that takes no new work.
-	leaver struct {
+	// leavingEndpoint is an endpoint that takes no new work.
+	leavingEndpoint struct {
 		since   time.Time
-		removed bool
+		removed bool // no longer listed by the document
 	}
 
-	// State is the control state. One goroutine owns it; what it publishes
-	// (Table, Document) is immutable.
+	// State is the control state. It is not safe for concurrent use, but its
+	// Table and Document are immutable.
 	State struct {
-		index    uint64
-		revision uint64
-		checksum uint64
-		table    *route.Table
-		document intent.Document
-		objects  map[objectKey]*wire.StoredObject
-		outcomes map[string]*wire.Outcome
-		order    []string // change ids in the order they came
-		history  []*wire.HistoryEntry
-		leavers  map[uint32]leaver
-		services map[string]uint32
-		nextID   uint32
-		nextSvc  uint32
+		index            uint64
+		revision         uint64
+		checksum         uint64
+		table            *route.Table
+		document         intent.Document
+		objects          map[objectKey]*wire.StoredObject
+		outcomes         map[string]*wire.Outcome
+		outcomeOrder     []string // change ids, oldest first
+		history          []*wire.HistoryEntry
+		leavingEndpoints map[uint32]leavingEndpoint
+		services         map[string]uint32
+		nextEndpointID   uint32
+		nextServiceID    uint32
 	}
 )
 
 // NewState returns the state before the first command.
 func NewState() *State {
 	return &State{
-		table:    route.Empty(),
-		document: intent.NewDocument(),
-		objects:  map[objectKey]*wire.StoredObject{},
-		outcomes: map[string]*wire.Outcome{},
-		leavers:  map[uint32]leaver{},
-		services: map[string]uint32{},
-		nextID:   1,
-		nextSvc:  1,
+		table:            route.Empty(),
+		document:         intent.NewDocument(),
+		objects:          map[objectKey]*wire.StoredObject{},
+		outcomes:         map[string]*wire.Outcome{},
+		leavingEndpoints: map[uint32]leavingEndpoint{},
+		services:         map[string]uint32{},
+		nextEndpointID:   1,
+		nextServiceID:    1,
 	}
 }
 
@@ -98,8 +97,8 @@
 // Revision returns the index of the last accepted change.
 func (s *State) Revision() uint64 { return s.revision }
 
-// Checksum returns a hash of every command that was applied, in order. Two
-// instances at the same index with different sums do not have the same log.
+// Checksum returns a hash over all applied commands. If it differs between two
+// instances at the same index, their logs differ.
 func (s *State) Checksum() uint64 { return s.checksum }
 
 // Table returns the immutable route table.
@@ -108,34 +107,36 @@
 // Document returns the operators' document; it must not be changed.
 func (s *State) Document() intent.Document { return s.document }
 
-// History returns the accepted changes, the oldest first.
+// History returns the latest accepted changes, oldest first.
 func (s *State) History() []*wire.HistoryEntry { return s.history }
 
-// LeavingSince returns when an endpoint began to leave, and whether it does.
+// LeavingSince returns when an endpoint started leaving, and false if it is not
+// leaving.
 func (s *State) LeavingSince(endpoint uint32) (time.Time, bool) {
-	l, ok := s.leavers[endpoint]
+	l, ok := s.leavingEndpoints[endpoint]
 	return l.since, ok
 }
 
-// Apply applies one committed command. Commands that are at or below the
-// index are refused: the state goes only forward.
+// Apply applies one committed command. It fails unless index directly follows
+// the last applied one.
 func (s *State) Apply(index uint64, command []byte) (Answer, error) {
 	if index != s.index+1 {
-		return Answer{}, fault.New(fault.Internal, "apply index %d after %d", index, s.index)
+		return Answer{}, fault.New(fault.Internal, "cannot apply index %d after %d", index, s.index)
 	}
 	c := &wire.Command{}
 	if err := proto.Unmarshal(command, c); err != nil {
 		return Answer{}, fault.Wrap(fault.DamagedLog, fmt.Errorf("command at index %d: %w", index, err))
 	}
 	s.index = index
-	s.checksum = chain(s.checksum, index, command)
+	s.checksum = chainChecksum(s.checksum, index, command)
 	b := route.NewBuilder(s.table, index)
 	answer := s.applyBody(b, c)
 	s.table = b.Table()
 	return answer, nil
 }
 
-func chain(sum, index uint64, command []byte) uint64 {
+// chainChecksum extends a checksum by the command at an index.
+func chainChecksum(sum, index uint64, command []byte) uint64 {
 	return siphash.Hash(sum, index, command)
 }
 
@@ -147,7 +148,7 @@
 	return Answer{Outcome: Accepted, Revision: s.revision}
 }
 
-// applyDecision applies what the controller has decided.
+// applyDecision applies a decision of the controller.
 func (s *State) applyDecision(b *route.Builder, c *wire.Command) {
 	switch body := c.Body.(type) {
 	case *wire.Command_Moves:
@@ -158,7 +159,7 @@
 		for _, bucket := range body.Settle.Buckets {
 			b.Settle(body.Settle.Service, bucket)
 		}
-		s.forgetRemoved(b)
+		s.deleteRemovedEndpoints(b)
 	case *wire.Command_Flip:
 		for _, bucket := range body.Flip.Buckets {
 			b.Flip(body.Flip.Service, bucket)
@@ -203,7 +204,7 @@
 	}
 }
 
-// Preview tells what a change would answer now, without applying it.
+// Preview returns the answer that a change would get now, without applying it.
 func (s *State) Preview(change *wire.Change) Answer {
 	answer, _ := s.preview(change)
 	return answer
@@ -213,17 +214,17 @@
 	if o, ok := s.outcomes[change.Id]; ok {
 		return Answer{Outcome: AlreadyAccepted, Revision: o.Revision, Detail: o.Detail}, s.document
 	}
-	if a, lost := s.conflict(change); lost {
+	if a, conflicts := s.conflict(change); conflicts {
 		return a, s.document
 	}
-	next, faults := s.edit(change)
-	touched := affected(change, s.document, next)
-	faults = append(faults, s.heldElsewhere(next, touched)...)
+	next, faults := s.applyEdits(change)
+	services := affected(change, s.document, next)
+	faults = append(faults, s.addressConflicts(next, services)...)
 	if len(faults) > 0 {
 		return Answer{Outcome: Invalid, Faults: faults, Detail: fmt.Sprintf("%d faults", len(faults))}, next
 	}
-	if warnings := intent.Warnings(s.document, next, slices.Sorted(maps.Keys(touched))); len(warnings) > 0 && !change.Confirmed {
-		return Answer{Outcome: Unconfirmed, Faults: texts(warnings), Detail: "a service would be emptied"}, next
+	if warnings := intent.Warnings(s.document, next, slices.Sorted(maps.Keys(services))); len(warnings) > 0 && !change.Confirmed {
+		return Answer{Outcome: Unconfirmed, Faults: faultTexts(warnings), Detail: "a service would be emptied"}, next
 	}
 	return Answer{Outcome: Accepted}, next
 }
@@ -231,9 +232,9 @@
 func (s *State) applyChange(b *route.Builder, now time.Time, change *wire.Change) Answer {
 	answer, next := s.preview(change)
 	if answer.Outcome != Accepted {
-		return answer // only an accepted id is remembered: the others may be mended and sent again
+		return answer // not recorded, so that a corrected change can be sent with the same id
 	}
-	s.remember(now, change)
+	s.recordChange(now, change)
 	before := s.document
 	s.document = next
 	s.compile(b, now, affected(change, before, next))
@@ -241,7 +242,8 @@
 	return answer
 }
 
-// conflict finds the first object that another change took after the base.
+// conflict finds the first object that another change modified after the base
+// revision.
 func (s *State) conflict(change *wire.Change) (Answer, bool) {
 	for _, o := range change.Objects {
 		held, ok := s.objects[objectKey{o.Kind, o.Name}]
@@ -256,7 +258,9 @@
 	return Answer{}, false
 }
 
-func (s *State) edit(change *wire.Change) (intent.Document, []string) {
+// applyEdits returns a copy of the document with the change applied, and the
+// faults of the result.
+func (s *State) applyEdits(change *wire.Change) (intent.Document, []string) {
 	next := s.document.Clone()
 	var faults []string
 	if change.Id == "" || len(change.Objects) == 0 {
@@ -273,10 +277,10 @@
 			faults = append(faults, fmt.Sprintf("%s %s: %s", o.Kind, o.Name, err))
 		}
 	}
-	return next, append(faults, texts(checkTouched(change, next))...)
+	return next, append(faults, faultTexts(checkTouched(change, next))...)
 }
 
-// checkTouched checks the objects of a change and those that name them; the
+// checkTouched checks the objects of a change and those that refer to them. All
 // others were checked when they were accepted.
 func checkTouched(change *wire.Change, next intent.Document) []intent.Fault {
 	templates, services, teams := map[string]bool{}, map[string]bool{}, map[string]bool{}
@@ -300,7 +304,7 @@
 	return next.CheckOnly(sorted(templates), sorted(services), sorted(teams))
 }
 
-func texts(faults []intent.Fault) []string {
+func faultTexts(faults []intent.Fault) []string {
 	var lines []string
 	for _, f := range faults {
 		lines = append(lines, f.String())
@@ -308,10 +312,10 @@
 	return lines
 }
 
-// remember keeps the change id, the history and who made each object.
-func (s *State) remember(now time.Time, change *wire.Change) {
+// recordChange updates the outcomes, the history and the stored objects.
+func (s *State) recordChange(now time.Time, change *wire.Change) {
 	s.revision = s.index
-	s.keepOutcome(&wire.Outcome{ChangeId: change.Id, Kind: string(Accepted), Revision: s.revision})
+	s.recordOutcome(&wire.Outcome{ChangeId: change.Id, Kind: string(Accepted), Revision: s.revision})
 	entry := &wire.HistoryEntry{Revision: s.revision, UnixNano: now.UnixNano(), Change: change}
 	for _, o := range change.Objects {
 		key := objectKey{o.Kind, o.Name}
@@ -332,16 +336,16 @@
 	}
 }
 
-func (s *State) keepOutcome(o *wire.Outcome) {
+func (s *State) recordOutcome(o *wire.Outcome) {
 	s.outcomes[o.ChangeId] = o
-	s.order = append(s.order, o.ChangeId)
-	if len(s.order) > outcomeLimit {
-		delete(s.outcomes, s.order[0])
-		s.order = s.order[1:]
+	s.outcomeOrder = append(s.outcomeOrder, o.ChangeId)
+	if len(s.outcomeOrder) > outcomeLimit {
+		delete(s.outcomes, s.outcomeOrder[0])
+		s.outcomeOrder = s.outcomeOrder[1:]
 	}
 }
 
-// affected returns the services whose part of the table a change may alter.
+// affected returns the services whose entries in the table may change.
 func affected(change *wire.Change, before, after intent.Document) map[string]bool {
 	names := map[string]bool{}
 	for _, o := range change.Objects {
@@ -349,18 +353,18 @@
 		case intent.KindService:
 			names[o.Name] = true
 		case intent.KindTeam:
-			addTeam(names, before, o.Name)
-			addTeam(names, after, o.Name)
+			addTeamServices(names, before, o.Name)
+			addTeamServices(names, after, o.Name)
 		case intent.KindTemplate:
 			for _, team := range after.TeamsOf(o.Name) {
-				addTeam(names, after, team)
+				addTeamServices(names, after, team)
 			}
 		}
 	}
 	return names
 }
 
-func addTeam(names map[string]bool, d intent.Document, team string) {
+func addTeamServices(names map[string]bool, d intent.Document, team string) {
 	t, _ := d.Team(team)
 	for _, s := range t.Services {
 		names[s] = true
--- a/internal/directory/members.go
+++ b/internal/directory/members.go
@@ -8,18 +8,18 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// listedFor is how long an instance that was heard of stays in rosters.
-const listedFor = 20 * time.Second
+// maxListedSilence is how long a silent instance stays in rosters.
+const maxListedSilence = 20 * time.Second
 
-// peer is a control instance that was heard of.
+// peer is another control instance known from rosters.
 type peer struct {
-	instance *wire.ControlInstance
-	heard    time.Time
+	instance  *wire.ControlInstance
+	lastHeard time.Time
 }
 
-// Hear takes the roster of another control instance, which names itself
-// first. An id at the address of another one has replaced it: the disk that
-// kept the old id is lost.
+// Hear updates the known peers from the roster of another control instance,
+// which lists itself first. An instance that reports a new id at a known
+// address has lost its disk, so the previous id is marked as replaced.
 func (d *Directory) Hear(now time.Time, roster *wire.Roster) {
 	for i, c := range roster.Instances {
 		if c.Id == d.config.Self || d.replaced[c.Id] {
@@ -28,20 +28,20 @@
 		heard := now.Add(-time.Duration(c.AgeNanos))
 		if i == 0 {
 			heard = now
-			d.replace(c)
-		} else if d.addressTaken(c) || now.Sub(heard) > listedFor {
+			d.markReplaced(c)
+		} else if d.addressTaken(c) || now.Sub(heard) > maxListedSilence {
 			continue
 		}
 		if p := d.peers[c.Id]; p == nil {
 			d.peers[c.Id] = &peer{c, heard}
-		} else if heard.After(p.heard) {
-			p.heard, p.instance = heard, c
+		} else if heard.After(p.lastHeard) {
+			p.lastHeard, p.instance = heard, c
 		}
 	}
 }
 
-// replace marks the other ids at the address of an instance as replaced.
-func (d *Directory) replace(c *wire.ControlInstance) {
+// markReplaced marks the other ids at the address of an instance as replaced.
+func (d *Directory) markReplaced(c *wire.ControlInstance) {
 	for id, p := range d.peers {
 		if id != c.Id && p.instance.Address == c.Address {
 			d.replaced[id] = true
@@ -55,8 +55,8 @@
 	}
 }
 
-// addressTaken reports whether the address of an instance that another one
-// names is that of this instance or of another one that was heard of.
+// addressTaken reports whether the address of an instance belongs to this
+// instance or to a known peer with another id.
 func (d *Directory) addressTaken(c *wire.ControlInstance) bool {
 	if c.Address == d.config.Address {
 		return true
@@ -69,23 +69,23 @@
 	return false
 }
 
-// AddressOf returns the peer address that an id was made at.
+// AddressOf returns the peer address contained in an id.
 func AddressOf(id string) string {
 	address, _, _ := strings.Cut(id, "#")
 	return address
 }
 
-// Roster lists this instance first, then the others that it heard of within
-// listedFor, by id; it drops those that it heard of earlier.
+// Roster lists this instance first, then its peers by id. Peers silent for
+// longer than maxListedSilence are forgotten.
 func (d *Directory) Roster(now time.Time) *wire.Roster {
 	r := &wire.Roster{Voters: d.replica.Voters(), Leader: d.replica.Leader(), Leads: d.replica.Current(now)}
-	r.Current = r.Leads || d.replica.Follows(now)
+	r.Current = r.Leads || d.replica.FollowsLeader(now)
 	r.Instances = append(r.Instances, &wire.ControlInstance{
 		Id: d.config.Self, Address: d.config.Address, Domain: d.config.Domain, Front: d.config.Front,
 	})
 	for id, p := range d.peers {
-		age := now.Sub(p.heard)
-		if age > listedFor {
+		age := now.Sub(p.lastHeard)
+		if age > maxListedSilence {
 			delete(d.peers, id)
 			continue
 		}
@@ -98,7 +98,8 @@
 	return r
 }
 
-// Addresses returns where the other control instances may be called.
+// Addresses returns the sorted addresses of the known peers and voters, without
+// this instance's own.
 func (d *Directory) Addresses() []string {
 	var all []string
 	addOther := func(address string) {
@@ -116,7 +117,8 @@
 	return all
 }
 
-// Front returns the address for operators of an instance, or "".
+// Front returns the address for operators and endpoints of an instance, or ""
+// if it is unknown.
 func (d *Directory) Front(id string) string {
 	if id == d.config.Self {
 		return d.config.Front
--- a/internal/directory/voters_test.go
+++ b/internal/directory/voters_test.go
@@ -7,50 +7,52 @@
 	. "github.com/onsi/gomega"
 )
 
-// elect lets a fleet run undisturbed until its voters are as many as wanted.
-func elect(machines, losses int) *fleet {
-	f := newFleet(1, machines, losses)
-	for range begin / testStep {
+// startFleet runs a new fleet without faults and asserts that it reaches the
+// configured number of voters.
+func startFleet(instances, maxLosses int) *fleet {
+	f := newFleet(1, instances, maxLosses)
+	for range startupTime / testStep {
 		f.step()
 	}
 	f.checkVoters()
 	return f
 }
 
-func (f *fleet) rest(d time.Duration) {
+// runFor runs the fleet without new faults.
+func (f *fleet) runFor(d time.Duration) {
 	for range d / testStep {
 		f.step()
 	}
 }
 
-// leader returns the machine that leads.
-func (f *fleet) leader() *machine {
-	for _, m := range f.machines {
-		if m.d != nil && m.d.Status(f.now).Current {
-			return m
+// leader returns the current leader, or nil.
+func (f *fleet) leader() *instance {
+	for _, inst := range f.instances {
+		if inst.d != nil && inst.d.Status(f.now).Current {
+			return inst
 		}
 	}
 	return nil
 }
 
-// acknowledge puts a document and waits until it is committed.
-func (f *fleet) acknowledge() {
-	before := f.acked
+// commitDocument proposes documents until one is acknowledged.
+func (f *fleet) commitDocument() {
+	before := f.ackedVersion
 	for range 2000 {
-		if f.order(); f.acked > before {
+		if f.proposeNext(); f.ackedVersion > before {
 			return
 		}
 		f.step()
 	}
-	Fail("nothing is acknowledged")
+	Fail("no document is acknowledged")
 }
 
 var _ = Describe("the voters", func() {
-	It("grow from the seeds to what the tolerance needs, spread over the failure domains", func() {
-		f := elect(6, 2)
+	It("grow from the founders to the configured number, spread over the failure domains", func() {
+		f := startFleet(6, 2)
 		domains := map[string]int{}
 		for _, id := range f.leader().d.Status(f.now).Voters {
-			domains[f.at(AddressOf(id)).domain]++
+			domains[f.byAddress(AddressOf(id)).domain]++
 		}
 		Expect(domains).To(HaveLen(3))
 		for _, n := range domains {
@@ -58,74 +60,74 @@
 		}
 	})
 
-	It("replace a machine that is gone for good by an empty one at another address", func() {
-		f := elect(3, 1)
-		f.acknowledge()
-		f.replace(f.leader())
-		f.rest(time.Second)
-		f.mend()
-		f.rest(catchUp)
+	It("replace a lost instance by an empty one at another address", func() {
+		f := startFleet(3, 1)
+		f.commitDocument()
+		f.replaceInstance(f.leader())
+		f.runFor(time.Second)
+		f.restartStopped()
+		f.runFor(catchUpTime)
 		f.checkVoters()
 	})
 
-	It("bear that a newcomer loses its disk again before it has caught up", func() {
-		f := elect(5, 2)
-		f.acknowledge()
-		first, second := f.machines[0], f.machines[1]
+	It("survive a new instance losing its disk before it has caught up", func() {
+		f := startFleet(5, 2)
+		f.commitDocument()
+		first, second := f.instances[0], f.instances[1]
 		f.wipe(first)
-		f.replace(second)
-		f.mend()
-		f.rest(500 * time.Millisecond)
-		f.wipe(f.machines[1])
-		f.rest(3 * time.Second)
-		f.acknowledge()
-		f.mend()
-		f.rest(catchUp)
-		f.finish()
+		f.replaceInstance(second)
+		f.restartStopped()
+		f.runFor(500 * time.Millisecond)
+		f.wipe(f.instances[1])
+		f.runFor(3 * time.Second)
+		f.commitDocument()
+		f.restartStopped()
+		f.runFor(catchUpTime)
+		f.recoverAndCheck()
 	})
 
-	It("find the acknowledged when its holder's disk is lost as all others lose power", func() {
-		f := elect(3, 1)
-		behind := f.machines[2]
-		if behind == f.leader() {
-			behind = f.machines[1]
+	It("keep acknowledged documents when the leader's disk is lost in a power outage", func() {
+		f := startFleet(3, 1)
+		lagging := f.instances[2]
+		if lagging == f.leader() {
+			lagging = f.instances[1]
 		}
-		f.cutOff(behind) // misses the last changes
-		f.acknowledge()
-		f.acknowledge()
+		f.isolate(lagging) // misses the next two documents
+		f.commitDocument()
+		f.commitDocument()
 		f.wipe(f.leader())
-		f.powerOff()
-		f.mend()
-		f.finish()
+		f.stopAll()
+		f.restartStopped()
+		f.recoverAndCheck()
 	})
 
-	It("do not count an empty disk as a vote, whatever the rest of the machines do", func() {
-		f := elect(3, 1)
-		f.acknowledge()
-		holder, behind := f.machines[0], f.machines[1]
-		f.wipe(behind)
-		f.stop(f.machines[2])
+	It("do not include an instance with an empty disk, even if all others are stopped", func() {
+		f := startFleet(3, 1)
+		f.commitDocument()
+		holder, lagging := f.instances[0], f.instances[1]
+		f.wipe(lagging)
+		f.stop(f.instances[2])
 		f.stop(holder)
-		f.start(behind)
-		f.rest(5 * time.Second)
-		Expect(behind.d.Status(f.now).Role).To(Equal("follower"))
-		Expect(behind.d.Status(f.now).Voters).To(BeEmpty())
-		f.finish()
+		f.start(lagging)
+		f.runFor(5 * time.Second)
+		Expect(lagging.d.Status(f.now).Role).To(Equal("follower"))
+		Expect(lagging.d.Status(f.now).Voters).To(BeEmpty())
+		f.recoverAndCheck()
 	})
 
-	It("offer after a restart only what was committed, not what was merely written", func() {
-		f := elect(3, 1)
-		f.acknowledge()
-		alone, before := f.leader(), f.acked
-		f.cutOff(alone)
-		alone.hint = alone.d.Status(f.now).Commit
-		_, done, err := alone.d.Put(f.now, f.document(before+10))
+	It("restore only committed documents after a restart", func() {
+		f := startFleet(3, 1)
+		f.commitDocument()
+		isolated, before := f.leader(), f.ackedVersion
+		f.isolate(isolated)
+		isolated.committedHint = isolated.d.Status(f.now).Commit
+		_, done, err := isolated.d.Put(f.now, f.document(before+10))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(done).To(BeFalse())
-		f.process(alone)
-		f.stop(alone)
-		alone.disk.Restart(0)
-		f.start(alone)
-		Expect(alone.d.Document().Version()).To(Equal(before))
+		f.processReady(isolated)
+		f.stop(isolated)
+		isolated.disk.Restart(0)
+		f.start(isolated)
+		Expect(isolated.d.Document().Version()).To(Equal(before))
 	})
 })
--- a/internal/replica/election.go
+++ b/internal/replica/election.go
@@ -7,20 +7,21 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// startElection asks for votes; first by a pre-vote, which changes nothing at
-// the others, so that an instance that was cut off does not disturb them.
+// startElection requests votes. A pre-vote comes first: it changes no state on
+// the other voters, so that an instance returning from a partition does not
+// raise their term.
 func (r *Replica) startElection(now time.Time, preVote bool) {
 	r.role, r.leader, r.preVote = Candidate, "", preVote
 	r.votes = map[string]bool{r.config.Self: true}
-	r.resetElection(now)
-	kind, term := wire.LogMessage_PRE_VOTE, r.hard.Term+1
+	r.resetElectionDeadline(now)
+	kind, term := wire.LogMessage_PRE_VOTE, r.hardState.Term+1
 	if !preVote {
-		r.setHard(r.hard.Term+1, r.config.Self)
+		r.setHardState(r.hardState.Term+1, r.config.Self)
 		kind = wire.LogMessage_VOTE
 	}
 	for _, name := range r.log.voters() {
 		if name != r.config.Self {
-			r.send(&wire.LogMessage{Kind: kind, Term: term, To: name, Index: r.log.last(), LogTerm: r.log.term(r.log.last())})
+			r.send(&wire.LogMessage{Kind: kind, Term: term, To: name, Index: r.log.lastIndex(), LogTerm: r.log.term(r.log.lastIndex())})
 		}
 	}
 	r.countVotes(now)
@@ -40,37 +41,39 @@
 		r.startElection(now, false)
 		return
 	}
-	r.lead(now)
+	r.becomeLeader(now)
 }
 
-// lead begins a term: an entry of the own term must be committed before
-// anything is served, since only then all earlier ones are known to be.
-func (r *Replica) lead(now time.Time) {
+// becomeLeader starts leading the current term. It appends an entry, since
+// earlier entries are known to be committed only once one of the leader's own
+// term is.
+func (r *Replica) becomeLeader(now time.Time) {
 	r.role, r.leader = Leader, r.config.Self
 	r.followers = map[string]*progress{}
-	// It names the control instances, so that from the first term on the log
-	// says who they are, whatever the settings are changed to.
-	r.firstIndex = r.append(&wire.LogEntry{Voters: r.log.voters()})
+	// The entry lists the voters, so that the log rather than the settings
+	// defines them from the first term on.
+	r.termFirstIndex = r.append(&wire.LogEntry{Voters: r.log.voters()})
 	r.broadcast(now)
 }
 
-func (r *Replica) setHard(term uint64, vote string) {
-	r.hard = &wire.HardState{Term: term, Vote: vote}
-	r.hardDirty = true
+func (r *Replica) setHardState(term uint64, vote string) {
+	r.hardState = &wire.HardState{Term: term, Vote: vote}
+	r.hardStateChanged = true
 }
 
-// follow steps down into a term.
-func (r *Replica) follow(now time.Time, term uint64, leader string) {
-	if term > r.hard.Term {
-		r.setHard(term, "")
+// becomeFollower follows a leader, "" where it is unknown, and adopts the term
+// if it is higher.
+func (r *Replica) becomeFollower(now time.Time, term uint64, leader string) {
+	if term > r.hardState.Term {
+		r.setHardState(term, "")
 	}
 	if r.role != Follower {
-		r.resetElection(now)
+		r.resetElectionDeadline(now)
 	}
 	r.role, r.leader = Follower, leader
 }
 
-// Step takes a message of another control instance.
+// Step handles a message from another control instance.
 func (r *Replica) Step(now time.Time, m *wire.LogMessage) {
 	switch m.Kind {
 	case wire.LogMessage_PRE_VOTE:
@@ -83,11 +86,11 @@
 		r.onVote(now, m)
 		return
 	}
-	if m.Term > r.hard.Term {
-		r.follow(now, m.Term, "")
+	if m.Term > r.hardState.Term {
+		r.becomeFollower(now, m.Term, "")
 	}
-	if m.Term < r.hard.Term {
-		r.rejectOld(m)
+	if m.Term < r.hardState.Term {
+		r.rejectStaleTerm(m)
 		return
 	}
 	switch m.Kind {
@@ -105,52 +108,52 @@
 	}
 }
 
-// rejectOld tells a sender of an old term about the present one.
-func (r *Replica) rejectOld(m *wire.LogMessage) {
+// rejectStaleTerm replies to a leader of an older term with the current one.
+func (r *Replica) rejectStaleTerm(m *wire.LogMessage) {
 	if m.Kind == wire.LogMessage_APPEND || m.Kind == wire.LogMessage_SNAPSHOT {
-		r.send(&wire.LogMessage{Kind: wire.LogMessage_APPEND_REPLY, Term: r.hard.Term, To: m.From})
+		r.send(&wire.LogMessage{Kind: wire.LogMessage_APPEND_REPLY, Term: r.hardState.Term, To: m.From})
 	}
 }
 
 func (r *Replica) onPreVote(now time.Time, m *wire.LogMessage) {
-	granted := m.Term > r.hard.Term && r.log.upToDate(m.Index, m.LogTerm) && r.free(now)
+	granted := m.Term > r.hardState.Term && r.log.upToDate(m.Index, m.LogTerm) && r.mayVote(now)
 	term := m.Term
 	if !granted {
-		term = r.hard.Term // so that one that was away learns the term
+		term = r.hardState.Term // lets a candidate with an older term catch up
 	}
 	r.send(&wire.LogMessage{Kind: wire.LogMessage_PRE_VOTE_REPLY, Term: term, To: m.From, Granted: granted})
 }
 
 func (r *Replica) onPreVoteReply(now time.Time, m *wire.LogMessage) {
 	switch {
-	case !m.Granted && m.Term > r.hard.Term:
-		r.follow(now, m.Term, "")
-	case m.Granted && r.role == Candidate && r.preVote && m.Term == r.hard.Term+1:
+	case !m.Granted && m.Term > r.hardState.Term:
+		r.becomeFollower(now, m.Term, "")
+	case m.Granted && r.role == Candidate && r.preVote && m.Term == r.hardState.Term+1:
 		r.votes[m.From] = true
 		r.countVotes(now)
 	}
 }
 
-// free reports whether no leader holds this instance's promise.
-func (r *Replica) free(now time.Time) bool {
-	return r.role != Leader && !now.Before(r.promised) || r.role == Leader && !now.Before(r.LeaseUntil())
+// mayVote reports whether this instance is not bound by a leader's lease.
+func (r *Replica) mayVote(now time.Time) bool {
+	return r.role != Leader && !now.Before(r.noVoteBefore) || r.role == Leader && !now.Before(r.LeaseUntil())
 }
 
-// onVote grants a vote at most once a term, to a log that is new enough, and
-// not while a leader holds this instance's promise.
+// onVote grants at most one vote per term, only to a candidate whose log is up
+// to date, and not during a leader's lease.
 func (r *Replica) onVote(now time.Time, m *wire.LogMessage) {
-	if !r.free(now) {
+	if !r.mayVote(now) {
 		return
 	}
-	if m.Term > r.hard.Term {
-		r.follow(now, m.Term, "")
+	if m.Term > r.hardState.Term {
+		r.becomeFollower(now, m.Term, "")
 	}
-	granted := m.Term == r.hard.Term && (r.hard.Vote == "" || r.hard.Vote == m.From) && r.log.upToDate(m.Index, m.LogTerm)
+	granted := m.Term == r.hardState.Term && (r.hardState.Vote == "" || r.hardState.Vote == m.From) && r.log.upToDate(m.Index, m.LogTerm)
 	if granted {
-		r.setHard(m.Term, m.From)
-		r.resetElection(now)
+		r.setHardState(m.Term, m.From)
+		r.resetElectionDeadline(now)
 	}
-	r.send(&wire.LogMessage{Kind: wire.LogMessage_VOTE_REPLY, Term: r.hard.Term, To: m.From, Granted: granted})
+	r.send(&wire.LogMessage{Kind: wire.LogMessage_VOTE_REPLY, Term: r.hardState.Term, To: m.From, Granted: granted})
 }
 
 func (r *Replica) send(m *wire.LogMessage) {
@@ -158,12 +161,13 @@
 	r.messages = append(r.messages, m)
 }
 
-// followAll makes progress of everybody whom a leader sends the log.
-func (r *Replica) followAll() {
+// updateFollowers tracks progress for every peer of the leader and drops it
+// for former peers.
+func (r *Replica) updateFollowers() {
 	peers := r.peers()
 	for _, name := range peers {
 		if r.followers[name] == nil {
-			r.followers[name] = &progress{next: r.log.last()}
+			r.followers[name] = &progress{next: r.log.lastIndex()}
 		}
 	}
 	for name := range r.followers {
--- a/internal/replica/log.go
+++ b/internal/replica/log.go
@@ -5,7 +5,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// entryLog is the part of the log after the last snapshot.
+// entryLog holds the last snapshot and the log entries after it.
 type entryLog struct {
 	snapIndex, snapTerm uint64
 	snapState           []byte
@@ -21,36 +21,36 @@
 	return l
 }
 
-func (l *entryLog) last() uint64 { return l.snapIndex + uint64(len(l.entries)) }
+func (l *entryLog) lastIndex() uint64 { return l.snapIndex + uint64(len(l.entries)) }
 
-// term returns the term of an entry, or 0 where it is not known.
+// term returns the term of the entry at an index, or 0 if it is unknown.
 func (l *entryLog) term(index uint64) uint64 {
 	if index == l.snapIndex {
 		return l.snapTerm
 	}
-	if index < l.snapIndex || index > l.last() {
+	if index < l.snapIndex || index > l.lastIndex() {
 		return 0
 	}
 	return l.entries[index-l.snapIndex-1].Term
 }
 
-// between returns the entries after one index up to another.
+// between returns the entries after index after, up to and including upTo.
 func (l *entryLog) between(after, upTo uint64) []*wire.LogEntry {
 	if after < l.snapIndex || upTo <= after {
 		return nil
 	}
-	return l.entries[after-l.snapIndex : min(upTo, l.last())-l.snapIndex]
+	return l.entries[after-l.snapIndex : min(upTo, l.lastIndex())-l.snapIndex]
 }
 
 func (l *entryLog) append(e *wire.LogEntry) { l.entries = append(l.entries, e) }
 
-func (l *entryLog) cutAfter(index uint64) {
-	// The slice is copied: parts of it may have been handed out.
+func (l *entryLog) truncateAfter(index uint64) {
+	// Copied, since callers may hold slices of the old array.
 	l.entries = append([]*wire.LogEntry(nil), l.entries[:index-l.snapIndex]...)
 }
 
 func (l *entryLog) compact(s *wire.SnapshotFile) {
-	l.entries = append([]*wire.LogEntry(nil), l.entries[min(s.Index, l.last())-l.snapIndex:]...)
+	l.entries = append([]*wire.LogEntry(nil), l.entries[min(s.Index, l.lastIndex())-l.snapIndex:]...)
 	l.snapIndex, l.snapTerm, l.snapState, l.snapVoters = s.Index, s.Term, s.State, s.Voters
 }
 
@@ -59,12 +59,12 @@
 	l.snapIndex, l.snapTerm, l.snapState, l.snapVoters = s.Index, s.Term, s.State, s.Voters
 }
 
-// voters returns the control instances by the last entry that names them; it
-// counts from when it is appended, committed or not.
-func (l *entryLog) voters() []string { return l.votersAt(l.last()) }
+// voters returns the voters listed by the last entry that changes them. Such an
+// entry takes effect when appended, committed or not.
+func (l *entryLog) voters() []string { return l.votersAt(l.lastIndex()) }
 
 func (l *entryLog) votersAt(index uint64) []string {
-	for i := min(index, l.last()); i > l.snapIndex; i-- {
+	for i := min(index, l.lastIndex()); i > l.snapIndex; i-- {
 		if v := l.entries[i-l.snapIndex-1].Voters; len(v) > 0 {
 			return v
 		}
@@ -72,8 +72,9 @@
 	return l.snapVoters
 }
 
+// votersIndex returns the index of the last entry that changes the voters.
 func (l *entryLog) votersIndex() uint64 {
-	for i := l.last(); i > l.snapIndex; i-- {
+	for i := l.lastIndex(); i > l.snapIndex; i-- {
 		if len(l.entries[i-l.snapIndex-1].Voters) > 0 {
 			return i
 		}
@@ -81,8 +82,9 @@
 	return l.snapIndex
 }
 
-// upToDate reports whether a log that ends so is at least as new as this one.
+// upToDate reports whether a log whose last entry has the given index and term
+// is at least as up to date as this one.
 func (l *entryLog) upToDate(index, term uint64) bool {
-	mine := l.term(l.last())
-	return term > mine || term == mine && index >= l.last()
+	lastTerm := l.term(l.lastIndex())
+	return term > lastTerm || term == lastTerm && index >= l.lastIndex()
 }
--- a/internal/replica/rules_test.go
+++ b/internal/replica/rules_test.go
@@ -11,18 +11,19 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var ruleStart = time.Unix(1000, 0)
+var testStart = time.Unix(1000, 0)
 
-// newRuleReplica is "a" of three, with one entry of an old term on disk.
-func newRuleReplica() *Replica {
+// newTestReplica returns instance "a" of three voters, with one entry of term 1
+// on disk.
+func newTestReplica() *Replica {
 	loaded := &storage.Loaded{Hard: &wire.HardState{Term: 1}, Entries: []*wire.LogEntry{{Index: 1, Term: 1, Command: []byte("old")}}}
 	return New(Config{
 		Self: "a", Voters: []string{"a", "b", "c"}, Heartbeat: testHeartbeat, Lease: testLease, Drift: testDrift,
 		Rand: rand.New(rand.NewPCG(1, 1)),
-	}, ruleStart, loaded)
+	}, testStart, loaded)
 }
 
-// elect makes it the leader of term 2 by the votes of b.
+// elect makes the replica leader of term 2 with the vote of b.
 func elect(r *Replica, now time.Time) {
 	r.Tick(now)
 	r.Ready(now)
@@ -32,12 +33,12 @@
 	r.Ready(now)
 }
 
-// An entry of an older term at a majority may still be replaced by another
-// leader: only one of the own term commits it.
+// An entry of an older term that a majority holds may still be replaced by
+// another leader, so it commits only with an entry of the current term.
 func TestOldTermsAreNotCommittedByCounting(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRuleReplica()
-	now := ruleStart.Add(time.Second)
+	r := newTestReplica()
+	now := testStart.Add(time.Second)
 	elect(r, now)
 	g.Expect(r.Role()).To(gomega.Equal(Leader))
 	reply := func(index uint64) {
@@ -46,22 +47,22 @@
 	}
 	reply(1)
 	g.Expect(r.Commit()).To(gomega.BeZero())
-	g.Expect(r.Current(now)).To(gomega.BeFalse(), "nothing of the own term is committed")
+	g.Expect(r.Current(now)).To(gomega.BeFalse(), "no entry of the current term is committed")
 	reply(2)
 	g.Expect(r.Commit()).To(gomega.Equal(uint64(2)))
 	g.Expect(r.Current(now)).To(gomega.BeTrue())
-	g.Expect(r.Current(now.Add(testLease))).To(gomega.BeFalse(), "the lease has run out")
+	g.Expect(r.Current(now.Add(testLease))).To(gomega.BeFalse(), "the lease has expired")
 }
 
-// A follower that has just heard a leader votes for nobody else for a lease,
-// whatever the term and the log of the one who asks.
-func TestNoVoteWhileALeaderHoldsThePromise(t *testing.T) {
+// A follower grants no vote within a lease of its leader's last append, whatever
+// the term and log of the candidate.
+func TestNoVoteDuringLeaderLease(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRuleReplica()
-	now := ruleStart.Add(time.Second)
+	r := newTestReplica()
+	now := testStart.Add(time.Second)
 	r.Step(now, &wire.LogMessage{Kind: wire.LogMessage_APPEND, Term: 2, From: "b", To: "a", Index: 1, LogTerm: 1, Stamp: 1})
 	r.Ready(now)
-	asked := func(at time.Time, kind wire.LogMessage_Kind) bool {
+	granted := func(at time.Time, kind wire.LogMessage_Kind) bool {
 		r.Step(at, &wire.LogMessage{Kind: kind, Term: 9, From: "c", To: "a", Index: 50, LogTerm: 8})
 		for _, m := range r.Ready(at).Messages {
 			if m.Granted {
@@ -71,22 +72,22 @@
 		return false
 	}
 	soon := now.Add(testLease / 2)
-	g.Expect(asked(soon, wire.LogMessage_PRE_VOTE)).To(gomega.BeFalse())
-	g.Expect(asked(soon, wire.LogMessage_VOTE)).To(gomega.BeFalse())
-	g.Expect(r.Term()).To(gomega.Equal(uint64(2)), "the term is not taken over either")
+	g.Expect(granted(soon, wire.LogMessage_PRE_VOTE)).To(gomega.BeFalse())
+	g.Expect(granted(soon, wire.LogMessage_VOTE)).To(gomega.BeFalse())
+	g.Expect(r.Term()).To(gomega.Equal(uint64(2)), "the candidate's term is not adopted")
 	late := now.Add(testLease)
-	g.Expect(asked(late, wire.LogMessage_VOTE)).To(gomega.BeTrue())
-	g.Expect(asked(late, wire.LogMessage_VOTE)).To(gomega.BeTrue(), "the same one again")
+	g.Expect(granted(late, wire.LogMessage_VOTE)).To(gomega.BeTrue())
+	g.Expect(granted(late, wire.LogMessage_VOTE)).To(gomega.BeTrue(), "repeated request of the same candidate")
 	r.Step(late, &wire.LogMessage{Kind: wire.LogMessage_VOTE, Term: 9, From: "b", To: "a", Index: 50, LogTerm: 8})
 	for _, m := range r.Ready(late).Messages {
-		g.Expect(m.Granted).To(gomega.BeFalse(), "one vote a term")
+		g.Expect(m.Granted).To(gomega.BeFalse(), "one vote per term")
 	}
 }
 
-// After a restart the promise is not known any more, so no vote is given for a lease.
-func TestNoVoteRightAfterARestart(t *testing.T) {
+// A promise to a leader is lost in a restart, so no vote is granted for one lease.
+func TestNoVoteAfterRestart(t *testing.T) {
 	g := gomega.NewWithT(t)
-	r := newRuleReplica()
-	r.Step(ruleStart.Add(testLease/2), &wire.LogMessage{Kind: wire.LogMessage_VOTE, Term: 9, From: "c", To: "a", Index: 50, LogTerm: 8})
-	g.Expect(r.Ready(ruleStart).Messages).To(gomega.BeEmpty())
+	r := newTestReplica()
+	r.Step(testStart.Add(testLease/2), &wire.LogMessage{Kind: wire.LogMessage_VOTE, Term: 9, From: "c", To: "a", Index: 50, LogTerm: 8})
+	g.Expect(r.Ready(testStart).Messages).To(gomega.BeEmpty())
 }
--- a/internal/storage/storagetest/failing.go
+++ b/internal/storage/storagetest/failing.go
@@ -11,46 +11,46 @@
 // ErrFull is returned by every write while the disk is full.
 var ErrFull = errors.New("no space left")
 
-// Failing is a data folder whose disk can be made full, slow, or made to stand
-// still; several goroutines may use it.
+// Failing is a data folder whose disk can be made full, slow or stalled. It is
+// safe for concurrent use.
 type Failing struct {
 	open func() (storage.Files, error)
 
-	mu     sync.Mutex
-	full   bool
-	delay  time.Duration // of each write and sync
-	stands chan struct{} // closed once the disk goes on, nil while it does
+	mu      sync.Mutex
+	full    bool
+	delay   time.Duration // of each write and sync
+	resumed chan struct{} // closed when a stall ends, nil if not stalled
 }
 
-// NewFailing returns a folder that does what the opened one does, until it is
-// told to fail.
+// NewFailing returns a folder that passes operations on to the one opened by
+// open, until a fault is set.
 func NewFailing(open func() (storage.Files, error)) *Failing { return &Failing{open: open} }
 
-// SetFull makes the disk take no more bytes, or take them again.
+// SetFull makes every write fail with ErrFull, or succeed again.
 func (f *Failing) SetFull(full bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.full = full
 }
 
-// SetDelay makes each write and each sync take so much longer.
+// SetDelay delays each write and each sync.
 func (f *Failing) SetDelay(delay time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.delay = delay
 }
 
-// Stall makes every write and sync wait until goOn is called.
-func (f *Failing) Stall() (goOn func()) {
+// Stall blocks every write and sync until resume is called.
+func (f *Failing) Stall() (resume func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	stands := make(chan struct{})
-	f.stands = stands
+	resumed := make(chan struct{})
+	f.resumed = resumed
 	return sync.OnceFunc(func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.stands = nil
-		close(stands)
+		f.resumed = nil
+		close(resumed)
 	})
 }
 
@@ -61,37 +61,39 @@
 		return files, err
 	}
 	appendTo, create := files.Append, files.Create
-	files.Append = func(name string) (*storage.File, error) { return f.file(appendTo(name)) }
-	files.Create = func(name string) (*storage.File, error) { return f.file(create(name)) }
+	files.Append = func(name string) (*storage.File, error) { return f.wrap(appendTo(name)) }
+	files.Create = func(name string) (*storage.File, error) { return f.wrap(create(name)) }
 	return files, nil
 }
 
-// file makes an open file fail as the disk does.
-func (f *Failing) file(file *storage.File, err error) (*storage.File, error) {
+// wrap makes an open wrap fail as the disk does.
+// wrap applies the faults of the disk to an open file.
+func (f *Failing) wrap(file *storage.File, err error) (*storage.File, error) {
 	if err != nil {
 		return nil, err
 	}
 	write, flush := file.Write, file.Sync
 	file.Write = func(data []byte) (int, error) {
-		if err := f.wait(); err != nil {
+		if err := f.awaitDisk(); err != nil {
 			return 0, err
 		}
 		return write(data)
 	}
 	file.Sync = func() error {
-		_ = f.wait() // a full disk still syncs what it has
+		_ = f.awaitDisk() // a full disk can still sync
 		return flush()
 	}
 	return file, nil
 }
 
-// wait waits as long as the disk takes, and then says whether it is full.
-func (f *Failing) wait() error {
+// awaitDisk waits while the disk is stalled, then for its delay, and returns
+// ErrFull if it is full.
+func (f *Failing) awaitDisk() error {
 	f.mu.Lock()
-	stands, delay := f.stands, f.delay
+	resumed, delay := f.resumed, f.delay
 	f.mu.Unlock()
-	if stands != nil {
-		<-stands
+	if resumed != nil {
+		<-resumed
 	}
 	time.Sleep(delay)
 	f.mu.Lock()
--- a/internal/storage/storagetest/memory.go
+++ b/internal/storage/storagetest/memory.go
@@ -1,4 +1,4 @@
-// Package storagetest has a data folder in memory for tests.
+// Package storagetest provides data folders with simulated disk faults.
 package storagetest
 
 import (
@@ -9,31 +9,32 @@
 	"oxbowsaddle/internal/storage"
 )
 
-// Memory is a data folder in memory that forgets, at a crash, what was not
-// synced. Tests use it to crash at every write and sync.
+// Memory is a data folder in memory that loses unsynced data in a simulated
+// crash.
 type Memory struct {
-	synced  map[string][]byte // what a crash leaves
-	current map[string][]byte // what a reader sees
-	steps   int               // writes and syncs left before the crash; below 0 is none
-	crashed bool
+	synced    map[string][]byte // contents that survive a crash
+	current   map[string][]byte // contents seen by readers
+	stepsLeft int               // writes and syncs until the crash, negative for no crash
+	crashed   bool
 }
 
-// ErrCrashed is returned by everything after the crash.
+// ErrCrashed is returned by the write or sync that crashes and those after it.
 var ErrCrashed = errors.New("crashed")
 
 // NewMemory returns an empty folder.
 func NewMemory() *Memory {
-	return &Memory{synced: map[string][]byte{}, current: map[string][]byte{}, steps: -1}
+	return &Memory{synced: map[string][]byte{}, current: map[string][]byte{}, stepsLeft: -1}
 }
 
-// CrashAfter makes the folder crash after so many more writes and syncs.
-func (m *Memory) CrashAfter(steps int) { m.steps = steps }
+// CrashAfter makes the folder crash after the given number of writes and
+// syncs; a negative number cancels the crash.
+func (m *Memory) CrashAfter(steps int) { m.stepsLeft = steps }
 
-// Crashed reports whether the crash has come.
+// Crashed reports whether the folder has crashed.
 func (m *Memory) Crashed() bool { return m.crashed }
 
-// Restart makes the folder usable again with what was synced. Of what was
-// appended and not synced, keep bytes are left over as a torn write.
+// Restart makes the folder usable again with its synced contents. Up to keep
+// bytes of unsynced appended data survive as a torn write.
 func (m *Memory) Restart(keep int) {
 	for name, data := range m.current {
 		base := m.synced[name]
@@ -51,39 +52,40 @@
 			m.current[name] = append([]byte(nil), data...)
 		}
 	}
-	m.crashed, m.steps = false, -1
+	m.crashed, m.stepsLeft = false, -1
 }
 
-// Damage flips one byte of a file.
-func (m *Memory) Damage(name string, at int) {
+// Corrupt flips one byte of a file.
+func (m *Memory) Corrupt(name string, at int) {
 	m.current[name][at] ^= 0x55
 	m.synced[name] = append([]byte(nil), m.current[name]...)
 }
 
-// Put sets a file as if it had been written and synced.
+// Put sets the synced contents of a file.
 func (m *Memory) Put(name string, data []byte) {
 	m.current[name] = data
 	m.synced[name] = append([]byte(nil), data...)
 }
 
-// Bytes returns what a reader sees of a file.
+// Bytes returns the current contents of a file.
 func (m *Memory) Bytes(name string) []byte { return m.current[name] }
 
-func (m *Memory) step() error {
+// countStep counts one write or sync, and crashes when none are left.
+func (m *Memory) countStep() error {
 	if m.crashed {
 		return ErrCrashed
 	}
-	if m.steps == 0 {
+	if m.stepsLeft == 0 {
 		m.crashed = true
 		return ErrCrashed
 	}
-	if m.steps > 0 {
-		m.steps--
+	if m.stepsLeft > 0 {
+		m.stepsLeft--
 	}
 	return nil
 }
 
-// Files returns the folder by functions.
+// Files returns the operations of the folder.
 func (m *Memory) Files() storage.Files {
 	return storage.Files{
 		Read: func(name string) ([]byte, error) {
@@ -104,12 +106,12 @@
 			return m.file(name), nil
 		},
 		Rename: func(from, to string) error {
-			if err := m.step(); err != nil {
+			if err := m.countStep(); err != nil {
 				return err
 			}
 			m.current[to] = m.current[from]
 			delete(m.current, from)
-			// A rename lasts whole or not at all; a crash before SyncDir keeps the old file.
+			// The rename becomes durable with SyncDir; a crash before keeps the old file.
 			return nil
 		},
 		Remove: func(name string) error {
@@ -117,7 +119,7 @@
 			return nil
 		},
 		SyncDir: func() error {
-			if err := m.step(); err != nil {
+			if err := m.countStep(); err != nil {
 				return err
 			}
 			for name, data := range m.current {
@@ -132,13 +134,13 @@
 	return &storage.File{
 		Write: func(data []byte) (int, error) {
 			m.current[name] = append(m.current[name], data...)
-			if err := m.step(); err != nil {
+			if err := m.countStep(); err != nil {
 				return 0, err
 			}
 			return len(data), nil
 		},
 		Sync: func() error {
-			if err := m.step(); err != nil {
+			if err := m.countStep(); err != nil {
 				return err
 			}
 			m.synced[name] = append([]byte(nil), m.current[name]...)
