--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -29,11 +29,11 @@
 
 // The outcomes of a change.
 const (
-	Accepted        Outcome = "accepted"
-	AlreadyAccepted Outcome = "already accepted"
-	Conflict        Outcome = "conflict"
-	Invalid         Outcome = "invalid"
-	Unconfirmed     Outcome = "needs confirmation"
+	Accepted          Outcome = "accepted"
+	AlreadyAccepted   Outcome = "already accepted"
+	Conflict          Outcome = "conflict"
+	Invalid           Outcome = "invalid"
+	NeedsConfirmation Outcome = "needs confirmation"
 )
 
 type (
@@ -224,7 +224,7 @@
 		return Answer{Outcome: Invalid, Faults: faults, Detail: fmt.Sprintf("%d faults", len(faults))}, next
 	}
 	if warnings := intent.Warnings(s.document, next, slices.Sorted(maps.Keys(services))); len(warnings) > 0 && !change.Confirmed {
-		return Answer{Outcome: Unconfirmed, Faults: faultTexts(warnings), Detail: "a service would be emptied"}, next
+		return Answer{Outcome: NeedsConfirmation, Faults: faultTexts(warnings), Detail: "a service would be emptied"}, next
 	}
 	return Answer{Outcome: Accepted}, next
 }
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -90,7 +90,7 @@
 	g := gomega.NewWithT(t)
 	s := newStateWithService(t, 1)
 	c := change("empty", s.Revision(), object("service", "booking", serviceBody(1, "b0")))
-	g.Expect(apply(t, s, c).Outcome).To(gomega.Equal(Unconfirmed))
+	g.Expect(apply(t, s, c).Outcome).To(gomega.Equal(NeedsConfirmation))
 	c.GetChange().Confirmed = true
 	g.Expect(apply(t, s, c).Outcome).To(gomega.Equal(Accepted))
 }
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -105,7 +105,7 @@
 	)
 	BeforeEach(func() {
 		now = time.Unix(5000, 0)
-		d = newSingleVoter(now, &storage.Loaded{Hard: &wire.HardState{}})
+		d = newSingleVoter(now, &storage.Loaded{HardState: &wire.HardState{}})
 		_, now = runOneSecond(d, now)
 	})
 
@@ -142,7 +142,7 @@
 		_, now = runOneSecond(d, now)
 		file, hard, _, err := d.Compact()
 		Expect(err).NotTo(HaveOccurred())
-		again := newSingleVoter(now, &storage.Loaded{Snapshot: file, Hard: hard})
+		again := newSingleVoter(now, &storage.Loaded{Snapshot: file, HardState: hard})
 		Expect(again.Evacuations().Domains()).To(Equal([]string{"b"}))
 		Expect(again.Evacuations().Revision()).To(Equal(d.Evacuations().Revision()))
 		Expect(again.Document().Version()).To(Equal(uint64(7)))
@@ -154,8 +154,8 @@
 		unwrapped, err := proto.Marshal(doc.Message())
 		Expect(err).NotTo(HaveOccurred())
 		old := newSingleVoter(now, &storage.Loaded{
-			Hard:     &wire.HardState{Term: 1},
-			Snapshot: &wire.SnapshotFile{Index: 4, Term: 1, Voters: []string{"10.0.0.1:7000"}, State: unwrapped},
+			HardState: &wire.HardState{Term: 1},
+			Snapshot:  &wire.SnapshotFile{Index: 4, Term: 1, Voters: []string{"10.0.0.1:7000"}, State: unwrapped},
 		})
 		Expect(old.Document().Version()).To(Equal(uint64(9)))
 		Expect(old.applyCommand(5, unwrapped)).To(Succeed())
--- a/internal/directory/fleet_test.go
+++ b/internal/directory/fleet_test.go
@@ -189,7 +189,7 @@
 }
 
 func (f *fleet) persist(inst *instance, ready Ready) bool {
-	if s := ready.Log.Snapshot; s != nil && inst.store.SaveSnapshot(s, ready.Log.Hard, nil) != nil {
+	if s := ready.Log.Snapshot; s != nil && inst.store.SaveSnapshot(s, ready.Log.HardState, nil) != nil {
 		return false
 	}
 	if r := ready.Log.Record; r != nil && inst.store.Append(r) != nil {
@@ -254,7 +254,7 @@
 			inst.d.Step(f.now, s.log)
 			f.processReady(inst)
 		default:
-			inst.d.Hear(f.now, s.roster)
+			inst.d.HandleRoster(f.now, s.roster)
 		}
 	}
 	for _, inst := range f.instances {
--- a/internal/directory/members.go
+++ b/internal/directory/members.go
@@ -17,10 +17,10 @@
 	lastHeard time.Time
 }
 
-// Hear updates the known peers from the roster of another control instance,
+// HandleRoster updates the known peers from the roster of another control instance,
 // which lists itself first. An instance that reports a new id at a known
 // address has lost its disk, so the previous id is marked as replaced.
-func (d *Directory) Hear(now time.Time, roster *wire.Roster) {
+func (d *Directory) HandleRoster(now time.Time, roster *wire.Roster) {
 	for i, c := range roster.Instances {
 		if c.Id == d.config.Self || d.replaced[c.Id] {
 			continue
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -103,7 +103,7 @@
 
 func (c *controlLoop) stop() {
 	c.calls <- func(time.Time) {
-		c.core.Stop()
+		c.core.AnnounceStop()
 		c.stopping = true
 		c.nextBeat = time.Time{}
 	}
@@ -149,7 +149,7 @@
 	}
 	if c.stopping && c.core.MayStop(r.count, r.backlog) && !r.handing && len(view.Table.Members()) > 0 {
 		c.stopping = false
-		c.core.Stopped()
+		c.core.AnnounceStopped()
 		c.nextBeat = time.Time{}
 		c.instance.log.Info("handed over", "index", view.Table.Index())
 	}
@@ -157,11 +157,11 @@
 
 // beat asks the leading control instance for a lease and for what is new.
 func (c *controlLoop) beat(ctx context.Context, now time.Time) {
-	r := c.core.Request(flow.Count{}, nil)
+	r := c.core.NextHeartbeat(flow.Count{}, nil)
 	c.beats++
 	size := proto.Size(r) + 2*perCall
 	count := c.instance.traffic.report.Load().count
-	full := c.core.Request(count, c.load)
+	full := c.core.NextHeartbeat(count, c.load)
 	if c.beats%quietBeats == 0 || c.instance.budget.may(now, proto.Size(full)-proto.Size(r)) {
 		r = full
 	}
@@ -209,13 +209,13 @@
 		c.asked++
 		if r.err == nil && r.reply.LeaderName != "" {
 			c.asked = 0
-			_, _ = c.core.Reply(r.sent, r.reply)
+			_, _ = c.core.HandleReply(r.sent, r.reply)
 		}
 		return
 	}
 	c.asked = 0
 	c.instance.budget.must(now, proto.Size(r.reply))
-	more, err := c.core.Reply(r.sent, r.reply)
+	more, err := c.core.HandleReply(r.sent, r.reply)
 	if err != nil {
 		c.instance.log.Error("cannot apply", "error", err, "index", c.core.State().Index())
 		return
--- a/internal/instance/leader.go
+++ b/internal/instance/leader.go
@@ -137,7 +137,7 @@
 			return err
 		}
 		l.state = state
-		if err := l.store.SaveSnapshot(s, ready.Hard, nil); err != nil {
+		if err := l.store.SaveSnapshot(s, ready.HardState, nil); err != nil {
 			return err
 		}
 		l.instance.log.Info("took over a snapshot", "index", s.Index)
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -82,11 +82,11 @@
 // Peers returns the tracker of the other entry instances.
 func (c *Core) Peers() *peer.Tracker { return c.peers }
 
-// Stop makes later heartbeats announce a planned stop.
-func (c *Core) Stop() { c.stopping = true }
+// AnnounceStop makes later heartbeats announce a planned stop.
+func (c *Core) AnnounceStop() { c.stopping = true }
 
-// Stopped makes later heartbeats announce that the handover is complete.
-func (c *Core) Stopped() { c.stopped = true }
+// AnnounceStopped makes later heartbeats announce that the handover is complete.
+func (c *Core) AnnounceStopped() { c.stopped = true }
 
 // HasStopped reports whether the handover was marked as complete.
 func (c *Core) HasStopped() bool { return c.stopped }
@@ -120,8 +120,8 @@
 	return ok && m.Incarnation() == c.config.Incarnation
 }
 
-// Request returns the next heartbeat.
-func (c *Core) Request(count flow.Count, loads []*wire.EndpointLoad) *wire.BeatRequest {
+// NextHeartbeat returns the next heartbeat.
+func (c *Core) NextHeartbeat(count flow.Count, loads []*wire.EndpointLoad) *wire.BeatRequest {
 	r := &wire.BeatRequest{
 		Name: c.config.Name, Domain: c.config.Domain, Incarnation: c.config.Incarnation,
 		Applied: c.state.Index(), Checksum: c.state.Checksum(), Active: c.active, Stopping: c.stopping, Stopped: c.stopped,
@@ -133,9 +133,9 @@
 	return r
 }
 
-// Reply handles the reply to a heartbeat sent at the given time. It reports
+// HandleReply handles the reply to a heartbeat sent at the given time. It reports
 // whether it made progress, so that the next heartbeat is due at once.
-func (c *Core) Reply(sent time.Time, r *wire.BeatReply) (bool, error) {
+func (c *Core) HandleReply(sent time.Time, r *wire.BeatReply) (bool, error) {
 	if r.Term < c.term {
 		return false, nil // late reply of a previous leader
 	}
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -255,7 +255,7 @@
 
 // hear hands the roster of another control instance to the loop.
 func (c *Control) hear(roster *wire.Roster) {
-	c.post(func(now time.Time, d *directory.Directory) { d.Hear(now, roster) })
+	c.post(func(now time.Time, d *directory.Directory) { d.HandleRoster(now, roster) })
 }
 
 // post queues f for the loop without waiting; it is left out where the queue
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -48,7 +48,7 @@
 	}
 	c.store, c.directory, c.failed = store, d, false
 	c.config.Log.Info("log opened", "id", identity.Id, "founders", identity.Founders, "entries", len(loaded.Entries),
-		"term", loaded.Hard.Term, "torn", loaded.Torn)
+		"term", loaded.HardState.Term, "torn", loaded.Torn)
 }
 
 // takesWrites reports whether a disk that failed can be written again: reading
@@ -69,7 +69,7 @@
 // once the log has grown to compactAt.
 func (c *Control) persist(ready directory.Ready) error {
 	if s := ready.Log.Snapshot; s != nil {
-		if err := c.store.SaveSnapshot(s, ready.Log.Hard, nil); err != nil {
+		if err := c.store.SaveSnapshot(s, ready.Log.HardState, nil); err != nil {
 			return err
 		}
 	}
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -47,7 +47,7 @@
 	Ready struct {
 		Record    *wire.Record // nil if there is nothing to persist
 		Snapshot  *wire.SnapshotFile
-		Hard      *wire.HardState // saved with Snapshot, which replaces the log file
+		HardState *wire.HardState // saved with Snapshot, which replaces the log file
 		Messages  []*wire.LogMessage
 		Committed []*wire.LogEntry
 	}
@@ -95,7 +95,7 @@
 // New returns a replica with the state loaded from disk. The promise to a
 // leader is not stored, so after a restart it grants no vote for one lease.
 func New(c Config, now time.Time, loaded *storage.Loaded) *Replica {
-	r := &Replica{config: c, hardState: loaded.Hard, noVoteBefore: now.Add(c.Lease)}
+	r := &Replica{config: c, hardState: loaded.HardState, noVoteBefore: now.Add(c.Lease)}
 	r.log = newEntryLog(c.Voters, loaded)
 	r.commit = r.log.snapIndex
 	r.delivered = r.log.snapIndex
@@ -262,10 +262,10 @@
 	if r.role == Leader {
 		r.sendNewEntries(now)
 	}
-	ready := Ready{Snapshot: r.pendingSnapshot, Hard: &wire.HardState{Term: r.hardState.Term, Vote: r.hardState.Vote}}
+	ready := Ready{Snapshot: r.pendingSnapshot, HardState: &wire.HardState{Term: r.hardState.Term, Vote: r.hardState.Vote}}
 	if len(r.unsaved) > 0 || r.hardStateChanged || r.truncates {
 		ready.Record = &wire.Record{Entries: r.unsaved, Cuts: r.truncates, CutAfter: r.truncateAfter}
-		ready.Record.Hard = ready.Hard
+		ready.Record.Hard = ready.HardState
 	}
 	r.unsaved, r.truncates, r.hardStateChanged, r.pendingSnapshot = nil, false, false, nil
 	if r.role == Leader {
--- a/internal/replica/rules_test.go
+++ b/internal/replica/rules_test.go
@@ -16,7 +16,7 @@
 // newTestReplica returns instance "a" of three voters, with one entry of term 1
 // on disk.
 func newTestReplica() *Replica {
-	loaded := &storage.Loaded{Hard: &wire.HardState{Term: 1}, Entries: []*wire.LogEntry{{Index: 1, Term: 1, Command: []byte("old")}}}
+	loaded := &storage.Loaded{HardState: &wire.HardState{Term: 1}, Entries: []*wire.LogEntry{{Index: 1, Term: 1, Command: []byte("old")}}}
 	return New(Config{
 		Self: "a", Voters: []string{"a", "b", "c"}, Heartbeat: testHeartbeat, Lease: testLease, Drift: testDrift,
 		Rand: rand.New(rand.NewPCG(1, 1)),
--- a/internal/replica/snapshot_test.go
+++ b/internal/replica/snapshot_test.go
@@ -25,14 +25,14 @@
 		voters := []string{"a", "b", "c"}
 		r := New(Config{
 			Self: "a", Voters: voters, Heartbeat: testHeartbeat, Lease: testLease, Drift: testDrift, Rand: rand.New(rand.NewPCG(1, 1)),
-		}, now, &storage.Loaded{Hard: &wire.HardState{Term: 4, Vote: "b"}})
+		}, now, &storage.Loaded{HardState: &wire.HardState{Term: 4, Vote: "b"}})
 		r.Step(now, &wire.LogMessage{
 			Kind: wire.LogMessage_SNAPSHOT, Term: 4, From: "b", To: "a", Snapshot: &wire.Snapshot{Index: 9, Term: 3, Voters: voters},
 		})
 		ready := r.Ready(now)
 		Expect(ready.Record).To(BeNil())
 		Expect(ready.Snapshot.Index).To(Equal(uint64(9)))
-		Expect(ready.Hard.Term).To(Equal(uint64(4)))
-		Expect(ready.Hard.Vote).To(Equal("b"))
+		Expect(ready.HardState.Term).To(Equal(uint64(4)))
+		Expect(ready.HardState.Vote).To(Equal("b"))
 	})
 })
--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -115,9 +115,9 @@
 		more := false
 		if client != nil {
 			sent := now()
-			reply, err := client.Beat(ctx, core.Request(flow.Count{Index: core.State().Index()}, nil))
+			reply, err := client.Beat(ctx, core.NextHeartbeat(flow.Count{Index: core.State().Index()}, nil))
 			if err == nil {
-				more, err = core.Reply(sent, reply)
+				more, err = core.HandleReply(sent, reply)
 			}
 			if err != nil || !reply.Leader {
 				_ = done()
--- a/internal/soak/entry.go
+++ b/internal/soak/entry.go
@@ -94,7 +94,7 @@
 	e.flush()
 	stats := e.entry.Flow().Stats()
 	if e.member.MayStop(e.entry.Flow().LastCount(), stats.PushBacklog) && !e.entry.Work().Handing(e.world.now) {
-		e.member.Stopped()
+		e.member.AnnounceStopped()
 		e.beat()
 		e.alive = false
 	}
@@ -103,12 +103,12 @@
 func (e *instance) beat() {
 	w := e.world
 	sent := w.now
-	r := e.member.Request(e.entry.Flow().LastCount(), nil)
+	r := e.member.NextHeartbeat(e.entry.Flow().LastCount(), nil)
 	w.send(e.domain, leaderDomain, func() {
 		reply := w.beat(r)
 		w.send(leaderDomain, e.domain, func() {
 			e.awake(func() {
-				more, err := e.member.Reply(sent, reply)
+				more, err := e.member.HandleReply(sent, reply)
 				if err != nil {
 					w.fault("%s: %v", e.name, err)
 				}
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -107,7 +107,7 @@
 }
 
 // Stop ends an entry as planned: it hands its records over first.
-func (w *World) Stop(name string) { w.entries[name].member.Stop() }
+func (w *World) Stop(name string) { w.entries[name].member.AnnounceStop() }
 
 // Pause freezes an entry.
 func (w *World) Pause(name string, d time.Duration) {
--- a/internal/storage/storage.go
+++ b/internal/storage/storage.go
@@ -36,16 +36,16 @@
 
 	// Loaded is the state read from the data folder when it is opened.
 	Loaded struct {
-		Hard     *wire.HardState
-		Snapshot *wire.SnapshotFile // nil if there is none
-		Entries  []*wire.LogEntry   // contiguous entries after the snapshot
-		Torn     bool               // an incomplete last record was truncated
+		HardState *wire.HardState
+		Snapshot  *wire.SnapshotFile // nil if there is none
+		Entries   []*wire.LogEntry   // contiguous entries after the snapshot
+		Torn      bool               // an incomplete last record was truncated
 	}
 )
 
 // Open reads the data folder and opens the log for appending.
 func Open(files Files) (*Store, *Loaded, error) {
-	loaded := &Loaded{Hard: &wire.HardState{}}
+	loaded := &Loaded{HardState: &wire.HardState{}}
 	if err := readSnapshot(files, loaded); err != nil {
 		return nil, nil, err
 	}
@@ -148,7 +148,7 @@
 
 func (l *Loaded) replay(r *wire.Record) error {
 	if r.Hard != nil {
-		l.Hard = r.Hard
+		l.HardState = r.Hard
 	}
 	if r.Cuts {
 		l.truncateAfter(r.CutAfter)
