--- a/internal/directory/members.go
+++ b/internal/directory/members.go
@@ -17,9 +17,9 @@
 	lastHeard time.Time
 }
 
-// HandleRoster updates the known peers from the roster of another control instance,
-// which lists itself first. An instance that reports a new id at a known
-// address has lost its disk, so the previous id is marked as replaced.
+// HandleRoster updates the known peers from the roster of another control
+// instance, which lists itself first. An instance that reports a new id at a
+// known address has lost its disk, so the previous id is marked as replaced.
 func (d *Directory) HandleRoster(now time.Time, roster *wire.Roster) {
 	for i, c := range roster.Instances {
 		if c.Id == d.config.Self || d.replaced[c.Id] {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -120,7 +120,7 @@
 	return ok && m.Incarnation() == c.config.Incarnation
 }
 
-// NextHeartbeat returns the next heartbeat.
+// NextHeartbeat builds the next heartbeat request.
 func (c *Core) NextHeartbeat(count flow.Count, loads []*wire.EndpointLoad) *wire.BeatRequest {
 	r := &wire.BeatRequest{
 		Name: c.config.Name, Domain: c.config.Domain, Incarnation: c.config.Incarnation,
@@ -133,8 +133,8 @@
 	return r
 }
 
-// HandleReply handles the reply to a heartbeat sent at the given time. It reports
-// whether it made progress, so that the next heartbeat is due at once.
+// HandleReply handles the reply to a heartbeat sent at the given time. It
+// reports whether it made progress, so that the next heartbeat is due at once.
 func (c *Core) HandleReply(sent time.Time, r *wire.BeatReply) (bool, error) {
 	if r.Term < c.term {
 		return false, nil // late reply of a previous leader
--- a/internal/replica/replica.go
+++ b/internal/replica/replica.go
@@ -311,8 +311,8 @@
 	return entries, true
 }
 
-// FollowsLeader reports whether this instance is a follower and has heard from its
-// leader within a lease.
+// FollowsLeader reports whether this instance is a follower and has heard from
+// its leader within a lease.
 func (r *Replica) FollowsLeader(now time.Time) bool {
 	return r.role == Follower && r.leader != "" && now.Before(r.noVoteBefore)
 }
