--- a/internal/announce/cache.go
+++ b/internal/announce/cache.go
@@ -16,14 +16,14 @@
 	maxRecent = 3
 )
 
-// Heard holds the control instances that have recently announced themselves to
+// Cache holds the control instances that have recently announced themselves to
 // an entry. The zero value is empty. It is not safe for concurrent use.
-type Heard struct {
+type Cache struct {
 	seenAt map[netip.AddrPort]time.Time
 }
 
-// Take adds an announcement. Addresses that are invalid or have no port are ignored.
-func (h *Heard) Take(now time.Time, addr netip.AddrPort) {
+// Add adds an announcement. Addresses that are invalid or have no port are ignored.
+func (h *Cache) Add(now time.Time, addr netip.AddrPort) {
 	if !addr.IsValid() || addr.Port() == 0 {
 		return
 	}
@@ -41,12 +41,12 @@
 }
 
 // Recent returns the addresses of the valid announcements, sorted.
-func (h *Heard) Recent(now time.Time) []netip.AddrPort {
+func (h *Cache) Recent(now time.Time) []netip.AddrPort {
 	h.expire(now)
 	return slices.SortedFunc(maps.Keys(h.seenAt), netip.AddrPort.Compare)
 }
 
 // expire drops announcements that are older than announcementTTL.
-func (h *Heard) expire(now time.Time) {
+func (h *Cache) expire(now time.Time) {
 	maps.DeleteFunc(h.seenAt, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > announcementTTL })
 }
--- a/internal/announce/schedule.go
+++ b/internal/announce/schedule.go
@@ -12,10 +12,10 @@
 )
 
 const (
-	// Tick is the interval between calls of Due.
-	Tick = 20 * time.Millisecond
-	// PerTick bounds the datagrams sent in one tick, which is 7,500 a second.
-	PerTick = 150
+	// TickInterval is the interval between calls of Due.
+	TickInterval = 20 * time.Millisecond
+	// MaxPerTick bounds the datagrams sent in one tick, which is 7,500 a second.
+	MaxPerTick = 150
 	// resendInterval is the minimum time between two datagrams to the same entry.
 	// It is short because datagrams that arrive before the entry listens are lost.
 	resendInterval = 50 * time.Millisecond
@@ -52,8 +52,8 @@
 	}
 )
 
-// Remember adds entries that were known before a restart.
-func (s *Schedule) Remember(now time.Time, addrs []netip.AddrPort) {
+// Restore adds entries that were known before a restart.
+func (s *Schedule) Restore(now time.Time, addrs []netip.AddrPort) {
 	for _, addr := range addrs {
 		if l := s.getOrAdd(now, addr); l != nil {
 			s.enqueue(l)
@@ -85,7 +85,7 @@
 	s.prune(now)
 	var due []netip.AddrPort
 	for range len(s.pending) {
-		if len(due) == PerTick {
+		if len(due) == MaxPerTick {
 			break
 		}
 		s.next %= len(s.pending)
--- a/internal/announce/schedule_test.go
+++ b/internal/announce/schedule_test.go
@@ -34,21 +34,21 @@
 	BeforeEach(func() { s = &Schedule{} })
 
 	It("announces to entries restored after a restart until they are linked", func() {
-		s.Remember(start, addrs(2))
+		s.Restore(start, addrs(2))
 		Expect(s.Due(start)).To(ConsistOf(addr(0), addr(1)))
-		Expect(s.Due(start.Add(Tick))).To(BeEmpty(), "it was announced to within resendInterval")
-		s.Linked(start.Add(Tick), addr(0))
+		Expect(s.Due(start.Add(TickInterval))).To(BeEmpty(), "it was announced to within resendInterval")
+		s.Linked(start.Add(TickInterval), addr(0))
 		Expect(s.Due(start.Add(resendInterval))).To(ConsistOf(addr(1)))
 		Expect(s.Due(start.Add(announceDuration+time.Second))).To(BeEmpty(), "announceDuration has passed")
 		Expect(s.Known()).To(Equal(addrs(2)), "unlinked entries are remembered")
 	})
 
 	It("announces to a fleet within 60 ms and to at most PerTick entries at once", func() {
-		s.Remember(start, addrs(352))
+		s.Restore(start, addrs(352))
 		told := map[netip.AddrPort]int{}
-		for now := start; now.Sub(start) < 60*time.Millisecond; now = now.Add(Tick) {
+		for now := start; now.Sub(start) < 60*time.Millisecond; now = now.Add(TickInterval) {
 			due := s.Due(now)
-			Expect(len(due)).To(BeNumerically("<=", PerTick))
+			Expect(len(due)).To(BeNumerically("<=", MaxPerTick))
 			for _, a := range due {
 				told[a]++
 			}
@@ -68,7 +68,7 @@
 	})
 
 	It("drops entries that have been unlinked for long and accepts new ones again", func() {
-		s.Remember(start, addrs(maxEntries))
+		s.Restore(start, addrs(maxEntries))
 		s.Linked(start, netip.AddrPort{})
 		s.Linked(start, addr(maxEntries))
 		Expect(s.Known()).To(HaveLen(maxEntries))
@@ -135,20 +135,20 @@
 
 var _ = Describe("a Heard", func() {
 	It("keeps the latest few announcements until they expire", func() {
-		var h Heard
+		var h Cache
 		Expect(h.Recent(start)).To(BeEmpty())
 		for n := range 5 {
-			h.Take(start.Add(time.Duration(n)), addr(n))
+			h.Add(start.Add(time.Duration(n)), addr(n))
 		}
 		Expect(h.Recent(start)).To(Equal([]netip.AddrPort{addr(2), addr(3), addr(4)}))
-		h.Take(start.Add(announcementTTL), addr(3))
+		h.Add(start.Add(announcementTTL), addr(3))
 		Expect(h.Recent(start.Add(announcementTTL + time.Second))).To(Equal([]netip.AddrPort{addr(3)}))
 	})
 
 	It("ignores invalid addresses and port 0", func() {
-		var h Heard
-		h.Take(start, netip.AddrPort{})
-		h.Take(start, netip.AddrPortFrom(addr(0).Addr(), 0))
+		var h Cache
+		h.Add(start, netip.AddrPort{})
+		h.Add(start, netip.AddrPortFrom(addr(0).Addr(), 0))
 		Expect(h.Recent(start)).To(BeEmpty())
 	})
 })
--- a/internal/attachment/attachment.go
+++ b/internal/attachment/attachment.go
@@ -16,9 +16,9 @@
 	rankKey0 = 0x6f78626f77736164
 	rankKey1 = 0x7072696d61727900
 
-	// LinksLeast is the minimum number of links of an entry: with one lost and one
+	// MinLinks is the minimum number of links of an entry: with one lost and one
 	// lagging behind, another still delivers changes in time.
-	LinksLeast = 3
+	MinLinks = 3
 	// maxUnusable bounds the unusable instances that are tried in addition to the
 	// links in use. It covers the instances of one failure domain.
 	maxUnusable = 5
@@ -46,7 +46,7 @@
 
 // Links returns how many links an entry needs so that one remains after the
 // given number of instances is lost at once.
-func Links(losses int) int { return max(LinksLeast, losses+1) }
+func Links(losses int) int { return max(MinLinks, losses+1) }
 
 // Choose returns the addresses to keep links to, in order of preference. It takes
 // instances of the entry's own failure domain, except for at least one link to
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -131,7 +131,7 @@
 	m.lastBeat, m.applied, m.heard = now, r.Applied, true
 	k.takeCounts(m, r)
 	for _, l := range r.Loads {
-		k.assessor.Take(now, r.Name, health.Report{
+		k.assessor.AddReport(now, r.Name, health.Report{
 			Endpoint: l.Endpoint, Healthy: l.Healthy, Leaving: l.Leaving, Shedding: l.Shedding,
 			Connections: int(l.Connections), Running: int(l.Running),
 		})
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -24,7 +24,7 @@
 	for _, m := range k.state.Table().Members() {
 		if k.stopping[m.Name()] {
 			change.Stopped = append(change.Stopped, m.Name())
-			k.assessor.Forget(m.Name())
+			k.assessor.RemoveChecker(m.Name())
 			continue
 		}
 		have := k.members[m.Name()]
@@ -41,7 +41,7 @@
 		if have != nil {
 			k.lost(have)
 			delete(k.members, m.Name())
-			k.assessor.Forget(m.Name())
+			k.assessor.RemoveChecker(m.Name())
 		}
 	}
 	clear(k.stopping)
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -71,7 +71,7 @@
 func (f *fleet) checkAcknowledgedOrders(inst *instance) {
 	for _, e := range f.operators {
 		if e.pending == nil && e.acknowledged != nil {
-			Expect(inst.d.Evacuations().Holds(*e.acknowledged)).To(BeTrue(), "seed %d: %s does not hold %s", f.seed, inst.id, e.acknowledged)
+			Expect(inst.d.Evacuations().Reflects(*e.acknowledged)).To(BeTrue(), "seed %d: %s does not hold %s", f.seed, inst.id, e.acknowledged)
 		}
 	}
 }
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -94,7 +94,7 @@
 	if !d.replica.Current(now) {
 		return 0, false, fault.New(fault.NotCurrent, "%s does not lead", d.config.Self)
 	}
-	if d.applied == d.replica.LastIndex() && d.evacuations.Holds(o) {
+	if d.applied == d.replica.LastIndex() && d.evacuations.Reflects(o) {
 		return 0, true, nil
 	}
 	index, err = d.propose(now, &wire.DirectoryCommand{Evacuation: o.Message()})
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -22,14 +22,14 @@
 
 	// Route maps one address to the services that new flows to it go to.
 	Route struct {
-		Name       string
-		Addr       netip.AddrPort
-		Repeatable bool          // whether a request may be retried
-		Bulk       bool          // whether responses are large
-		Timeout    time.Duration // deadline of a request
-		Target     time.Duration // target latency of a response
-		Priority   int           // 0 is the highest
-		Shares     []Share       // a single share of weight 1 without a split
+		Name          string
+		Addr          netip.AddrPort
+		Repeatable    bool          // whether a request may be retried
+		Bulk          bool          // whether responses are large
+		Timeout       time.Duration // deadline of a request
+		TargetLatency time.Duration // target latency of a response
+		Priority      int           // 0 is the highest
+		Shares        []Share       // a single share of weight 1 without a split
 	}
 
 	// Service is a set of interchangeable endpoints.
@@ -43,11 +43,11 @@
 
 	// Config is the content of a Document.
 	Config struct {
-		Version  uint64
-		Routes   []Route
-		Services []Service
-		Idle     time.Duration // idle time after which a flow may be dropped
-		Source   []byte        // the text that the operator sent, returned when it is read back
+		Version     uint64
+		Routes      []Route
+		Services    []Service
+		IdleTimeout time.Duration // idle time after which a flow may be dropped
+		Source      []byte        // the text that the operator sent, returned when it is read back
 	}
 
 	// Document is a validated configuration.
@@ -75,9 +75,9 @@
 // Services returns the services, which the caller must not modify.
 func (d *Document) Services() []Service { return d.config.Services }
 
-// Idle returns the idle time after which a flow may be dropped, or 0 if the
+// IdleTimeout returns the idle time after which a flow may be dropped, or 0 if the
 // document does not set it.
-func (d *Document) Idle() time.Duration { return d.config.Idle }
+func (d *Document) IdleTimeout() time.Duration { return d.config.IdleTimeout }
 
 // Source returns the text that the operator sent.
 func (d *Document) Source() []byte { return d.config.Source }
@@ -141,14 +141,14 @@
 
 // toMessage returns the wire and storage form of a configuration.
 func toMessage(c Config) *wire.Document {
-	message := &wire.Document{Version: c.Version, IdleNanos: int64(c.Idle), Source: c.Source}
+	message := &wire.Document{Version: c.Version, IdleNanos: int64(c.IdleTimeout), Source: c.Source}
 	for _, s := range c.Services {
 		message.Services = append(message.Services, &wire.DocumentService{Name: s.Name, HealthPath: s.HealthPath, Connections: uint32(s.Connections), ColdRate: s.ColdRate})
 	}
 	for _, r := range c.Routes {
 		route := &wire.DocumentRoute{
 			Name: r.Name, Address: r.Addr.String(), Repeatable: r.Repeatable, Bulk: r.Bulk,
-			TimeoutNanos: int64(r.Timeout), TargetNanos: int64(r.Target), Priority: int32(r.Priority),
+			TimeoutNanos: int64(r.Timeout), TargetNanos: int64(r.TargetLatency), Priority: int32(r.Priority),
 		}
 		for _, s := range r.Shares {
 			route.Shares = append(route.Shares, &wire.Share{Service: s.Service, Weight: s.Weight})
@@ -161,7 +161,7 @@
 // FromMessage returns the document in a message. An invalid one returns an error
 // of kind InvalidChange.
 func FromMessage(m *wire.Document) (*Document, error) {
-	c := Config{Version: m.Version, Idle: time.Duration(m.IdleNanos), Source: m.Source}
+	c := Config{Version: m.Version, IdleTimeout: time.Duration(m.IdleNanos), Source: m.Source}
 	for _, s := range m.Services {
 		c.Services = append(c.Services, Service{Name: s.Name, HealthPath: s.HealthPath, Connections: int(s.Connections), ColdRate: s.ColdRate})
 	}
@@ -172,7 +172,7 @@
 		}
 		route := Route{
 			Name: r.Name, Addr: addr, Repeatable: r.Repeatable, Bulk: r.Bulk, Timeout: time.Duration(r.TimeoutNanos),
-			Target: time.Duration(r.TargetNanos), Priority: int(r.Priority),
+			TargetLatency: time.Duration(r.TargetNanos), Priority: int(r.Priority),
 		}
 		for _, s := range r.Shares {
 			route.Shares = append(route.Shares, Share{Service: s.Service, Weight: s.Weight})
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -16,12 +16,12 @@
 
 func valid() Config {
 	return Config{
-		Version: 7, Idle: 15 * time.Second, Source: []byte("as sent"),
+		Version: 7, IdleTimeout: 15 * time.Second, Source: []byte("as sent"),
 		Services: []Service{{Name: "booking", HealthPath: "/health", Connections: 2000}, {Name: "documents"}},
 		Routes: []Route{
 			{
 				Name: "r1", Addr: netip.MustParseAddrPort("198.18.0.1:443"), Repeatable: true, Timeout: time.Second,
-				Target: time.Millisecond, Priority: 2, Shares: []Share{{"booking", 90}, {"documents", 10}},
+				TargetLatency: time.Millisecond, Priority: 2, Shares: []Share{{"booking", 90}, {"documents", 10}},
 			},
 			{Name: "r2", Addr: netip.MustParseAddrPort("198.18.0.1:80"), Timeout: time.Second, Shares: []Share{{"documents", 1}}},
 		},
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -45,8 +45,8 @@
 // Has reports whether a failure domain is evacuated.
 func (s *Set) Has(domain string) bool { return slices.Contains(s.Domains(), domain) }
 
-// Holds reports whether the set already reflects an order.
-func (s *Set) Holds(o Order) bool { return s.Has(o.Domain) != o.Undo }
+// Reflects reports whether the set already reflects an order.
+func (s *Set) Reflects(o Order) bool { return s.Has(o.Domain) != o.Undo }
 
 // With returns the set after applying an order at a revision. Orders up to the
 // set's own revision are already applied and return it unchanged.
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -43,7 +43,7 @@
 			for i, o := range all {
 				s = s.With(uint64(i+1), o)
 				last[o.Domain] = o
-				if !s.Holds(o) {
+				if !s.Reflects(o) {
 					t.Fatalf("set does not reflect %v", o)
 				}
 			}
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -16,14 +16,14 @@
 type (
 	// Config sets the thresholds and bounds of an Assessor.
 	Config struct {
-		FreshFor   time.Duration // maximum age of a report
-		DownAfter  int           // consecutive bad reports of one checker that mark an endpoint down
-		UpAfter    int           // consecutive good reports of one checker that mark it up again
-		Ramp       time.Duration // time in which a new endpoint reaches its full share
-		RampFrom   float64       // initial fraction of the share of a new endpoint
-		MostTilt   float64       // maximum factor by which load changes a share
-		Hysteresis float64       // minimum relative change of a share
-		MostDown   float64       // fraction of a service down above which health reports are ignored
+		MaxAge             time.Duration // maximum age of a report
+		UnhealthyThreshold int           // consecutive bad reports of one checker that mark an endpoint down
+		HealthyThreshold   int           // consecutive good reports of one checker that mark it up again
+		Ramp               time.Duration // time in which a new endpoint reaches its full share
+		RampStart          float64       // initial fraction of the share of a new endpoint
+		MaxLoadFactor      float64       // maximum factor by which load changes a share
+		Hysteresis         float64       // minimum relative change of a share
+		PanicThreshold     float64       // fraction of a service down above which health reports are ignored
 	}
 
 	// Report is one observation of an endpoint by a checker.
@@ -64,8 +64,8 @@
 // the values.
 func DefaultConfig() Config {
 	return Config{
-		FreshFor: 5 * time.Second, DownAfter: 3, UpAfter: 2, Ramp: 8 * time.Second, RampFrom: 0.2,
-		MostTilt: 1.25, Hysteresis: 0.04, MostDown: 0.5,
+		MaxAge: 5 * time.Second, UnhealthyThreshold: 3, HealthyThreshold: 2, Ramp: 8 * time.Second, RampStart: 0.2,
+		MaxLoadFactor: 1.25, Hysteresis: 0.04, PanicThreshold: 0.5,
 	}
 }
 
@@ -75,8 +75,8 @@
 	return &Assessor{config: c, endpoints: map[uint32]*endpoint{}, started: now, panicking: map[uint32]bool{}}
 }
 
-// Take records a report of a checker.
-func (a *Assessor) Take(now time.Time, source string, r Report) {
+// AddReport records a report of a checker.
+func (a *Assessor) AddReport(now time.Time, source string, r Report) {
 	e := a.endpoint(now, r.Endpoint)
 	c := e.checkers[source]
 	if c == nil {
@@ -89,17 +89,17 @@
 		return
 	}
 	c.streak++
-	needed := a.config.DownAfter
+	needed := a.config.UnhealthyThreshold
 	if c.down {
-		needed = a.config.UpAfter
+		needed = a.config.HealthyThreshold
 	}
 	if c.streak >= needed {
 		c.down, c.streak = !c.down, 0
 	}
 }
 
-// Forget drops the reports of a checker that no longer exists.
-func (a *Assessor) Forget(source string) {
+// RemoveChecker drops the reports of a checker that no longer exists.
+func (a *Assessor) RemoveChecker(source string) {
 	for _, e := range a.endpoints {
 		delete(e.checkers, source)
 	}
@@ -133,7 +133,7 @@
 			down++
 		}
 	}
-	trusted := usable > 0 && float64(down)/float64(usable) <= a.config.MostDown
+	trusted := usable > 0 && float64(down)/float64(usable) <= a.config.PanicThreshold
 	a.panicking[s.ID()] = usable > 0 && !trusted
 	for i, e := range endpoints {
 		if trusted && a.isDown(now, e.ID()) {
@@ -143,9 +143,9 @@
 	return weights
 }
 
-// Disbelieved reports whether a service is in panic mode: so many of its endpoints
+// InPanicMode reports whether a service is in panic mode: so many of its endpoints
 // are reported down that health reports are ignored.
-func (a *Assessor) Disbelieved(service uint32) bool { return a.panicking[service] }
+func (a *Assessor) InPanicMode(service uint32) bool { return a.panicking[service] }
 
 // isLeaving reports whether an endpoint is draining, by operator request or by its
 // own report.
@@ -161,7 +161,7 @@
 	return false
 }
 
-func (a *Assessor) fresh(now time.Time, c *checker) bool { return now.Sub(c.at) <= a.config.FreshFor }
+func (a *Assessor) fresh(now time.Time, c *checker) bool { return now.Sub(c.at) <= a.config.MaxAge }
 
 // isDown reports whether more than half of the checkers with a fresh report mark an
 // endpoint down. Without fresh reports it counts as up.
@@ -221,7 +221,7 @@
 	if age >= a.config.Ramp {
 		return 1
 	}
-	return a.config.RampFrom + (1-a.config.RampFrom)*float64(age)/float64(a.config.Ramp)
+	return a.config.RampStart + (1-a.config.RampStart)*float64(age)/float64(a.config.Ramp)
 }
 
 // loadFactor returns the factor by which measured load changes a share. It follows
@@ -234,7 +234,7 @@
 	if known && medianLoad >= minMedianLoad {
 		e.loadFactor *= 1 + gain*balance*(1-load/medianLoad)
 	}
-	maxFactor := 1 + (a.config.MostTilt-1)*balance
+	maxFactor := 1 + (a.config.MaxLoadFactor-1)*balance
 	e.loadFactor = min(max(e.loadFactor, 1/maxFactor), maxFactor)
 	return e.loadFactor
 }
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -24,8 +24,8 @@
 
 func takeFromBoth(a *Assessor, now time.Time, count int, r Report) {
 	for range count {
-		a.Take(now, "one", r)
-		a.Take(now, "two", r)
+		a.AddReport(now, "one", r)
+		a.AddReport(now, "two", r)
 	}
 }
 
@@ -56,8 +56,8 @@
 	s, endpoints := newService(4, 0)
 	a := New(DefaultConfig(), start)
 	for range 5 {
-		a.Take(start, "one", Report{Endpoint: 1})
-		a.Take(start, "two", Report{Endpoint: 1, Healthy: true})
+		a.AddReport(start, "one", Report{Endpoint: 1})
+		a.AddReport(start, "two", Report{Endpoint: 1, Healthy: true})
 	}
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeNumerically(">", 0), "half of the checkers is no majority")
 	takeFromBoth(a, start, 5, Report{Endpoint: 2})
@@ -75,7 +75,7 @@
 	for _, share := range shares(a.Weights(start, s, endpoints)) {
 		g.Expect(share).To(gomega.BeNumerically(">", 0))
 	}
-	g.Expect(a.Disbelieved(1)).To(gomega.BeTrue())
+	g.Expect(a.InPanicMode(1)).To(gomega.BeTrue())
 }
 
 func TestFalseLoadReportsShiftSharesWithinBound(t *testing.T) {
@@ -95,7 +95,7 @@
 		}
 		last = shares(a.Weights(now, s, endpoints))
 	}
-	g.Expect(last[0] / last[1]).To(gomega.BeNumerically("<=", DefaultConfig().MostTilt*DefaultConfig().MostTilt+0.01))
+	g.Expect(last[0] / last[1]).To(gomega.BeNumerically("<=", DefaultConfig().MaxLoadFactor*DefaultConfig().MaxLoadFactor+0.01))
 }
 
 func TestNewEndpointRampsUpAndFullEndpointGetsNoShare(t *testing.T) {
--- a/internal/node/announcements.go
+++ b/internal/node/announcements.go
@@ -46,7 +46,7 @@
 			all = append(all, addr)
 		}
 	}
-	a.update(func(now time.Time, s *announce.Schedule) { s.Remember(now, all) })
+	a.update(func(now time.Time, s *announce.Schedule) { s.Restore(now, all) })
 }
 
 // addresses returns the entry addresses to save in the hints.
@@ -90,7 +90,7 @@
 	if err != nil {
 		return err
 	}
-	ticker := time.NewTicker(announce.Tick)
+	ticker := time.NewTicker(announce.TickInterval)
 	defer ticker.Stop()
 	for {
 		select {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -26,7 +26,7 @@
 func newEndpointList(c ControlConfig) *endpointList {
 	lines := newEndpointLines(c.Log)
 	l := &endpointList{
-		now: c.Now, registry: registry.New(registry.Config{Beat: c.Beat, Changed: lines.changed}, c.Now()), confirmed: map[string]uint64{},
+		now: c.Now, registry: registry.New(registry.Config{HeartbeatPeriod: c.Beat, OnChange: lines.changed}, c.Now()), confirmed: map[string]uint64{},
 	}
 	l.whole = &batches{gap: feedGap, changes: &l.changes, reports: l.changesAfter, empty: nothingTold}
 	l.brief = &batches{gap: briefGap, changes: &l.changes, reports: l.changesBrieflyAfter, empty: nothingTold}
@@ -45,9 +45,9 @@
 // update changes the registry and wakes the senders if entries must know.
 func (l *endpointList) update(change func(now time.Time, r *registry.Registry)) {
 	l.mu.Lock()
-	before := l.registry.Changed()
+	before := l.registry.LastChange()
 	change(l.now(), l.registry)
-	changed := l.registry.Changed() != before
+	changed := l.registry.LastChange() != before
 	l.mu.Unlock()
 	if changed {
 		l.changes.notify()
@@ -56,7 +56,7 @@
 
 // hear takes a heartbeat and returns the number of the change.
 func (l *endpointList) hear(e registry.Endpoint) (number uint64) {
-	l.update(func(now time.Time, r *registry.Registry) { number, _ = r.Hear(now, e) })
+	l.update(func(now time.Time, r *registry.Registry) { number, _ = r.Heartbeat(now, e) })
 	return number
 }
 
@@ -75,14 +75,14 @@
 func (l *endpointList) allHeard() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.registry.Whole(l.now())
+	return l.registry.Complete(l.now())
 }
 
 // changed returns the number of the last change that entries must know.
 func (l *endpointList) changed() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.registry.Changed()
+	return l.registry.LastChange()
 }
 
 // read reports of the registry while nothing changes it.
@@ -100,7 +100,7 @@
 // changesBrieflyAfter returns what an entry must know of the changes after a
 // number that somebody else tells it whole.
 func (l *endpointList) changesBrieflyAfter(number uint64) *wire.Reports {
-	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.ChangesBriefly(now, number) })
+	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.ChangeSummary(now, number) })
 }
 
 // records returns what is known of some endpoints.
@@ -110,13 +110,13 @@
 
 // lacking returns what an entry lacks whose digest is given.
 func (l *endpointList) lacking(known registry.Digest) *wire.Reports {
-	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Lacking(now, known) })
+	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Missing(now, known) })
 }
 
 // beatsAfter returns what the other control instances must know of the
 // heartbeats and changes after a number.
 func (l *endpointList) beatsAfter(number uint64) *wire.Reports {
-	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Beats(now, number) })
+	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.PeerChanges(now, number) })
 }
 
 // confirm notes what the instance at an address holds; 0 after its link ended.
@@ -159,7 +159,7 @@
 
 // view returns what an entry is told that begins to be told briefly.
 func (l *endpointList) view() *wire.Reports {
-	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.View(now) })
+	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Summary(now) })
 }
 
 // loop looks for silent endpoints until the context ends.
@@ -184,7 +184,7 @@
 func (l *endpointList) sweep(since time.Duration) {
 	l.update(func(now time.Time, r *registry.Registry) {
 		if late := since - frameEvery; late > frameEvery {
-			r.Excuse(late)
+			r.AddStall(late)
 		}
 		r.Sweep(now)
 	})
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -22,7 +22,7 @@
 	})
 	change := func() (number uint64) {
 		list.update(func(now time.Time, r *registry.Registry) {
-			number, _ = r.Hear(now, registry.Endpoint{ID: "i-1", Sequence: 1, Leaving: true})
+			number, _ = r.Heartbeat(now, registry.Endpoint{ID: "i-1", Sequence: 1, Leaving: true})
 		})
 		return number
 	}
@@ -68,7 +68,7 @@
 		change()
 		Expect(changed).To(Receive())
 		list.update(func(now time.Time, r *registry.Registry) {
-			r.Hear(now, registry.Endpoint{ID: "i-1", Sequence: 2, Leaving: true})
+			r.Heartbeat(now, registry.Endpoint{ID: "i-1", Sequence: 2, Leaving: true})
 		})
 		Expect(changed).NotTo(Receive())
 	})
--- a/internal/node/feedendpoints.go
+++ b/internal/node/feedendpoints.go
@@ -18,7 +18,7 @@
 	if err := f.sendOffer(); err != nil {
 		return err
 	}
-	known := registry.DigestOf(s.Digest)
+	known := registry.DecodeDigest(s.Digest)
 	switch {
 	case known == (registry.Digest{}):
 		return f.sendFirstList()
@@ -79,7 +79,7 @@
 // answerRecords returns what the entry asks for.
 func (f *entryFeed) answerRecords(want *wire.RecordsWant) *wire.Reports {
 	if len(want.Digest) > 0 {
-		return f.control.endpoints.lacking(registry.DigestOf(want.Digest))
+		return f.control.endpoints.lacking(registry.DecodeDigest(want.Digest))
 	}
 	return f.control.endpoints.records(want.Ids)
 }
--- a/internal/node/linkmanager.go
+++ b/internal/node/linkmanager.go
@@ -38,7 +38,7 @@
 		seeds     []string
 		links     map[string]*managedLink           // by address
 		rosters   map[string][]attachment.Candidate // instances listed by each sender's roster, by its address
-		announced announce.Heard
+		announced announce.Cache
 		failedAt  map[string]time.Time // last failure by address
 		loadSlot  chan struct{}        // held by the link that loads its initial endpoint list
 
@@ -98,7 +98,7 @@
 func (m *linkManager) handleAnnouncement(rootCtx context.Context, now time.Time, addr netip.AddrPort) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.announced.Take(now, addr)
+	m.announced.Add(now, addr)
 	m.reconcileLocked(rootCtx)
 }
 
--- a/internal/node/linkmanager_test.go
+++ b/internal/node/linkmanager_test.go
@@ -160,11 +160,11 @@
 			all = append(all, unreachableAddr(10+n))
 		}
 		m.setRoster(ctx, all[0], rosterOf(all...))
-		for _, address := range rank(all)[:attachment.LinksLeast] {
+		for _, address := range rank(all)[:attachment.MinLinks] {
 			activate(address)
 		}
 		before := linked()
-		Expect(before).To(HaveLen(attachment.LinksLeast))
+		Expect(before).To(HaveLen(attachment.MinLinks))
 		slices.Reverse(all)
 		m.setRoster(ctx, all[0], rosterOf(all...))
 		Expect(linked()).To(Equal(before))
--- a/internal/node/updates.go
+++ b/internal/node/updates.go
@@ -105,7 +105,7 @@
 	now := e.config.Now()
 	e.mu.Lock()
 	missing := e.steerer.Learn(now, source, reports)
-	diverged := len(reports.Digest) > 0 && e.steerer.LearnDigest(now, source, registry.DigestOf(reports.Digest))
+	diverged := len(reports.Digest) > 0 && e.steerer.LearnDigest(now, source, registry.DecodeDigest(reports.Digest))
 	digest := e.steerer.Digest()
 	e.mu.Unlock()
 	if len(reports.Endpoints) > 0 && !e.endpointsReceived.Swap(true) {
--- a/internal/registry/address.go
+++ b/internal/registry/address.go
@@ -83,5 +83,5 @@
 
 // periods returns the duration of n heartbeat periods.
 func (r *Registry) periods(n float64) time.Duration {
-	return time.Duration(n * float64(r.config.Beat))
+	return time.Duration(n * float64(r.config.HeartbeatPeriod))
 }
--- a/internal/registry/address_test.go
+++ b/internal/registry/address_test.go
@@ -29,7 +29,7 @@
 }
 
 func newPeers() *peers {
-	return &peers{now: start, registries: [2]*Registry{New(Config{Beat: heartbeatPeriod}, start), New(Config{Beat: heartbeatPeriod}, start)}}
+	return &peers{now: start, registries: [2]*Registry{New(Config{HeartbeatPeriod: heartbeatPeriod}, start), New(Config{HeartbeatPeriod: heartbeatPeriod}, start)}}
 }
 
 // runUntil advances the time to the end. Each sweep interval it delivers the due
@@ -38,11 +38,11 @@
 	for ; p.now.Before(end); p.now = p.now.Add(sweepInterval) {
 		for _, d := range due {
 			if !d.at.Before(p.now) && d.at.Before(p.now.Add(sweepInterval)) {
-				p.registries[d.to].Hear(p.now, d.heartbeat)
+				p.registries[d.to].Heartbeat(p.now, d.heartbeat)
 			}
 		}
 		for i, r := range p.registries {
-			reports := r.Beats(p.now, p.exchanged[i])
+			reports := r.PeerChanges(p.now, p.exchanged[i])
 			p.exchanged[i] = reports.Number
 			p.registries[1-i].Merge(p.now, reports)
 		}
@@ -83,11 +83,11 @@
 	yes, no := []bool{true, true}, []bool{false, false}
 
 	It("keeps the live one despite a delayed heartbeat of the other", func() {
-		r := New(Config{Beat: heartbeatPeriod}, start)
-		r.Hear(start, endpoint("new", 1, nil))
-		r.Hear(start.Add(heartbeatPeriod), endpoint("new", 2, nil))
-		r.Hear(start.Add(heartbeatPeriod+time.Millisecond), endpoint("old", 1, nil))
-		_, applied := r.Hear(start.Add(2*heartbeatPeriod), endpoint("new", 3, nil))
+		r := New(Config{HeartbeatPeriod: heartbeatPeriod}, start)
+		r.Heartbeat(start, endpoint("new", 1, nil))
+		r.Heartbeat(start.Add(heartbeatPeriod), endpoint("new", 2, nil))
+		r.Heartbeat(start.Add(heartbeatPeriod+time.Millisecond), endpoint("old", 1, nil))
+		_, applied := r.Heartbeat(start.Add(2*heartbeatPeriod), endpoint("new", 3, nil))
 		Expect(applied).To(BeTrue())
 		Expect(find(r.Changes(start, 0), "new").Gone).To(BeFalse())
 	})
@@ -129,9 +129,9 @@
 	})
 
 	It("applies a leave message only to its sender", func() {
-		r := New(Config{Beat: heartbeatPeriod}, start)
-		r.Hear(start, endpoint("new", 1, nil))
-		r.Hear(start, endpoint("old", 1, nil))
+		r := New(Config{HeartbeatPeriod: heartbeatPeriod}, start)
+		r.Heartbeat(start, endpoint("new", 1, nil))
+		r.Heartbeat(start, endpoint("old", 1, nil))
 		number := r.Leave(start, "old")
 		Expect(find(r.Changes(start, number-1), "old").Gone).To(BeTrue())
 		Expect(find(r.Changes(start, 0), "new").Gone).To(BeFalse())
@@ -167,15 +167,15 @@
 	})
 
 	It("restarts conflicts after a pause of the process, which may have missed heartbeats", func() {
-		r := New(Config{Beat: heartbeatPeriod}, start)
-		r.Hear(start, endpoint("new", 5, nil))
-		r.Hear(start, endpoint("old", 1, nil))
-		r.Hear(start, endpoint("old", 2, nil))
+		r := New(Config{HeartbeatPeriod: heartbeatPeriod}, start)
+		r.Heartbeat(start, endpoint("new", 5, nil))
+		r.Heartbeat(start, endpoint("old", 1, nil))
+		r.Heartbeat(start, endpoint("old", 2, nil))
 		resumed := start.Add(10 * heartbeatPeriod)
-		r.Hear(resumed, endpoint("old", 3, nil)) // delayed like the earlier ones
+		r.Heartbeat(resumed, endpoint("old", 3, nil)) // delayed like the earlier ones
 		r.Sweep(resumed)
 		Expect(find(r.Changes(resumed, 0), "new").Gone).To(BeFalse())
-		r.Hear(resumed.Add(heartbeatPeriod/2), endpoint("new", 18, nil))
+		r.Heartbeat(resumed.Add(heartbeatPeriod/2), endpoint("new", 18, nil))
 		r.Sweep(resumed.Add(heartbeatPeriod))
 		Expect(find(r.Changes(resumed, 0), "new").Silent).To(BeFalse())
 	})
@@ -202,10 +202,10 @@
 	})
 
 	It("reports both to a joining control instance, which resolves the conflict itself", func() {
-		first := New(Config{Beat: heartbeatPeriod}, start)
-		first.Hear(start, endpoint("new", 2, nil))
-		first.Hear(start, endpoint("old", 1, nil))
-		joined := New(Config{Beat: heartbeatPeriod}, start.Add(sweepInterval))
+		first := New(Config{HeartbeatPeriod: heartbeatPeriod}, start)
+		first.Heartbeat(start, endpoint("new", 2, nil))
+		first.Heartbeat(start, endpoint("old", 1, nil))
+		joined := New(Config{HeartbeatPeriod: heartbeatPeriod}, start.Add(sweepInterval))
 		joined.Merge(start.Add(sweepInterval), &wire.Reports{Endpoints: first.Changes(start.Add(sweepInterval), 0).Endpoints})
 		for _, id := range []string{"new", "old"} {
 			Expect(find(joined.Changes(start.Add(sweepInterval), 0), id).Gone).To(BeFalse(), id)
--- a/internal/registry/digest.go
+++ b/internal/registry/digest.go
@@ -23,8 +23,8 @@
 // Toggle adds the checksum of an endpoint, or removes it if it was added before.
 func (d *Digest) Toggle(id string, sum uint64) { d[part(id)] ^= sum }
 
-// Same returns a bit mask of the parts that are equal in both digests.
-func (d *Digest) Same(other *Digest) uint64 {
+// EqualParts returns a bit mask of the parts that are equal in both digests.
+func (d *Digest) EqualParts(other *Digest) uint64 {
 	var bits uint64
 	for i := range d {
 		if d[i] == other[i] {
@@ -34,8 +34,8 @@
 	return bits
 }
 
-// DigestOf decodes a digest from its wire form; missing parts are 0.
-func DigestOf(sums []uint64) Digest {
+// DecodeDigest decodes a digest from its wire form; missing parts are 0.
+func DecodeDigest(sums []uint64) Digest {
 	var d Digest
 	copy(d[:], sums)
 	return d
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -14,20 +14,20 @@
 var _ = Describe("incarnations that share an id", func() {
 	var r *Registry
 	first, second := Incarnation("a", 1000), Incarnation("a", 2000)
-	BeforeEach(func() { r = New(Config{Beat: heartbeatPeriod}, start) })
+	BeforeEach(func() { r = New(Config{HeartbeatPeriod: heartbeatPeriod}, start) })
 	known := func(r *Registry, id string) *wire.EndpointReport { return find(r.Changes(start, 0), id) }
 
 	It("are independent: the later one is live whatever the earlier one's state and sequence", func() {
-		r.Hear(start, endpoint(first, 50, leaving))
-		_, applied := r.Hear(start.Add(heartbeatPeriod), endpoint(second, 1, nil))
+		r.Heartbeat(start, endpoint(first, 50, leaving))
+		_, applied := r.Heartbeat(start.Add(heartbeatPeriod), endpoint(second, 1, nil))
 		Expect(applied).To(BeTrue())
 		Expect(known(r, first).Gone).To(BeTrue())
 		Expect(known(r, second)).To(And(HaveField("Gone", false), HaveField("Leaving", false), HaveField("Silent", false)))
 	})
 
 	It("are not revived by delayed messages once a later one is known", func() {
-		r.Hear(start, endpoint(second, 1, nil))
-		_, applied := r.Hear(start, endpoint(first, 51, leaving))
+		r.Heartbeat(start, endpoint(second, 1, nil))
+		_, applied := r.Heartbeat(start, endpoint(first, 51, leaving))
 		Expect(applied).To(BeFalse())
 		Expect(known(r, first)).To(BeNil())
 		r.Merge(start, &wire.Reports{Endpoints: []*wire.EndpointReport{{Id: first, Sequence: 52, Address: "10.0.0.1:80"}}})
@@ -36,23 +36,23 @@
 	})
 
 	It("apply a leave message without a start time to the newest one", func() {
-		r.Hear(start, endpoint(first, 50, nil))
-		r.Hear(start, endpoint(second, 1, nil))
+		r.Heartbeat(start, endpoint(first, 50, nil))
+		r.Heartbeat(start, endpoint(second, 1, nil))
 		r.Leave(start, "a")
 		Expect(known(r, second).Gone).To(BeFalse(), "it did not announce leaving, so the message is a delayed one of the first")
-		r.Hear(start, endpoint(second, 2, leaving))
+		r.Heartbeat(start, endpoint(second, 2, leaving))
 		r.Leave(start, "a")
 		Expect(known(r, second).Gone).To(BeTrue())
-		r.Hear(start, endpoint(Incarnation("a", 3000), 1, nil))
+		r.Heartbeat(start, endpoint(Incarnation("a", 3000), 1, nil))
 		Expect(known(r, Incarnation("a", 3000)).Gone).To(BeFalse())
 	})
 
 	It("are distinct from an id without a start time", func() {
 		Expect(Incarnation("a", 0)).To(Equal("a"))
-		r.Hear(start, endpoint("a", 5, nil))
-		_, applied := r.Hear(start, endpoint("a", 4, nil))
+		r.Heartbeat(start, endpoint("a", 5, nil))
+		_, applied := r.Heartbeat(start, endpoint("a", 4, nil))
 		Expect(applied).To(BeFalse())
-		r.Hear(start, endpoint(second, 1, nil))
+		r.Heartbeat(start, endpoint(second, 1, nil))
 		Expect(known(r, "a").Gone).To(BeFalse())
 	})
 
@@ -60,7 +60,7 @@
 		const rounds, steps = 200, 60
 		for seed := range uint64(rounds) {
 			random := rand.New(rand.NewPCG(seed, 17))
-			all := []*Registry{New(Config{Beat: heartbeatPeriod}, start), New(Config{Beat: heartbeatPeriod}, start), New(Config{Beat: heartbeatPeriod}, start)}
+			all := []*Registry{New(Config{HeartbeatPeriod: heartbeatPeriod}, start), New(Config{HeartbeatPeriod: heartbeatPeriod}, start), New(Config{HeartbeatPeriod: heartbeatPeriod}, start)}
 			for n, each := range all {
 				each.SetRelay(n == 0)
 			}
@@ -68,7 +68,7 @@
 			born, sequence, now := int64(1000), uint64(0), start
 			var exchangedRev [3][3]uint64
 			exchange := func(from, to int) {
-				reports := all[from].Beats(now, exchangedRev[from][to])
+				reports := all[from].PeerChanges(now, exchangedRev[from][to])
 				exchangedRev[from][to] = reports.Number
 				all[to].Merge(now, reports)
 			}
@@ -79,7 +79,7 @@
 					born, sequence = born+1+random.Int64N(2000), 0
 				case 1, 2: // an earlier heartbeat arrives, possibly late or repeated
 					if len(sentBeats) > 0 {
-						all[random.IntN(3)].Hear(now, sentBeats[random.IntN(len(sentBeats))])
+						all[random.IntN(3)].Heartbeat(now, sentBeats[random.IntN(len(sentBeats))])
 					}
 				case 3:
 					exchange(random.IntN(3), random.IntN(3))
@@ -91,12 +91,12 @@
 					})
 					sentBeats = append(sentBeats, e)
 					if random.IntN(3) > 0 { // otherwise it is lost or delayed
-						all[random.IntN(3)].Hear(now, e)
+						all[random.IntN(3)].Heartbeat(now, e)
 					}
 				}
 			}
 			last := endpoint(Incarnation("a", born), sequence+1, nil)
-			all[2].Hear(now, last)
+			all[2].Heartbeat(now, last)
 			for range 2 {
 				for from := range all {
 					for to := range all {
@@ -116,15 +116,15 @@
 	It("are acknowledged as leaving only under a revision that peers receive", func() {
 		r.SetRelay(false)
 		r.Merge(start, &wire.Reports{Endpoints: []*wire.EndpointReport{{Id: "b", Sequence: 4, Address: "10.0.0.1:80", Leaving: true}}})
-		before := r.Beats(start, 0)
+		before := r.PeerChanges(start, 0)
 		Expect(before.Endpoints).To(BeEmpty(), "the instance that heard it reports it")
-		number, _ := r.Hear(start, endpoint("b", 4, leaving))
-		reports := r.Beats(start, before.Number)
+		number, _ := r.Heartbeat(start, endpoint("b", 4, leaving))
+		reports := r.PeerChanges(start, before.Number)
 		Expect(find(reports, "b").GetLeaving()).To(BeTrue(), "the instance that heard it may have told nobody else")
 		Expect(reports.Number).To(BeNumerically(">=", number))
 		r.Merge(start, &wire.Reports{Endpoints: []*wire.EndpointReport{{Id: "b", Gone: true}}})
 		number = r.Leave(start, "b")
-		again := r.Beats(start, reports.Number)
+		again := r.PeerChanges(start, reports.Number)
 		Expect(find(again, "b").GetGone()).To(BeTrue())
 		Expect(again.Number).To(BeNumerically(">=", number))
 	})
@@ -133,12 +133,12 @@
 		r.SetRelay(false)
 		r.Merge(start, &wire.Reports{Endpoints: []*wire.EndpointReport{{Id: "b", Sequence: 4, Address: "10.0.0.1:80"}}})
 		r.SetRelay(true)
-		Expect(find(r.Beats(start, 0), "b")).NotTo(BeNil())
+		Expect(find(r.PeerChanges(start, 0), "b")).NotTo(BeNil())
 	})
 
 	It("are not marked silent for the time that the process itself was stalled", func() {
-		r.Hear(start, endpoint("b", 1, nil))
-		r.Excuse(3 * heartbeatPeriod)
+		r.Heartbeat(start, endpoint("b", 1, nil))
+		r.AddStall(3 * heartbeatPeriod)
 		r.Sweep(start.Add(4 * heartbeatPeriod))
 		Expect(known(r, "b").Silent).To(BeFalse())
 		r.Sweep(start.Add(6 * heartbeatPeriod))
--- a/internal/registry/merge.go
+++ b/internal/registry/merge.go
@@ -16,7 +16,7 @@
 			continue
 		}
 		age := time.Duration(m.AgeNanos)
-		e.Warm += age
+		e.Warmup += age
 		r.apply(now, e, age)
 	}
 	for _, b := range reports.Beats {
@@ -33,6 +33,6 @@
 	}
 	e, age := rec.endpoint, time.Duration(b.AgeNanos)
 	e.Sequence = b.Sequence
-	e.Warm = max(0, e.Warm-now.Add(-age).Sub(rec.heard))
+	e.Warmup = max(0, e.Warmup-now.Add(-age).Sub(rec.heard))
 	r.apply(now, e, age)
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -35,16 +35,16 @@
 		Slots    int
 		Leaving  bool
 		Gone     bool          // it has ended and receives no traffic
-		Warm     time.Duration // remaining warm-up time as of the heartbeat
+		Warmup   time.Duration // remaining warm-up time as of the heartbeat
 		Sequence uint64        // increases with each heartbeat
 	}
 
 	// Config configures a Registry.
 	Config struct {
-		Beat time.Duration // heartbeat period of endpoints
-		// Changed is called with each change that entries must learn of, and the time
+		HeartbeatPeriod time.Duration // heartbeat period of endpoints
+		// OnChange is called with each change that entries must learn of, and the time
 		// since the endpoint was last heard; it may be nil.
-		Changed func(e Endpoint, silent bool, age time.Duration)
+		OnChange func(e Endpoint, silent bool, age time.Duration)
 	}
 
 	// Registry holds the endpoint records of one control instance. It is not safe
@@ -109,10 +109,10 @@
 	}
 }
 
-// Hear applies a heartbeat received from the endpoint itself, and returns the
+// Heartbeat applies a heartbeat received from the endpoint itself, and returns the
 // revision that covers it. It reports false if the heartbeat is not newer than the
 // record.
-func (r *Registry) Hear(now time.Time, e Endpoint) (uint64, bool) {
+func (r *Registry) Heartbeat(now time.Time, e Endpoint) (uint64, bool) {
 	revision, applied := r.apply(now, e, 0)
 	rec := r.records[e.ID]
 	switch {
@@ -175,18 +175,18 @@
 // warm-up time than before. It compares the announced values and not the times of
 // receipt, because heartbeats queued at a busy control instance would all appear to
 // extend the warm-up and trigger pushes to every entry.
-func becameCold(rec *record, e Endpoint) bool { return e.Warm > rec.endpoint.Warm+coldMargin }
+func becameCold(rec *record, e Endpoint) bool { return e.Warmup > rec.endpoint.Warmup+coldMargin }
 
 // isCold reports whether the announced warm-up is still under way.
 func (rec *record) isCold(now time.Time) bool {
-	return rec.endpoint.Warm > 0 && now.Sub(rec.heard) < rec.endpoint.Warm
+	return rec.endpoint.Warmup > 0 && now.Sub(rec.heard) < rec.endpoint.Warmup
 }
 
 // differsForEntries reports whether two states differ in fields that entries must
 // learn of.
 func differsForEntries(a, b Endpoint) bool {
 	a.Sequence, b.Sequence = 0, 0
-	a.Warm, b.Warm = 0, 0
+	a.Warmup, b.Warmup = 0, 0
 	return a != b
 }
 
@@ -242,8 +242,8 @@
 		rec.sum, rec.sumRev = sum, r.revision
 	}
 	r.digest.Toggle(rec.endpoint.ID, rec.sum)
-	if r.config.Changed != nil {
-		r.config.Changed(rec.endpoint, rec.silent, now.Sub(rec.heard))
+	if r.config.OnChange != nil {
+		r.config.OnChange(rec.endpoint, rec.silent, now.Sub(rec.heard))
 	}
 }
 
@@ -290,7 +290,7 @@
 func (r *Registry) Sweep(now time.Time) {
 	r.restartConflictsAfterPause(now)
 	for id, rec := range r.records {
-		if now.Sub(rec.heard) > forgetAfterPeriods*r.config.Beat {
+		if now.Sub(rec.heard) > forgetAfterPeriods*r.config.HeartbeatPeriod {
 			r.remove(id, rec)
 			continue
 		}
@@ -331,19 +331,19 @@
 // Digest returns the digest of all records.
 func (r *Registry) Digest() Digest { return r.digest }
 
-// Excuse records that this process was stalled for a time. The time does not count
+// AddStall records that this process was stalled for a time. The time does not count
 // towards the silence of endpoints, because heartbeats were queued or went elsewhere
 // meanwhile.
-func (r *Registry) Excuse(span time.Duration) { r.stalled += span }
+func (r *Registry) AddStall(span time.Duration) { r.stalled += span }
 
-// Whole reports whether every endpoint has had time to send a heartbeat since the
+// Complete reports whether every endpoint has had time to send a heartbeat since the
 // registry started. Until then an unknown endpoint may still be alive.
-func (r *Registry) Whole(now time.Time) bool {
-	return now.Sub(r.started) > 2*r.config.Beat
+func (r *Registry) Complete(now time.Time) bool {
+	return now.Sub(r.started) > 2*r.config.HeartbeatPeriod
 }
 
-// Changed returns the revision of the last change that entries must learn of.
-func (r *Registry) Changed() uint64 {
+// LastChange returns the revision of the last change that entries must learn of.
+func (r *Registry) LastChange() uint64 {
 	if last := r.changeOrder.Back(); last != nil {
 		return last.Value.(*record).changeRev
 	}
--- a/internal/registry/reports.go
+++ b/internal/registry/reports.go
@@ -40,12 +40,12 @@
 	}
 }
 
-// ChangesBriefly returns a summary of the changes after a revision, for an entry
+// ChangeSummary returns a summary of the changes after a revision, for an entry
 // that receives the records themselves from another control instance. It contains
 // their checksums, the ids of endpoints that became silent or were heard again in this
 // instance's view, and the records that became cold again, which checksums do not
 // cover. If more than maxSums checksums have changed it contains the digest instead.
-func (r *Registry) ChangesBriefly(now time.Time, after uint64) *wire.Reports {
+func (r *Registry) ChangeSummary(now time.Time, after uint64) *wire.Reports {
 	out := r.newReports(now)
 	for rec := range r.changedAfter(after) {
 		id := rec.endpoint.ID
@@ -66,9 +66,9 @@
 	return out
 }
 
-// View returns the digest and the ids of silent endpoints, for an entry that receives
+// Summary returns the digest and the ids of silent endpoints, for an entry that receives
 // only summaries from now on.
-func (r *Registry) View(now time.Time) *wire.Reports {
+func (r *Registry) Summary(now time.Time) *wire.Reports {
 	out := r.newReports(now)
 	out.Digest = slices.Clone(r.digest[:])
 	for rec := range r.changedAfter(0) {
@@ -90,11 +90,11 @@
 	return out
 }
 
-// Lacking returns the records that an entry with the given digest lacks: all in the
+// Missing returns the records that an entry with the given digest lacks: all in the
 // parts that differ, and those that are silent or cold in the others.
-func (r *Registry) Lacking(now time.Time, known Digest) *wire.Reports {
+func (r *Registry) Missing(now time.Time, known Digest) *wire.Reports {
 	out := r.newReports(now)
-	out.Same = r.digest.Same(&known)
+	out.Same = r.digest.EqualParts(&known)
 	for rec := range r.changedAfter(0) {
 		if rec.silent || rec.isCold(now) || out.Same&PartBit(rec.endpoint.ID) == 0 {
 			m := toMessage(now, rec)
@@ -105,12 +105,12 @@
 	return out
 }
 
-// Beats returns, for a peer that received everything up to a revision, what was
+// PeerChanges returns, for a peer that received everything up to a revision, what was
 // heard after it: the full records that changed, and only heartbeats of the others.
 // Heartbeats suffice for these because an incarnation never withdraws its leaving,
 // and its other fields do not change. The cost is proportional to the number of
 // heartbeats and changes.
-func (r *Registry) Beats(now time.Time, after uint64) *wire.Reports {
+func (r *Registry) PeerChanges(now time.Time, after uint64) *wire.Reports {
 	out := r.newReports(now)
 	for rec := range r.heardAfter(after) {
 		if rec.peerFullRev > after {
@@ -126,7 +126,7 @@
 
 // newReports returns reports without endpoints.
 func (r *Registry) newReports(now time.Time) *wire.Reports {
-	return &wire.Reports{Number: r.revision, Whole: r.Whole(now)}
+	return &wire.Reports{Number: r.revision, Whole: r.Complete(now)}
 }
 
 // changedAfter iterates over the records with changes for entries after a revision,
@@ -157,7 +157,7 @@
 	e, age := rec.endpoint, now.Sub(rec.heard)
 	return &wire.EndpointReport{
 		Id: e.ID, Number: e.Number, Service: e.Service, Address: e.Addr.String(), Domain: e.Domain, Slots: uint32(e.Slots),
-		Leaving: e.Leaving, Gone: e.Gone, WarmNanos: int64(max(0, e.Warm-age)), Sequence: e.Sequence,
+		Leaving: e.Leaving, Gone: e.Gone, WarmNanos: int64(max(0, e.Warmup-age)), Sequence: e.Sequence,
 		AgeNanos: int64(age), Silent: rec.silent,
 	}
 }
@@ -167,6 +167,6 @@
 	addr, _ := netip.ParseAddrPort(m.Address) // invalid if the sender only knows that the endpoint is gone
 	return Endpoint{
 		ID: m.Id, Number: m.Number, Service: m.Service, Addr: addr, Domain: m.Domain, Slots: int(m.Slots),
-		Leaving: m.Leaving, Gone: m.Gone, Warm: time.Duration(m.WarmNanos), Sequence: m.Sequence,
+		Leaving: m.Leaving, Gone: m.Gone, Warmup: time.Duration(m.WarmNanos), Sequence: m.Sequence,
 	}
 }
--- a/internal/steer/convergence_test.go
+++ b/internal/steer/convergence_test.go
@@ -33,7 +33,7 @@
 		entry: New(Config{Domain: "plateau", MaxFlow: time.Hour, MaxFlows: 10, Beat: time.Second}),
 	}
 	for i := range t.registries {
-		t.registries[i] = registry.New(registry.Config{Beat: time.Second}, start)
+		t.registries[i] = registry.New(registry.Config{HeartbeatPeriod: time.Second}, start)
 	}
 	return t
 }
@@ -44,7 +44,7 @@
 	id := fmt.Sprint("i-", n)
 	t.sequences[id]++
 	t.leaving[id] = t.leaving[id] || leaving
-	t.registries[at].Hear(t.now, registry.Endpoint{
+	t.registries[at].Heartbeat(t.now, registry.Endpoint{
 		ID: id, Number: uint64(n), Service: "booking", Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 80),
 		Domain: "plateau", Slots: 2, Leaving: t.leaving[id], Sequence: t.sequences[id],
 	})
@@ -52,7 +52,7 @@
 
 // exchange sends what a control instance heard to the other one.
 func (t *convergenceTest) exchange(from int) {
-	reports := t.registries[from].Beats(t.now, t.lastSent[from])
+	reports := t.registries[from].PeerChanges(t.now, t.lastSent[from])
 	t.lastSent[from] = reports.Number
 	t.registries[1-from].Merge(t.now, reports)
 }
@@ -64,11 +64,11 @@
 	switch {
 	case !t.connected[from]:
 		t.connected[from] = true
-		reports = r.Lacking(t.now, t.entry.Digest())
+		reports = r.Missing(t.now, t.entry.Digest())
 	case from == t.primary:
 		reports = r.Changes(t.now, t.lastTold[from])
 	default:
-		reports = r.ChangesBriefly(t.now, t.lastTold[from])
+		reports = r.ChangeSummary(t.now, t.lastTold[from])
 	}
 	t.lastTold[from] = reports.Number
 	if lacking := t.entry.Learn(t.now, source, reports); len(lacking) > 0 {
--- a/internal/steer/flow.go
+++ b/internal/steer/flow.go
@@ -201,8 +201,8 @@
 // expireIdleFlows removes flows that exceed the idle timeout.
 func (s *Steerer) expireIdleFlows(now time.Time) {
 	idle := defaultIdleTimeout
-	if s.document != nil && s.document.Idle() > 0 {
-		idle = s.document.Idle()
+	if s.document != nil && s.document.IdleTimeout() > 0 {
+		idle = s.document.IdleTimeout()
 	}
 	var next *list.Element
 	for e := s.idleOrder.Front(); e != nil && now.Sub(e.Value.(*flow).lastSeen) > idle; e = next {
--- a/internal/steer/fuzz_test.go
+++ b/internal/steer/fuzz_test.go
@@ -23,7 +23,7 @@
 	}
 	f.Add(raw, raw)
 	f.Fuzz(func(t *testing.T, first, second []byte) {
-		r := registry.New(registry.Config{Beat: time.Second}, start)
+		r := registry.New(registry.Config{HeartbeatPeriod: time.Second}, start)
 		s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10, Beat: time.Second})
 		s.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking")))
 		now := start
@@ -35,8 +35,8 @@
 			now = now.Add(3 * time.Second)
 			r.Merge(now, m)
 			r.Sweep(now)
-			s.Learn(now, "c1", r.ChangesBriefly(now, 0))
-			s.Learn(now, "c1", r.Lacking(now, s.Digest()))
+			s.Learn(now, "c1", r.ChangeSummary(now, 0))
+			s.Learn(now, "c1", r.Missing(now, s.Digest()))
 			s.Learn(now, "c2", m)
 			s.Decide(now, synPacket(1000, 7, 0))
 			s.Decide(now, flowPacket(1000, Tag("booking-1"), 8, 1, 10))
--- a/internal/steer/learn.go
+++ b/internal/steer/learn.go
@@ -135,7 +135,7 @@
 		b.leavingAt = now
 		s.markReachable(b) // it was heard just now, and may refuse connections from now on
 	}
-	b.warmUntil = now.Add(e.Warm)
+	b.warmUntil = now.Add(e.Warmup)
 	s.updatePool(b)
 }
 
@@ -219,6 +219,6 @@
 		r.differed[i] = differs
 	}
 	r.digest = digest
-	s.learnMatchingParts(now, r, s.digest.Same(&digest))
+	s.learnMatchingParts(now, r, s.digest.EqualParts(&digest))
 	return behind
 }
--- a/internal/steer/learn_test.go
+++ b/internal/steer/learn_test.go
@@ -90,12 +90,12 @@
 	})
 
 	It("find missing endpoints by checksums, and count the others as heard", func() {
-		r := registry.New(registry.Config{Beat: time.Second}, start)
+		r := registry.New(registry.Config{HeartbeatPeriod: time.Second}, start)
 		r.Merge(start, reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
-		before := r.Changed()
-		s.Learn(start, "c2", r.Lacking(start, s.Digest()))
+		before := r.LastChange()
+		s.Learn(start, "c2", r.Missing(start, s.Digest()))
 		r.Merge(start, reports(report("booking", 4, nil)))
-		brief := r.ChangesBriefly(start, before)
+		brief := r.ChangeSummary(start, before)
 		lacking := s.Learn(start, "c2", brief)
 		Expect(lacking).To(ConsistOf("booking-4"))
 		Expect(s.byID).NotTo(HaveKey("booking-4"))
@@ -109,7 +109,7 @@
 	})
 
 	It("are requested when a digest differs in a part that has stopped changing", func() {
-		r := registry.New(registry.Config{Beat: time.Second}, start)
+		r := registry.New(registry.Config{HeartbeatPeriod: time.Second}, start)
 		r.Merge(start, reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil), report("booking", 7, nil), report("booking", 8, nil)))
 		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse(), "the report may be on its way")
 		r.Merge(start, reports(report("booking", 7, func(m *wire.EndpointReport) { m.Gone = true })))
@@ -121,7 +121,7 @@
 		r.Merge(start, reports(report("booking", 1, func(m *wire.EndpointReport) { m.Gone = true })))
 		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse())
 		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeTrue())
-		s.Learn(start, "c2", r.Lacking(start, s.Digest()))
+		s.Learn(start, "c2", r.Missing(start, s.Digest()))
 		Expect(s.byID["booking-1"].Gone).To(BeTrue())
 		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse())
 	})
@@ -144,10 +144,10 @@
 	})
 
 	It("have the digest of the control instance that sent them, ended endpoints included", func() {
-		r := registry.New(registry.Config{Beat: time.Second}, start)
+		r := registry.New(registry.Config{HeartbeatPeriod: time.Second}, start)
 		all := reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil))
 		r.Merge(start, all)
-		missing := func() []*wire.EndpointReport { return r.Lacking(start, s.Digest()).Endpoints }
+		missing := func() []*wire.EndpointReport { return r.Missing(start, s.Digest()).Endpoints }
 		Expect(missing()).To(BeEmpty())
 		r.Leave(start, "booking-1")
 		Expect(missing()).NotTo(BeEmpty())
--- a/internal/steer/outlier.go
+++ b/internal/steer/outlier.go
@@ -139,7 +139,7 @@
 // hangTimeout returns how long a request of a flow may wait before it counts as hung.
 func (s *Steerer) hangTimeout(f *flow) time.Duration {
 	if r := s.routes[f.key.dst]; r != nil {
-		return max(minHangTime, hangTargetMultiple*r.Target)
+		return max(minHangTime, hangTargetMultiple*r.TargetLatency)
 	}
 	return minHangTime
 }
--- a/internal/steer/outlier_test.go
+++ b/internal/steer/outlier_test.go
@@ -36,7 +36,7 @@
 func newOutlierFleet(entries, endpoints int) *outlierFleet {
 	f := &outlierFleet{tracker: outlier.New(), now: start, random: rand.New(rand.NewPCG(1, 2)), ejected: map[string]bool{}}
 	route := routeTo(bookingAddr, "booking")
-	route.Target = 500 * time.Millisecond
+	route.TargetLatency = 500 * time.Millisecond
 	for n := range entries {
 		s := fleetSteerer(threeDomains(endpoints)[:endpoints])
 		s.SetDocument(start, testDocument(2, route))
@@ -224,7 +224,7 @@
 	It("uses the target latency of the route", func() {
 		s := fleetSteerer(threeDomains(4))
 		route := routeTo(bookingAddr, "booking")
-		route.Target = time.Second
+		route.TargetLatency = time.Second
 		s.SetDocument(start, testDocument(2, route))
 		f := &flow{key: flowKey{dst: bookingAddr}}
 		Expect(s.hangTimeout(f)).To(Equal(2 * time.Second))
