--- a/internal/announce/schedule.go
+++ b/internal/announce/schedule.go
@@ -12,9 +12,10 @@
 )
 
 const (
-	// TickInterval is the interval between calls of Due.
+	// TickInterval is the time between two calls of Due.
 	TickInterval = 20 * time.Millisecond
-	// MaxPerTick bounds the datagrams sent in one tick, which is 7,500 a second.
+	// MaxPerTick bounds the datagrams sent in one tick, which limits them to 7,500 a
+	// second.
 	MaxPerTick = 150
 	// resendInterval is the minimum time between two datagrams to the same entry.
 	// It is short because datagrams that arrive before the entry listens are lost.
@@ -80,7 +81,7 @@
 	}
 }
 
-// Due returns the entries to send an announcement to now, at most PerTick.
+// Due returns the entries to send an announcement to now, at most MaxPerTick.
 func (s *Schedule) Due(now time.Time) []netip.AddrPort {
 	s.prune(now)
 	var due []netip.AddrPort
--- a/internal/announce/schedule_test.go
+++ b/internal/announce/schedule_test.go
@@ -43,7 +43,7 @@
 		Expect(s.Known()).To(Equal(addrs(2)), "unlinked entries are remembered")
 	})
 
-	It("announces to a fleet within 60 ms and to at most PerTick entries at once", func() {
+	It("announces to a fleet within 60 ms and to at most MaxPerTick entries at once", func() {
 		s.Restore(start, addrs(352))
 		told := map[netip.AddrPort]int{}
 		for now := start; now.Sub(start) < 60*time.Millisecond; now = now.Add(TickInterval) {
@@ -133,7 +133,7 @@
 	return true
 }
 
-var _ = Describe("a Heard", func() {
+var _ = Describe("a Cache", func() {
 	It("keeps the latest few announcements until they expire", func() {
 		var h Cache
 		Expect(h.Recent(start)).To(BeEmpty())
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,5 +1,5 @@
-// Package evacuation tracks which failure domains are evacuated: their endpoints
-// receive no new flows until an operator ends the evacuation. A Set is immutable,
+// Package evacuation tracks which failure domains are evacuated: nothing further is
+// sent to their endpoints until an operator ends the evacuation. A Set is immutable,
 // and the set with the higher revision is in force.
 package evacuation
 
@@ -45,7 +45,7 @@
 // Has reports whether a failure domain is evacuated.
 func (s *Set) Has(domain string) bool { return slices.Contains(s.Domains(), domain) }
 
-// Reflects reports whether the set already reflects an order.
+// Reflects reports whether an order would change nothing.
 func (s *Set) Reflects(o Order) bool { return s.Has(o.Domain) != o.Undo }
 
 // With returns the set after applying an order at a revision. Orders up to the
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -75,7 +75,7 @@
 	return &Assessor{config: c, endpoints: map[uint32]*endpoint{}, started: now, panicking: map[uint32]bool{}}
 }
 
-// AddReport records a report of a checker.
+// AddReport records a report and updates the checker's verdict on the endpoint.
 func (a *Assessor) AddReport(now time.Time, source string, r Report) {
 	e := a.endpoint(now, r.Endpoint)
 	c := e.checkers[source]
--- a/internal/registry/digest.go
+++ b/internal/registry/digest.go
@@ -23,7 +23,7 @@
 // Toggle adds the checksum of an endpoint, or removes it if it was added before.
 func (d *Digest) Toggle(id string, sum uint64) { d[part(id)] ^= sum }
 
-// EqualParts returns a bit mask of the parts that are equal in both digests.
+// EqualParts returns a bit mask of the parts in which both digests agree.
 func (d *Digest) EqualParts(other *Digest) uint64 {
 	var bits uint64
 	for i := range d {
--- a/internal/registry/reports.go
+++ b/internal/registry/reports.go
@@ -105,11 +105,11 @@
 	return out
 }
 
-// PeerChanges returns, for a peer that received everything up to a revision, what was
-// heard after it: the full records that changed, and only heartbeats of the others.
-// Heartbeats suffice for these because an incarnation never withdraws its leaving,
-// and its other fields do not change. The cost is proportional to the number of
-// heartbeats and changes.
+// PeerChanges returns, for a peer that received everything up to a revision, the
+// full records that changed since, and only heartbeats of the others. Heartbeats
+// suffice for these because an incarnation never withdraws its leaving, and its other
+// fields do not change. The cost is proportional to the number of heartbeats and
+// changes.
 func (r *Registry) PeerChanges(now time.Time, after uint64) *wire.Reports {
 	out := r.newReports(now)
 	for rec := range r.heardAfter(after) {
@@ -162,7 +162,7 @@
 	}
 }
 
-// FromMessage returns the endpoint in a report, with Warm relative to now.
+// FromMessage returns the endpoint in a report, with Warmup relative to now.
 func FromMessage(m *wire.EndpointReport) Endpoint {
 	addr, _ := netip.ParseAddrPort(m.Address) // invalid if the sender only knows that the endpoint is gone
 	return Endpoint{
