--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -66,7 +66,7 @@
 		figure{"oxbowsaddle_endpoints_silent", uint64(c.Silent)},
 		figure{"oxbowsaddle_endpoints_suspect", uint64(c.Suspect)},
 		figure{"oxbowsaddle_endpoints_lost", uint64(c.Lost)},
-		figure{"oxbowsaddle_endpoints_hung", uint64(c.Hung)},
+		figure{"oxbowsaddle_endpoints_hung", uint64(c.Ejected)},
 		figure{"oxbowsaddle_announcements_total", e.announcements.heard.Load()},
 		figure{"oxbowsaddle_announcements_malformed_total", e.announcements.malformed.Load()},
 		figure{"oxbowsaddle_document_version", c.Version},
--- a/internal/node/decisionlog.go
+++ b/internal/node/decisionlog.go
@@ -44,7 +44,7 @@
 // add logs a decision with its wall-clock time.
 func (l *decisionLog) add(at time.Time, p steer.Packet, d steer.Decision) {
 	if isRecorded(d) {
-		l.ring.Add(logRecord{at: at, src: p.Src, dst: p.Dst, retransmissions: p.Copy, decision: d})
+		l.ring.Add(logRecord{at: at, src: p.Src, dst: p.Dst, retransmissions: p.Retransmission, decision: d})
 	}
 }
 
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -63,7 +63,7 @@
 		announcements     announcementCounts
 		decisions         *decisionLog
 		timings           entryTimings
-		probeQueue        chan steer.Question
+		probeQueue        chan steer.Probe
 		suspicions        chan *wire.Doubt // to report to the other entries
 
 		primaryMu sync.Mutex // serializes choosePrimary; locked before mu
@@ -87,15 +87,15 @@
 	e := &Entry{
 		config: c, decisions: newDecisionLog(), timings: newEntryTimings(), fetcher: newDocumentFetcher(), primary: newPrimary(c.Name, c.Domain), links: map[string]*entryLink{},
 		flowLogLimiter: rate.NewLimiter(flowLogRate, flowLogBurst),
-		probeQueue:     make(chan steer.Question, maxConcurrentProbes),
+		probeQueue:     make(chan steer.Probe, maxConcurrentProbes),
 		suspicions:     make(chan *wire.Doubt, maxConcurrentProbes),
 	}
 	e.steerer = steer.New(steer.Config{
-		Domain: c.Domain, MaxFlow: c.MaxFlow, MaxFlows: maxFlows, Beat: c.Beat,
-		Suspected: func(id string, suspect bool) {
+		Domain: c.Domain, MaxFlow: c.MaxFlow, MaxFlows: maxFlows, HeartbeatInterval: c.Beat,
+		OnSuspect: func(id string, suspect bool) {
 			c.Log.Warn("endpoint suspected", "endpoint", id, "suspect", suspect)
 		},
-		Ask: e.queueProbe, Tell: e.reportUnanswered, Hung: e.reportHung,
+		StartProbe: e.queueProbe, NotifyMiss: e.reportUnanswered, ReportOutlier: e.reportHung,
 	})
 	e.uplinks = newLinkManager(e)
 	return e
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -31,7 +31,7 @@
 		e.steerer.NoteLeader(now)
 	}
 	if roster.Whole {
-		e.steerer.Vouch(now, source)
+		e.steerer.MarkSourceReady(now, source)
 	}
 }
 
@@ -79,7 +79,7 @@
 func (e *Entry) forget(source string) {
 	now := e.config.Now()
 	e.mu.Lock()
-	e.steerer.Forget(now, source)
+	e.steerer.ForgetSource(now, source)
 	e.fetcher.removeSource(source)
 	delete(e.links, source)
 	e.mu.Unlock()
--- a/internal/node/packets.go
+++ b/internal/node/packets.go
@@ -93,7 +93,7 @@
 		e.droppedFlowLines++
 		return
 	}
-	e.config.Log.Info("flow", "caller", p.Src, "route", p.Dst, "seq", p.Seq, "copy", p.Copy, "tag", p.Tag,
+	e.config.Log.Info("flow", "caller", p.Src, "route", p.Dst, "seq", p.Seq, "copy", p.Retransmission, "tag", p.Tag,
 		"action", d.Action, "reason", d.Reason, "endpoint", d.ID, "version", d.Version, "left_out", e.droppedFlowLines)
 	e.droppedFlowLines = 0
 }
--- a/internal/node/probes.go
+++ b/internal/node/probes.go
@@ -28,14 +28,14 @@
 	probeTask struct {
 		entry *Entry
 		conn  *net.UDPConn // for sending resets
-		probe steer.Question
+		probe steer.Probe
 		slots <-chan struct{} // holds a value for each running probe
 	}
 
 	// connectAttempt is the connection attempt of one probe.
 	connectAttempt struct {
 		connect  Knock
-		probe    steer.Question
+		probe    steer.Probe
 		accepted chan<- bool
 	}
 )
@@ -52,7 +52,7 @@
 }
 
 // queueProbe queues a probe without blocking, and reports false if the queue is full.
-func (e *Entry) queueProbe(q steer.Question) bool {
+func (e *Entry) queueProbe(q steer.Probe) bool {
 	select {
 	case e.probeQueue <- q:
 		return true
@@ -83,13 +83,13 @@
 
 // run attempts the connection and sends the result.
 func (a connectAttempt) run(ctx context.Context) {
-	a.accepted <- a.connect(ctx, a.probe.Addr, a.probe.Within)
+	a.accepted <- a.connect(ctx, a.probe.Addr, a.probe.Timeout)
 }
 
 // runProbe probes an endpoint and returns the outcome. A refused connection is reported as
 // missed only after the timeout, so that answers of other endpoints in the meantime can
 // show that the network is not at fault.
-func (e *Entry) runProbe(ctx context.Context, q steer.Question) steer.Outcome {
+func (e *Entry) runProbe(ctx context.Context, q steer.Probe) steer.Outcome {
 	accepted := make(chan bool, 1)
 	go connectAttempt{e.config.Knock, q, accepted}.run(ctx)
 	ticker := time.NewTicker(pauseCheckInterval)
@@ -107,10 +107,10 @@
 		}
 		now := e.config.Now()
 		pause, last = max(pause, now.Sub(last)), now
-		if pause > q.Within/maxPauseDivisor {
+		if pause > q.Timeout/maxPauseDivisor {
 			return steer.Unsure
 		}
-		if refused && now.Sub(start) >= q.Within {
+		if refused && now.Sub(start) >= q.Timeout {
 			return steer.Missed
 		}
 	}
@@ -118,13 +118,13 @@
 }
 
 // resolveProbe runs a probe, applies its outcome, and resets the flows that it ends.
-func (e *Entry) resolveProbe(ctx context.Context, conn *net.UDPConn, q steer.Question) {
+func (e *Entry) resolveProbe(ctx context.Context, conn *net.UDPConn, q steer.Probe) {
 	start := e.config.Now()
 	outcome := e.runProbe(ctx, q)
 	now := e.config.Now()
 	e.probeOutcomes.byOutcome[outcome].Add(1)
 	e.mu.Lock()
-	ended := e.steerer.Answered(now, q, outcome)
+	ended := e.steerer.FinishProbe(now, q, outcome)
 	e.mu.Unlock()
 	e.config.Log.Info("endpoint asked", "endpoint", q.ID, "address", q.Addr, "why", q.Why, "outcome", outcome, "took", now.Sub(start), "flows_reset", len(ended))
 	buf := make([]byte, 0, maxPacketSize)
--- a/internal/node/probes_test.go
+++ b/internal/node/probes_test.go
@@ -29,9 +29,9 @@
 
 	ginkgo.It("run concurrently, and are rejected when the queue is full", func() {
 		for range maxConcurrentProbes {
-			Expect(e.queueProbe(steer.Question{ID: "a", Addr: addr})).To(BeTrue())
+			Expect(e.queueProbe(steer.Probe{ID: "a", Addr: addr})).To(BeTrue())
 		}
-		Expect(e.queueProbe(steer.Question{ID: "a", Addr: addr})).To(BeFalse())
+		Expect(e.queueProbe(steer.Probe{ID: "a", Addr: addr})).To(BeFalse())
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		connectable.Store(true)
@@ -50,7 +50,7 @@
 	ginkgo.It("report a refused connection as missed only after the timeout", func() {
 		clockReads := 0
 		e.config.Now = steppingClock(5*time.Millisecond, &clockReads)
-		e.resolveProbe(context.Background(), nil, steer.Question{ID: "a", Addr: addr, Within: 50 * time.Millisecond})
+		e.resolveProbe(context.Background(), nil, steer.Probe{ID: "a", Addr: addr, Timeout: 50 * time.Millisecond})
 		Expect(clockReads).To(BeNumerically(">=", 10))
 		Expect(e.probeOutcomes.byOutcome[steer.Missed].Load()).To(Equal(uint64(1)))
 	})
@@ -58,7 +58,7 @@
 	ginkgo.It("are inconclusive if this process was paused during the probe", func() {
 		clockReads := 0
 		e.config.Now = steppingClock(20*time.Millisecond, &clockReads)
-		Expect(e.runProbe(context.Background(), steer.Question{ID: "a", Addr: addr, Within: 50 * time.Millisecond})).To(Equal(steer.Unsure))
+		Expect(e.runProbe(context.Background(), steer.Probe{ID: "a", Addr: addr, Timeout: 50 * time.Millisecond})).To(Equal(steer.Unsure))
 	})
 
 	ginkgo.It("succeed when the connection is accepted, without data", func() {
--- a/internal/node/suspicions.go
+++ b/internal/node/suspicions.go
@@ -61,10 +61,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for _, id := range d.Unanswered {
-		e.steerer.Doubted(now, id)
+		e.steerer.PeerMissed(now, id)
 	}
 	for _, id := range d.Hung {
-		if e.steerer.TakeHung(now, id) {
+		if e.steerer.EjectOutlier(now, id) {
 			e.config.Log.Warn("endpoint avoided", "endpoint", id, "why", "several entries report that it fails requests")
 		}
 	}
--- a/internal/node/suspicions_test.go
+++ b/internal/node/suspicions_test.go
@@ -20,9 +20,9 @@
 		ginkgo.DeferCleanup(fleet.stop)
 		reporter, other := startFleetEntry(fleet, "e1", DialTCP), startFleetEntry(fleet, "e2", DialTCP)
 		reports := &wire.Reports{Whole: true, Endpoints: []*wire.EndpointReport{{Id: "i-1", Service: "a", Address: "127.0.0.1:1", Sequence: 1, Slots: 1}}}
-		probes := make(chan steer.Question, 1)
+		probes := make(chan steer.Probe, 1)
 		other.mu.Lock()
-		other.steerer = steer.New(steer.Config{MaxFlow: patience, MaxFlows: 9, Ask: func(q steer.Question) bool {
+		other.steerer = steer.New(steer.Config{MaxFlow: patience, MaxFlows: 9, StartProbe: func(q steer.Probe) bool {
 			probes <- q
 			return true
 		}})
--- a/internal/steer/cold_test.go
+++ b/internal/steer/cold_test.go
@@ -95,7 +95,7 @@
 		again := coldReport(1, "plateau")
 		again.Sequence = 2
 		s.Learn(start, "c1", reports(again))
-		p.Copy = 1
+		p.Retransmission = 1
 		Expect(s.Decide(start.Add(200*time.Millisecond), p).Action).To(Equal(Drop), "not reset: the flow may be established")
 		Expect(s.Decide(start.Add(coldFor), p).Number).To(Equal(uint64(1)))
 	})
--- a/internal/steer/convergence_test.go
+++ b/internal/steer/convergence_test.go
@@ -30,7 +30,7 @@
 func newConvergenceTest() *convergenceTest {
 	t := &convergenceTest{
 		now: start, sequences: map[string]uint64{}, leaving: map[string]bool{},
-		entry: New(Config{Domain: "plateau", MaxFlow: time.Hour, MaxFlows: 10, Beat: time.Second}),
+		entry: New(Config{Domain: "plateau", MaxFlow: time.Hour, MaxFlows: 10, HeartbeatInterval: time.Second}),
 	}
 	for i := range t.registries {
 		t.registries[i] = registry.New(registry.Config{HeartbeatPeriod: time.Second}, start)
@@ -79,7 +79,7 @@
 // disconnect closes the entry's connection to a control instance.
 func (t *convergenceTest) disconnect(from int) {
 	t.connected[from] = false
-	t.entry.Forget(t.now, fmt.Sprint("c", from))
+	t.entry.ForgetSource(t.now, fmt.Sprint("c", from))
 }
 
 // step takes one random step.
--- a/internal/steer/counts.go
+++ b/internal/steer/counts.go
@@ -4,8 +4,8 @@
 
 // Counts holds the sizes of a Steerer's tables and its document version.
 type Counts struct {
-	Flows, Endpoints, Silent, Suspect, Lost, Hung int
-	Version                                       uint64
+	Flows, Endpoints, Silent, Suspect, Lost, Ejected int
+	Version                                          uint64
 }
 
 // Counts returns the current counts.
@@ -19,7 +19,7 @@
 			c.Suspect++
 		}
 		if now.Before(b.ejection.until) {
-			c.Hung++
+			c.Ejected++
 		}
 		if b.reach.lost && !b.Gone {
 			c.Lost++
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -85,7 +85,7 @@
 		opening := fleetSynPacket(1)
 		s.Decide(start, opening)
 		s.SetEvacuations(setOf(4, "plateau"))
-		opening.Copy = 1
+		opening.Retransmission = 1
 		Expect(domainOf(s.Decide(start.Add(200*time.Millisecond), opening))).NotTo(Equal("plateau"))
 	})
 
@@ -93,7 +93,7 @@
 		opening := fleetSynPacket(1)
 		s.Decide(start, opening)
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
-		opening.Copy = 1
+		opening.Retransmission = 1
 		d := s.Decide(start.Add(200*time.Millisecond), opening)
 		Expect(d.Action).To(Equal(Drop))
 		Expect(d.Reason).To(Equal(Evacuated))
@@ -113,7 +113,7 @@
 
 	It("has its unreachable endpoints not probed", func() {
 		asked := 0
-		s.config.Ask = func(Question) bool { asked++; return true }
+		s.config.StartProbe = func(Probe) bool { asked++; return true }
 		b := s.byID["booking-0"]
 		b.reach.lost, s.lost[b] = true, true
 		s.SetEvacuations(setOf(4, "plateau"))
@@ -128,7 +128,7 @@
 		rapid.Check(GinkgoT(), func(t *rapid.T) {
 			domains := []string{"plateau", "almadies", "diamniadio"}
 			s := fleetSteerer(nil)
-			s.config.Suspected = func(string, bool) {}
+			s.config.OnSuspect = func(string, bool) {}
 			s.NoteLeader(start)
 			for step := range rapid.IntRange(1, 60).Draw(t, "steps") {
 				n := rapid.IntRange(0, 30).Draw(t, "endpoint")
@@ -148,7 +148,7 @@
 				default:
 					p := Packet{
 						Src: netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, 0, 1}), uint16(1+n)), Dst: bookingAddr, Flags: Syn, Seq: 7,
-						Copy: rapid.IntRange(0, 2).Draw(t, "copy"),
+						Retransmission: rapid.IntRange(0, 2).Draw(t, "copy"),
 					}
 					d := s.Decide(start, p)
 					if d.Action == Forward && slices.Contains(s.Evacuations().Domains(), s.byID[d.ID].Domain) {
--- a/internal/steer/flow.go
+++ b/internal/steer/flow.go
@@ -37,7 +37,7 @@
 // trackOpening starts tracking a flow that was placed.
 func (s *Steerer) trackOpening(now time.Time, p Packet, b *backend) {
 	f := s.addFlow(now, p, b)
-	f.requestEnd, f.sawRetransmitFirst = p.Seq+1, p.Copy > 0
+	f.requestEnd, f.sawRetransmitFirst = p.Seq+1, p.Retransmission > 0
 	f.pendingElement = s.pendingOpens.PushBack(f)
 }
 
@@ -115,8 +115,8 @@
 
 // notifySuspect reports that new flows start or stop avoiding an endpoint.
 func (s *Steerer) notifySuspect(b *backend, suspect bool) {
-	if s.config.Suspected != nil {
-		s.config.Suspected(b.ID, suspect)
+	if s.config.OnSuspect != nil {
+		s.config.OnSuspect(b.ID, suspect)
 	}
 }
 
--- a/internal/steer/learn.go
+++ b/internal/steer/learn.go
@@ -12,7 +12,7 @@
 // endpoints whose records differ there and must be requested.
 func (s *Steerer) Learn(now time.Time, source string, reports *wire.Reports) (lacking []string) {
 	if reports.Whole {
-		s.Vouch(now, source)
+		s.MarkSourceReady(now, source)
 	}
 	r := s.reporterOf(source)
 	s.learnMatchingParts(now, r, reports.Same)
@@ -80,9 +80,9 @@
 	}
 }
 
-// Vouch records that a control instance, source, has been up long enough to hear every
+// MarkSourceReady records that a control instance, source, has been up long enough to hear every
 // endpoint. It hears all endpoints that it has not called silent.
-func (s *Steerer) Vouch(now time.Time, source string) {
+func (s *Steerer) MarkSourceReady(now time.Time, source string) {
 	for _, id := range s.reporterOf(source).markReady() {
 		if b := s.byID[id]; b != nil {
 			s.updateSilence(now, b)
@@ -94,8 +94,8 @@
 // what this entry knows.
 func (s *Steerer) Digest() registry.Digest { return s.digest }
 
-// Forget drops what a control instance that is out of reach said about silence.
-func (s *Steerer) Forget(now time.Time, source string) {
+// ForgetSource drops what a control instance that is out of reach said about silence.
+func (s *Steerer) ForgetSource(now time.Time, source string) {
 	delete(s.reporters, source)
 	for _, b := range s.byID {
 		s.updateSilence(now, b)
@@ -143,7 +143,7 @@
 func (s *Steerer) addBackend(now time.Time, e registry.Endpoint) *backend {
 	b := &backend{
 		Endpoint: e, tag: Tag(e.ID), digestPart: registry.PartBit(e.ID), learnedAt: now,
-		startedAt: now.Add(-time.Duration(e.Sequence) * s.config.Beat),
+		startedAt: now.Add(-time.Duration(e.Sequence) * s.config.HeartbeatInterval),
 	}
 	s.byID[e.ID] = b
 	if !e.Addr.IsValid() {
--- a/internal/steer/learn_test.go
+++ b/internal/steer/learn_test.go
@@ -38,8 +38,8 @@
 		Expect(s.byID["booking-1"].silent).To(BeFalse())
 		s.Learn(start, "c1", reports(report("booking", 1, silent)))
 		Expect(s.byID["booking-1"].silent).To(BeTrue())
-		s.Forget(start, "c1")
-		s.Forget(start, "c2")
+		s.ForgetSource(start, "c1")
+		s.ForgetSource(start, "c2")
 		Expect(s.byID["booking-1"].silent).To(BeFalse())
 	})
 
@@ -80,12 +80,12 @@
 		silent := func(m *wire.EndpointReport) { m.Silent = true }
 		s.Learn(start, "c2", reports(report("booking", 1, silent)))
 		s.Learn(start, "c3", &wire.Reports{Same: ^uint64(0), Endpoints: []*wire.EndpointReport{report("booking", 2, silent)}})
-		s.Forget(start, "c1")
+		s.ForgetSource(start, "c1")
 		Expect(s.byID["booking-1"].silent).To(BeTrue(), "c3 is not ready and may not have heard it itself")
-		s.Vouch(start, "c3")
+		s.MarkSourceReady(start, "c3")
 		Expect(s.byID["booking-1"].silent).To(BeFalse(), "c3 hears it")
 		Expect(s.byID["booking-2"].silent).To(BeTrue(), "only c3 knows it now")
-		s.Forget(start, "c3")
+		s.ForgetSource(start, "c3")
 		Expect(s.byID["booking-1"].silent).To(BeTrue())
 	})
 
@@ -104,7 +104,7 @@
 		Expect(s.byID["booking-4"].silent).To(BeTrue())
 		Expect(s.Learn(start, "c2", brief)).To(BeEmpty())
 		Expect(s.byID["booking-4"].silent).To(BeTrue(), "c2 is not ready")
-		s.Vouch(start, "c2")
+		s.MarkSourceReady(start, "c2")
 		Expect(s.byID["booking-4"].silent).To(BeFalse(), "c2 knows it and has not called it silent")
 	})
 
@@ -127,7 +127,7 @@
 	})
 
 	It("apply lists of IDs that became silent or are heard again", func() {
-		s.Vouch(start, "c1")
+		s.MarkSourceReady(start, "c1")
 		s.Learn(start, "c1", reports(report("booking", 1, nil)))
 		s.Learn(start, "c1", &wire.Reports{Silent: []string{"booking-1", "unknown"}})
 		Expect(s.byID["booking-1"].silent).To(BeTrue())
--- a/internal/steer/outage_test.go
+++ b/internal/steer/outage_test.go
@@ -19,7 +19,7 @@
 				now := begin.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
 				p := fleetSynPacket(second*perSecond + i)
 				for copies, after := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
-					p.Copy = copies
+					p.Retransmission = copies
 					d := s.Decide(now.Add(after), p)
 					if d.Action != Forward || cut(s.byID[d.ID].Domain) {
 						s.Decide(now.Add(after+openTimeout+sweepInterval), fleetSynPacket(10_000)) // lets the sweep run
--- a/internal/steer/outlier.go
+++ b/internal/steer/outlier.go
@@ -129,11 +129,11 @@
 
 // reportOutlier reports an endpoint, at most once per outlierReportInterval.
 func (s *Steerer) reportOutlier(now time.Time, b *backend) {
-	if s.config.Hung == nil || now.Before(b.ejection.nextReport) {
+	if s.config.ReportOutlier == nil || now.Before(b.ejection.nextReport) {
 		return
 	}
 	b.ejection.nextReport = now.Add(outlierReportInterval)
-	s.config.Hung(b.ID)
+	s.config.ReportOutlier(b.ID)
 }
 
 // hangTimeout returns how long a request of a flow may wait before it counts as hung.
@@ -144,9 +144,9 @@
 	return minHangTime
 }
 
-// TakeHung ejects an endpoint that several entries reported as an outlier: new flows avoid it
+// EjectOutlier ejects an endpoint that several entries reported as an outlier: new flows avoid it
 // for a while, and open flows stay. It reports whether the endpoint was ejected.
-func (s *Steerer) TakeHung(now time.Time, id string) bool {
+func (s *Steerer) EjectOutlier(now time.Time, id string) bool {
 	b := s.byID[id]
 	if b == nil || now.Before(b.ejection.until) || !s.canEject(now, b) {
 		return false
--- a/internal/steer/outlier_test.go
+++ b/internal/steer/outlier_test.go
@@ -40,7 +40,7 @@
 	for n := range entries {
 		s := fleetSteerer(threeDomains(endpoints)[:endpoints])
 		s.SetDocument(start, testDocument(2, route))
-		s.config.Hung = func(id string) { f.report(fmt.Sprint("e", n), id) }
+		s.config.ReportOutlier = func(id string) { f.report(fmt.Sprint("e", n), id) }
 		f.entries = append(f.entries, s)
 	}
 	return f
@@ -51,7 +51,7 @@
 		return
 	}
 	for _, s := range f.entries {
-		if s.TakeHung(f.now, id) {
+		if s.EjectOutlier(f.now, id) {
 			f.ejected[id] = true
 		}
 	}
@@ -204,7 +204,7 @@
 		s := f.entries[0]
 		p := fleetSynPacket(1)
 		d := s.Decide(start, p)
-		Expect(s.TakeHung(start, d.ID)).To(BeTrue())
+		Expect(s.EjectOutlier(start, d.ID)).To(BeTrue())
 		later := s.Decide(start.Add(time.Millisecond), Packet{Src: p.Src, Dst: p.Dst, Flags: Ack, Seq: 8, Ack: 1, Tag: d.Tag, Len: 10})
 		Expect(later.Action).To(Equal(Forward))
 		Expect(later.ID).To(Equal(d.ID))
--- a/internal/steer/packet.go
+++ b/internal/steer/packet.go
@@ -20,12 +20,12 @@
 
 	// Packet holds the header fields of a client's packet.
 	Packet struct {
-		Src, Dst netip.AddrPort
-		Flags    Flags
-		Tag      uint32 // 0 on a SYN
-		Seq, Ack uint32
-		Copy     int // number of the SYN retransmission, 0 for the first SYN
-		Len      int // payload bytes
+		Src, Dst       netip.AddrPort
+		Flags          Flags
+		Tag            uint32 // 0 on a SYN
+		Seq, Ack       uint32
+		Retransmission int // number of the SYN retransmission, 0 for the first SYN
+		Len            int // payload bytes
 	}
 
 	// flowKey identifies a flow by its addresses.
--- a/internal/steer/reachability.go
+++ b/internal/steer/reachability.go
@@ -63,19 +63,19 @@
 	// Outcome is the result of a probe.
 	Outcome int
 
-	// Question is a probe of whether an endpoint accepts a connection at its address. It uses
+	// Probe is a probe of whether an endpoint accepts a connection at its address. It uses
 	// none of the endpoint's slots.
-	Question struct {
+	Probe struct {
 		ID   string
 		Addr netip.AddrPort
 		Why  Evidence
-		// Within is the timeout of the probe.
-		Within    time.Duration
+		// Timeout is the timeout of the probe.
+		Timeout   time.Duration
 		startedAt time.Time
 	}
 
-	// Ended is a flow whose endpoint is out of reach; its client must be sent a reset.
-	Ended struct {
+	// EndedFlow is a flow whose endpoint is out of reach; its client must be sent a reset.
+	EndedFlow struct {
 		Src, Dst netip.AddrPort
 		Seq      uint32 // sequence number that the client expects next
 	}
@@ -103,10 +103,10 @@
 // probed, as it may refuse connections while it still serves its flows.
 func (s *Steerer) probe(now time.Time, b *backend, why Evidence) {
 	ending := b.Gone || b.Leaving || b.reach.replaced || !b.Addr.IsValid()
-	if s.config.Ask == nil || ending || b.reach.probing || now.Before(b.reach.nextProbeAt) {
+	if s.config.StartProbe == nil || ending || b.reach.probing || now.Before(b.reach.nextProbeAt) {
 		return
 	}
-	b.reach.probing = s.config.Ask(Question{ID: b.ID, Addr: b.Addr, Why: why, Within: s.roundTrips[b.Domain].probeTimeout(), startedAt: now})
+	b.reach.probing = s.config.StartProbe(Probe{ID: b.ID, Addr: b.Addr, Why: why, Timeout: s.roundTrips[b.Domain].probeTimeout(), startedAt: now})
 }
 
 // markResponsive records that the endpoint answered a client.
@@ -171,10 +171,10 @@
 	return Decision{Action: Reset, Reason: EndpointLost, Seq: p.Ack, ID: b.ID}
 }
 
-// Answered processes the outcome of a probe and returns the flows that it ends. A miss is
+// FinishProbe processes the outcome of a probe and returns the flows that it ends. A miss is
 // ignored unless another endpoint has answered since the probe began, because the fault may be
 // at this entry.
-func (s *Steerer) Answered(now time.Time, q Question, outcome Outcome) []Ended {
+func (s *Steerer) FinishProbe(now time.Time, q Probe, outcome Outcome) []EndedFlow {
 	b := s.byID[q.ID]
 	if b == nil || b.Gone {
 		return nil
@@ -213,7 +213,7 @@
 // recordStall handles a probe that was accepted at a contested address after a client
 // retransmitted data. If the endpoint is superseded, its flows are ended after stallThreshold
 // such probes rather than left to time out.
-func (s *Steerer) recordStall(b *backend, q Question) []Ended {
+func (s *Steerer) recordStall(b *backend, q Probe) []EndedFlow {
 	if q.Why != Unacked || b.reach.lastResponseAt.After(q.startedAt) || !s.isSuperseded(b) {
 		return nil
 	}
@@ -227,7 +227,7 @@
 }
 
 // recordMiss counts a missed probe.
-func (s *Steerer) recordMiss(now time.Time, b *backend, why Evidence) []Ended {
+func (s *Steerer) recordMiss(now time.Time, b *backend, why Evidence) []EndedFlow {
 	if !b.reach.lost && now.Sub(b.reach.lastMissAt) > missValidity {
 		b.reach.misses = 0 // the previous miss is too old to count
 	}
@@ -249,19 +249,19 @@
 
 // notifyMiss notifies other entries of a miss, unless one of them reported it.
 func (s *Steerer) notifyMiss(now time.Time, b *backend, why Evidence) {
-	if s.config.Tell == nil || now.Before(b.reach.nextNoticeAt) {
+	if s.config.NotifyMiss == nil || now.Before(b.reach.nextNoticeAt) {
 		return
 	}
 	b.reach.nextNoticeAt = now.Add(missNoticeInterval)
 	if why != Told {
-		s.config.Tell(b.ID)
+		s.config.NotifyMiss(b.ID)
 	}
 }
 
-// Doubted handles a notice that another entry missed a probe of the endpoint. The endpoint is
+// PeerMissed handles a notice that another entry missed a probe of the endpoint. The endpoint is
 // probed if it has flows here; otherwise new flows avoid it for a while, so that the entries of
 // a large fleet do not all probe at once.
-func (s *Steerer) Doubted(now time.Time, id string) {
+func (s *Steerer) PeerMissed(now time.Time, id string) {
 	b := s.byID[id]
 	switch {
 	case b == nil || b.reach.lost:
@@ -281,16 +281,16 @@
 }
 
 // endFlows removes and returns the tracked established flows of an endpoint.
-func (s *Steerer) endFlows(b *backend) []Ended {
+func (s *Steerer) endFlows(b *backend) []EndedFlow {
 	if b.flows == 0 {
 		return nil
 	}
-	var ended []Ended
+	var ended []EndedFlow
 	for key, f := range s.flows {
 		if f.backend != b || !f.established {
 			continue
 		}
-		ended = append(ended, Ended{Src: key.src, Dst: key.dst, Seq: f.lastAck})
+		ended = append(ended, EndedFlow{Src: key.src, Dst: key.dst, Seq: f.lastAck})
 		s.removeFlow(f)
 	}
 	return ended
--- a/internal/steer/reachability_test.go
+++ b/internal/steer/reachability_test.go
@@ -12,12 +12,12 @@
 
 // probeRecorder records the probes and notices of a Steerer.
 type probeRecorder struct {
-	probes    []Question
+	probes    []Probe
 	queueFull bool
 	notices   []string // endpoint IDs of the notices to other entries
 }
 
-func (a *probeRecorder) probe(q Question) bool {
+func (a *probeRecorder) probe(q Probe) bool {
 	if a.queueFull {
 		return false
 	}
@@ -28,7 +28,7 @@
 func (a *probeRecorder) notify(id string) { a.notices = append(a.notices, id) }
 
 // take removes and returns the oldest probe.
-func (a *probeRecorder) take() Question {
+func (a *probeRecorder) take() Probe {
 	Expect(a.probes).NotTo(BeEmpty())
 	q := a.probes[0]
 	a.probes = a.probes[1:]
@@ -51,16 +51,16 @@
 		s.Decide(now, flowPacket(2000, other, seq, ack, 10))
 	}
 	// miss has the oldest probe time out.
-	miss := func() []Ended {
+	miss := func() []EndedFlow {
 		q := probes.take()
 		now = now.Add(took)
 		otherResponds()
-		return s.Answered(now, q, Missed)
+		return s.FinishProbe(now, q, Missed)
 	}
 
 	BeforeEach(func() {
 		probes, now, seq, ack = &probeRecorder{}, start, 100, 1
-		s = New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: probes.probe, Tell: probes.notify})
+		s = New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, HeartbeatInterval: time.Second, StartProbe: probes.probe, NotifyMiss: probes.notify})
 		s.SetDocument(now, testDocument(1, routeTo(bookingAddr, "booking"), routeTo(documentsAddr, "documents")))
 		s.Learn(now, "c1", reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
 		first := s.Decide(now, synPacket(1000, 7, 0))
@@ -114,7 +114,7 @@
 		Expect(miss()).To(BeEmpty())
 		Expect(probes.probes).To(HaveLen(1))
 		Expect(probes.probes[0].Why).To(Equal(Again))
-		Expect(miss()).To(Equal([]Ended{{Src: synPacket(1000, 0, 0).Src, Dst: bookingAddr, Seq: 1}}))
+		Expect(miss()).To(Equal([]EndedFlow{{Src: synPacket(1000, 0, 0).Src, Dst: bookingAddr, Seq: 1}}))
 
 		d := s.Decide(now, flowPacket(4000, dead, 50, 3, 10))
 		Expect(d).To(Equal(Decision{Action: Reset, Reason: EndpointLost, Seq: 3, ID: s.byTag[dead].ID}))
@@ -128,7 +128,7 @@
 		for range maxInconclusive {
 			q := probes.take()
 			now = now.Add(took)
-			Expect(s.Answered(now, q, Missed)).To(BeEmpty())
+			Expect(s.FinishProbe(now, q, Missed)).To(BeEmpty())
 		}
 		Expect(probes.probes).To(BeEmpty(), "until there is new evidence")
 		Expect(request(1000, dead, 8).Action).To(Equal(Forward))
@@ -141,7 +141,7 @@
 			q := probes.take()
 			now = now.Add(5 * took)
 			otherResponds()
-			Expect(s.Answered(now, q, Unsure)).To(BeEmpty())
+			Expect(s.FinishProbe(now, q, Unsure)).To(BeEmpty())
 		}
 		probes.queueFull = true
 		now = now.Add(time.Second)
@@ -159,7 +159,7 @@
 		s.Decide(now.Add(took/2), flowPacket(1000, dead, 18, 9, 0))
 		now = now.Add(took)
 		otherResponds()
-		Expect(s.Answered(now, q, Missed)).To(BeEmpty())
+		Expect(s.FinishProbe(now, q, Missed)).To(BeEmpty())
 		Expect(probes.probes).To(BeEmpty())
 
 		now = now.Add(time.Second)
@@ -167,7 +167,7 @@
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 18)
 		Expect(miss()).To(BeEmpty())
-		Expect(s.Answered(now, probes.take(), Reached)).To(BeEmpty())
+		Expect(s.FinishProbe(now, probes.take(), Reached)).To(BeEmpty())
 		now = now.Add(probeInterval)
 		request(1000, dead, 18)
 		Expect(miss()).To(BeEmpty(), "only consecutive misses count")
@@ -180,7 +180,7 @@
 		for range maxInconclusive { // the next probes are inconclusive
 			q := probes.take()
 			now = now.Add(missValidity)
-			s.Answered(now, q, Unsure)
+			s.FinishProbe(now, q, Unsure)
 		}
 		request(1000, dead, 8)
 		Expect(miss()).To(BeEmpty())
@@ -197,7 +197,7 @@
 		s.Learn(now, "c1", reports(leaving(1), leaving(2)))
 		now = now.Add(took)
 		otherResponds()
-		Expect(s.Answered(now, q, Missed)).To(BeEmpty())
+		Expect(s.FinishProbe(now, q, Missed)).To(BeEmpty())
 		request(1000, dead, 8)
 		Expect(probes.probes).To(BeEmpty())
 	})
@@ -206,13 +206,13 @@
 		b := s.byTag[dead]
 		s.Learn(now, "c1", reports(report("booking", 9, func(m *wire.EndpointReport) { m.Address = b.Addr.String() })))
 		successor := s.byID["booking-9"]
-		q := Question{ID: b.ID, startedAt: now}
+		q := Probe{ID: b.ID, startedAt: now}
 		b.reach.misses = 1
-		s.Answered(now, q, Reached)
+		s.FinishProbe(now, q, Reached)
 		Expect(b.reach.misses).To(Equal(1), "the other endpoint may be the one that accepts connections")
 
 		answerSYN := func(first Packet, copies int) {
-			first.Copy = copies
+			first.Retransmission = copies
 			s.trackOpening(now, first, successor)
 			now = now.Add(time.Millisecond)
 			s.Decide(now, flowPacket(first.Src.Port(), successor.tag, first.Seq+1, 1, 0))
@@ -233,9 +233,9 @@
 
 	It("ends the flows of a superseded endpoint when clients retransmit, though its address accepts connections", func() {
 		b := s.byTag[dead]
-		stall := func(why Evidence) []Ended {
+		stall := func(why Evidence) []EndedFlow {
 			now = now.Add(probeInterval)
-			return s.Answered(now, Question{ID: b.ID, Why: why, startedAt: now.Add(-time.Millisecond)}, Reached)
+			return s.FinishProbe(now, Probe{ID: b.ID, Why: why, startedAt: now.Add(-time.Millisecond)}, Reached)
 		}
 		openFlow := func() {
 			p := synPacket(7100, 7, 0)
@@ -267,14 +267,14 @@
 		miss()
 		Expect(probes.notices).To(HaveLen(1))
 
-		s.Doubted(now, s.byTag[dead].ID)
+		s.PeerMissed(now, s.byTag[dead].ID)
 		Expect(probes.probes).To(BeEmpty(), "already known to be out of reach")
-		s.Doubted(now, "nobody")
-		s.Doubted(now, "documents-3")
+		s.PeerMissed(now, "nobody")
+		s.PeerMissed(now, "documents-3")
 		Expect(probes.probes).To(BeEmpty(), "no flow on it is tracked here")
 		Expect(s.byID["documents-3"].isSuspect(now)).To(BeTrue())
 		Expect(s.byID["documents-3"].reach.lost).To(BeFalse())
-		s.Doubted(now, s.byTag[other].ID)
+		s.PeerMissed(now, s.byTag[other].ID)
 		Expect(probes.take().Why).To(Equal(Told))
 		Expect(request(2000, other, 8).Action).To(Equal(Forward), "a notice alone ends no flow")
 	})
@@ -296,7 +296,7 @@
 		otherResponds()
 		s.Decide(now.Add(sweepInterval), synPacket(6001, 7, 0))
 		Expect(probes.probes).To(ContainElement(And(HaveField("ID", b.ID), HaveField("Why", Lost))))
-		s.Answered(now, Question{ID: b.ID}, Reached)
+		s.FinishProbe(now, Probe{ID: b.ID}, Reached)
 		probes.probes = nil
 		Expect(b.reach.lost).To(BeFalse())
 		makeUnreachable()
@@ -319,12 +319,12 @@
 		Expect(q.Why).To(Equal(Lost))
 		now = now.Add(took)
 		otherResponds()
-		Expect(s.Answered(now, q, Missed)).To(ConsistOf(HaveField("Src", synPacket(4000, 0, 0).Src)))
+		Expect(s.FinishProbe(now, q, Missed)).To(ConsistOf(HaveField("Src", synPacket(4000, 0, 0).Src)))
 	})
 
 	It("ends only flows through the entry that cannot reach the endpoint", func() {
 		otherProbes := &probeRecorder{}
-		otherEntry := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, Beat: time.Second, Ask: otherProbes.probe, Tell: otherProbes.notify})
+		otherEntry := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, HeartbeatInterval: time.Second, StartProbe: otherProbes.probe, NotifyMiss: otherProbes.notify})
 		otherEntry.SetDocument(now, testDocument(1, routeTo(bookingAddr, "booking")))
 		otherEntry.Learn(now, "c1", reports(report("booking", 1, nil), report("booking", 2, nil)))
 		otherEntry.Decide(now, flowPacket(1500, dead, 8, 1, 10)) // a flow on the endpoint through the other entry
@@ -335,10 +335,10 @@
 		Expect(miss()).To(HaveLen(1), "the flow through this entry cannot continue")
 		Expect(probes.notices).To(HaveLen(1))
 
-		otherEntry.Doubted(now, probes.notices[0])
+		otherEntry.PeerMissed(now, probes.notices[0])
 		q := otherProbes.take()
 		Expect(q.Why).To(Equal(Told))
-		Expect(otherEntry.Answered(now, q, Reached)).To(BeEmpty())
+		Expect(otherEntry.FinishProbe(now, q, Reached)).To(BeEmpty())
 		Expect(otherEntry.Decide(now, flowPacket(1500, dead, 18, 2, 10)).Reason).To(Equal(Steered))
 		Expect(otherEntry.Decide(now, flowPacket(1000, dead, 18, 2, 10)).Reason).To(Equal(Steered), "routers may move it to the other entry meanwhile")
 		Expect(otherEntry.Counts(now).Lost).To(BeZero())
@@ -367,9 +367,9 @@
 					outcome := Reached // the endpoint accepts connections; a single packet may be lost
 					if q := probes.take(); q.Why != Again {
 						outcome = []Outcome{Reached, Missed, Unsure}[random.IntN(3)]
-						Expect(s.Answered(now, q, outcome)).To(BeEmpty())
+						Expect(s.FinishProbe(now, q, outcome)).To(BeEmpty())
 					} else {
-						Expect(s.Answered(now, q, outcome)).To(BeEmpty())
+						Expect(s.FinishProbe(now, q, outcome)).To(BeEmpty())
 					}
 				}
 				Expect(d.Reason).NotTo(Equal(EndpointLost))
--- a/internal/steer/response_size_test.go
+++ b/internal/steer/response_size_test.go
@@ -21,7 +21,7 @@
 	BeforeEach(func() {
 		now, reported = start, map[string]int{}
 		s = fleetSteerer(threeDomains(40))
-		s.config.Hung = func(id string) { reported[id]++ }
+		s.config.ReportOutlier = func(id string) { reported[id]++ }
 	})
 	// request sends a request on a new flow and has it answered by so many bytes.
 	n := 0
--- a/internal/steer/steer.go
+++ b/internal/steer/steer.go
@@ -32,21 +32,21 @@
 type (
 	// Config holds the static settings of a Steerer.
 	Config struct {
-		Domain   string        // failure domain of this entry
-		MaxFlow  time.Duration // maximum lifetime of a flow
-		MaxFlows int           // maximum number of tracked flows
-		Beat     time.Duration // heartbeat period of endpoints
-		// Suspected is called when new flows start or stop avoiding an endpoint; may be nil.
-		Suspected func(id string, suspect bool)
-		// Ask starts a probe without blocking and reports whether it was started; the outcome
+		Domain            string        // failure domain of this entry
+		MaxFlow           time.Duration // maximum lifetime of a flow
+		MaxFlows          int           // maximum number of tracked flows
+		HeartbeatInterval time.Duration // heartbeat period of endpoints
+		// OnSuspect is called when new flows start or stop avoiding an endpoint; may be nil.
+		OnSuspect func(id string, suspect bool)
+		// StartProbe starts a probe without blocking and reports whether it was started; the outcome
 		// is passed to Answered. If nil, endpoints are not probed.
-		Ask func(Question) bool
-		// Tell notifies other entries, without blocking, that an endpoint missed a probe; may
+		StartProbe func(Probe) bool
+		// NotifyMiss notifies other entries, without blocking, that an endpoint missed a probe; may
 		// be nil.
-		Tell func(id string)
-		// Hung reports, without blocking, an endpoint that leaves requests without an answer or
+		NotifyMiss func(id string)
+		// ReportOutlier reports, without blocking, an endpoint that leaves requests without an answer or
 		// answers them by errors while others of its service respond; may be nil.
-		Hung func(id string)
+		ReportOutlier func(id string)
 	}
 
 	// Steerer makes the forwarding decisions of one entry.
@@ -209,5 +209,5 @@
 // shouldReassign reports whether a retransmitted SYN goes to another endpoint: new flows
 // exclude or avoid the first one, or enough retransmissions went unanswered.
 func (s *Steerer) shouldReassign(now time.Time, f *flow, p Packet) bool {
-	return !f.established && (p.Copy >= reassignAttempt || !s.isEligible(now, f.backend) || s.isAvoided(now, f.backend))
+	return !f.established && (p.Retransmission >= reassignAttempt || !s.isEligible(now, f.backend) || s.isAvoided(now, f.backend))
 }
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -67,7 +67,7 @@
 // synPacket returns the SYN of a flow to booking, or its n-th retransmission.
 func synPacket(port uint16, seq uint32, copies int) Packet {
 	caller := netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port)
-	return Packet{Src: caller, Dst: bookingAddr, Flags: Syn, Seq: seq, Copy: copies}
+	return Packet{Src: caller, Dst: bookingAddr, Flags: Syn, Seq: seq, Retransmission: copies}
 }
 
 // flowPacket returns a later packet of the flow that synPacket opens.
@@ -195,7 +195,7 @@
 
 	It("avoids an endpoint that left two consecutive flows unanswered, and retries it", func() {
 		var changes []string
-		s.config.Suspected = func(id string, suspect bool) { changes = append(changes, fmt.Sprint(id, suspect)) }
+		s.config.OnSuspect = func(id string, suspect bool) { changes = append(changes, fmt.Sprint(id, suspect)) }
 		// Every SYN to endpoint 1 is lost; endpoint 2 answers.
 		now, missed := start, 0
 		for port := uint16(1000); missed < 2; port++ {
--- a/internal/steer/tag.go
+++ b/internal/steer/tag.go
@@ -39,7 +39,7 @@
 // open flows; if they are about the same age, the lower ID. Ages are estimated from heartbeat
 // sequences, so that entries which have just started agree.
 func (s *Steerer) tagPrecedes(a, b *backend) bool {
-	if tolerance := startToleranceBeats * s.config.Beat; a.startedAt.Sub(b.startedAt).Abs() > tolerance {
+	if tolerance := startToleranceBeats * s.config.HeartbeatInterval; a.startedAt.Sub(b.startedAt).Abs() > tolerance {
 		return a.startedAt.Before(b.startedAt)
 	}
 	return a.ID < b.ID
--- a/internal/steer/tag_test.go
+++ b/internal/steer/tag_test.go
@@ -13,7 +13,7 @@
 	// learnBoth returns which incarnation holds the tag at an entry that learned of them in
 	// this order.
 	learnBoth := func(first, second *backend) string {
-		s := New(Config{MaxFlows: 10, Beat: time.Second})
+		s := New(Config{MaxFlows: 10, HeartbeatInterval: time.Second})
 		for _, b := range []*backend{first, second} {
 			fresh := *b
 			s.byID[b.ID] = &fresh
@@ -44,7 +44,7 @@
 	})
 
 	It("passes to the other one after the maximum flow lifetime", func() {
-		s := New(Config{MaxFlows: 10, MaxFlow: time.Minute, Beat: time.Second})
+		s := New(Config{MaxFlows: 10, MaxFlow: time.Minute, HeartbeatInterval: time.Second})
 		a, b := incarnation("a", start), incarnation("b", start)
 		for _, x := range []*backend{a, b} {
 			s.byID[x.ID] = x
@@ -57,10 +57,10 @@
 	})
 
 	It("is assigned by ages estimated from the heartbeat sequence", func() {
-		old := New(Config{MaxFlows: 10, Beat: time.Second})
+		old := New(Config{MaxFlows: 10, HeartbeatInterval: time.Second})
 		old.Learn(start, "c1", reports(report("booking", 1, nil)))
 		now := start.Add(time.Minute)
-		fresh := New(Config{MaxFlows: 10, Beat: time.Second})
+		fresh := New(Config{MaxFlows: 10, HeartbeatInterval: time.Second})
 		fresh.Learn(now, "c1", reports(report("booking", 1, func(m *wire.EndpointReport) { m.Sequence = 61 })))
 		Expect(fresh.byID["booking-1"].startedAt).To(BeTemporally("~", old.byID["booking-1"].startedAt, time.Second))
 	})
