--- a/internal/steer/reachability.go
+++ b/internal/steer/reachability.go
@@ -63,13 +63,13 @@
 	// Outcome is the result of a probe.
 	Outcome int
 
-	// Probe is a probe of whether an endpoint accepts a connection at its address. It uses
-	// none of the endpoint's slots.
+	// Probe checks whether an endpoint accepts a connection at its address. It uses none of the
+	// endpoint's slots.
 	Probe struct {
 		ID   string
 		Addr netip.AddrPort
 		Why  Evidence
-		// Timeout is the timeout of the probe.
+		// Timeout bounds the time until the connection is accepted.
 		Timeout   time.Duration
 		startedAt time.Time
 	}
--- a/internal/steer/steer.go
+++ b/internal/steer/steer.go
@@ -38,14 +38,14 @@
 		HeartbeatInterval time.Duration // heartbeat period of endpoints
 		// OnSuspect is called when new flows start or stop avoiding an endpoint; may be nil.
 		OnSuspect func(id string, suspect bool)
-		// StartProbe starts a probe without blocking and reports whether it was started; the outcome
-		// is passed to Answered. If nil, endpoints are not probed.
+		// StartProbe starts a probe without blocking and reports whether it was started; the
+		// outcome is passed to FinishProbe. If nil, endpoints are not probed.
 		StartProbe func(Probe) bool
-		// NotifyMiss notifies other entries, without blocking, that an endpoint missed a probe; may
-		// be nil.
+		// NotifyMiss notifies other entries, without blocking, that an endpoint missed a probe;
+		// may be nil.
 		NotifyMiss func(id string)
-		// ReportOutlier reports, without blocking, an endpoint that leaves requests without an answer or
-		// answers them by errors while others of its service respond; may be nil.
+		// ReportOutlier reports, without blocking, an endpoint that leaves requests without an
+		// answer or answers them by errors while others of its service respond; may be nil.
 		ReportOutlier func(id string)
 	}
 
