--- a/internal/cmd/cmd_platform.go
+++ b/internal/cmd/cmd_platform.go
@@ -72,10 +72,10 @@
 		return fault.New(fault.InvalidSettings, "settings: serves: an entry serves callers")
 	}
 	entry := node.NewEntry(node.EntryConfig{
-		Name: s.Name, Domain: s.Domain, Packets: s.Packets, Operators: s.Operators, Seeds: s.Seeds,
-		Losses: s.Losses, MaxFlow: s.MaxFlow, Grace: s.Grace, Beat: s.Beat,
+		Name: s.Name, Domain: s.Domain, PacketAddr: s.Packets, OperatorAddr: s.Operators, Seeds: s.Seeds,
+		ToleratedLosses: s.Losses, MaxFlowAge: s.MaxFlow, GracePeriod: s.Grace, HeartbeatInterval: s.Beat,
 		Codec: node.Codec{Decode: platform.DecodePacket, Forward: platform.ForwardPacket, Reset: platform.ResetPacket},
-		Dial:  node.DialTCP, Knock: node.KnockTCP, Log: p.log, Now: node.SteadyClock(),
+		Dial:  node.DialTCP, Probe: node.ProbeTCP, Log: p.log, Now: node.SteadyClock(),
 	})
 	group, running := errgroup.WithContext(context.WithoutCancel(ctx))
 	running, end := context.WithCancel(running)
--- a/internal/node/announcements.go
+++ b/internal/node/announcements.go
@@ -107,12 +107,12 @@
 // announcementLoop receives announcements of control instances until the context is
 // done. If the address is in use, the entry runs on without announcements.
 func (e *Entry) announcementLoop(ctx context.Context) error {
-	if !e.config.Operators.IsValid() {
+	if !e.config.OperatorAddr.IsValid() {
 		return nil
 	}
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.config.Operators))
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.config.OperatorAddr))
 	if err != nil {
-		e.config.Log.Error("cannot listen for announcements", "address", e.config.Operators, "error", err)
+		e.config.Log.Error("cannot listen for announcements", "address", e.config.OperatorAddr, "error", err)
 		return nil
 	}
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
--- a/internal/node/announcements_test.go
+++ b/internal/node/announcements_test.go
@@ -23,8 +23,8 @@
 // rejects every packet.
 func startEntry(operators netip.AddrPort, seeds ...netip.AddrPort) (e *Entry, stop func()) {
 	e = NewEntry(EntryConfig{
-		Name: "edge-1", Domain: "d0", Packets: netip.AddrPortFrom(operators.Addr(), operators.Port()+1), Operators: operators, Seeds: seeds,
-		MaxFlow: time.Minute, Beat: time.Second, Dial: DialTCP, Log: log.New(io.Discard), Now: SteadyClock(),
+		Name: "edge-1", Domain: "d0", PacketAddr: netip.AddrPortFrom(operators.Addr(), operators.Port()+1), OperatorAddr: operators, Seeds: seeds,
+		MaxFlowAge: time.Minute, HeartbeatInterval: time.Second, Dial: DialTCP, Log: log.New(io.Discard), Now: SteadyClock(),
 		Codec: Codec{Decode: func([]byte) (steer.Packet, bool) { return steer.Packet{}, false }},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/node/blackhole_test.go
+++ b/internal/node/blackhole_test.go
@@ -97,8 +97,8 @@
 // startFleetEntry runs an entry with the seeds of the fleet.
 func startFleetEntry(fleet controlFleet, name string, dial Dialer) *Entry {
 	e := NewEntry(EntryConfig{
-		Name: name, Domain: "d0", Packets: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: fleet[0].config.Seeds, MaxFlow: time.Minute,
-		Beat: time.Second, Dial: dial, Knock: KnockTCP, Log: log.New(io.Discard), Now: SteadyClock(),
+		Name: name, Domain: "d0", PacketAddr: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: fleet[0].config.Seeds, MaxFlowAge: time.Minute,
+		HeartbeatInterval: time.Second, Dial: dial, Probe: ProbeTCP, Log: log.New(io.Discard), Now: SteadyClock(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ginkgo.DeferCleanup(cancel)
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -32,22 +32,22 @@
 type (
 	// EntryConfig configures an Entry.
 	EntryConfig struct {
-		Name    string
-		Domain  string
-		Packets netip.AddrPort // receives callers' packets; resets are sent to the same port of the caller
-		// Operators is the TCP address for operators' commands and the UDP address for
+		Name       string
+		Domain     string
+		PacketAddr netip.AddrPort // receives callers' packets; resets are sent to the same port of the caller
+		// OperatorAddr is the TCP address for operators' commands and the UDP address for
 		// announcements of control instances; the zero value disables both.
-		Operators netip.AddrPort
-		Seeds     []netip.AddrPort // peer addresses of control instances
-		MaxFlow   time.Duration    // maximum age of a flow
-		Losses    int              // simultaneous losses of control instances to tolerate
-		Grace     time.Duration    // time limit of a planned stop
-		Beat      time.Duration    // heartbeat interval of endpoints
-		Codec     Codec
-		Dial      Dialer // DialTCP outside tests
-		Knock     Knock  // KnockTCP outside tests
-		Log       *log.Logger
-		Now       func() time.Time
+		OperatorAddr      netip.AddrPort
+		Seeds             []netip.AddrPort // peer addresses of control instances
+		MaxFlowAge        time.Duration    // maximum age of a flow
+		ToleratedLosses   int              // simultaneous losses of control instances to tolerate
+		GracePeriod       time.Duration    // time limit of a planned stop
+		HeartbeatInterval time.Duration    // heartbeat interval of endpoints
+		Codec             Codec
+		Dial              Dialer    // DialTCP outside tests
+		Probe             ProbeFunc // KnockTCP outside tests
+		Log               *log.Logger
+		Now               func() time.Time
 	}
 
 	// Entry forwards callers' packets to endpoints, by the document and the endpoint reports
@@ -91,7 +91,7 @@
 		suspicions:     make(chan *wire.Doubt, maxConcurrentProbes),
 	}
 	e.steerer = steer.New(steer.Config{
-		Domain: c.Domain, MaxFlow: c.MaxFlow, MaxFlows: maxFlows, HeartbeatInterval: c.Beat,
+		Domain: c.Domain, MaxFlow: c.MaxFlowAge, MaxFlows: maxFlows, HeartbeatInterval: c.HeartbeatInterval,
 		OnSuspect: func(id string, suspect bool) {
 			c.Log.Warn("endpoint suspected", "endpoint", id, "suspect", suspect)
 		},
@@ -104,7 +104,7 @@
 // Run serves until the context is done. It returns an error of kind AddressInUse if it
 // cannot listen for packets.
 func (e *Entry) Run(ctx context.Context) error {
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.config.Packets))
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(e.config.PacketAddr))
 	if err != nil {
 		return fault.Wrap(fault.AddressInUse, err)
 	}
@@ -123,12 +123,12 @@
 // serveOperators answers operators' commands until the context is done. If the address is
 // in use, the entry runs on without answering them.
 func (e *Entry) serveOperators(ctx context.Context) error {
-	if !e.config.Operators.IsValid() {
+	if !e.config.OperatorAddr.IsValid() {
 		return nil
 	}
-	server, err := newLinkServer(e.config.Operators.String(), nil, &entryAnswers{entry: e})
+	server, err := newLinkServer(e.config.OperatorAddr.String(), nil, &entryAnswers{entry: e})
 	if err != nil {
-		e.config.Log.Error("cannot listen for operators' commands", "address", e.config.Operators, "error", err)
+		e.config.Log.Error("cannot listen for operators' commands", "address", e.config.OperatorAddr, "error", err)
 		return nil
 	}
 	return server.run(ctx)
@@ -138,7 +138,7 @@
 // packets are forwarded meanwhile. The caller then cancels the context of Run.
 func (e *Entry) Stop(ctx context.Context) {
 	e.stopping.Store(true)
-	delay := min(maxStopDelay, e.config.Grace/2)
+	delay := min(maxStopDelay, e.config.GracePeriod/2)
 	e.config.Log.Info("planned stop", "forwarding_on", delay)
 	select {
 	case <-ctx.Done():
--- a/internal/node/entrylink.go
+++ b/internal/node/entrylink.go
@@ -26,8 +26,8 @@
 func (l *entryLink) serve(ctx, rootCtx context.Context) error {
 	entry := l.manager.entry
 	hello := &wire.Hello{Id: entry.config.Name, Domain: entry.config.Domain}
-	if entry.config.Operators.IsValid() {
-		hello.Announce = entry.config.Operators.String()
+	if entry.config.OperatorAddr.IsValid() {
+		hello.Announce = entry.config.OperatorAddr.String()
 	}
 	if err := l.send(helloFrame(hello)); err != nil {
 		return err
--- a/internal/node/probes.go
+++ b/internal/node/probes.go
@@ -20,9 +20,9 @@
 )
 
 type (
-	// Knock reports whether a TCP connection to an address is accepted before the timeout.
+	// ProbeFunc reports whether a TCP connection to an address is accepted before the timeout.
 	// The connection is closed at once, without sending data.
-	Knock func(ctx context.Context, addr netip.AddrPort, timeout time.Duration) bool
+	ProbeFunc func(ctx context.Context, addr netip.AddrPort, timeout time.Duration) bool
 
 	// probeTask runs one probe concurrently with others.
 	probeTask struct {
@@ -34,14 +34,14 @@
 
 	// connectAttempt is the connection attempt of one probe.
 	connectAttempt struct {
-		connect  Knock
+		connect  ProbeFunc
 		probe    steer.Probe
 		accepted chan<- bool
 	}
 )
 
-// KnockTCP is the Knock for use outside tests.
-func KnockTCP(ctx context.Context, addr netip.AddrPort, timeout time.Duration) bool {
+// ProbeTCP is the Knock for use outside tests.
+func ProbeTCP(ctx context.Context, addr netip.AddrPort, timeout time.Duration) bool {
 	dialer := net.Dialer{Timeout: timeout}
 	conn, err := dialer.DialContext(ctx, "tcp", addr.String())
 	if err != nil {
@@ -91,7 +91,7 @@
 // show that the network is not at fault.
 func (e *Entry) runProbe(ctx context.Context, q steer.Probe) steer.Outcome {
 	accepted := make(chan bool, 1)
-	go connectAttempt{e.config.Knock, q, accepted}.run(ctx)
+	go connectAttempt{e.config.Probe, q, accepted}.run(ctx)
 	ticker := time.NewTicker(pauseCheckInterval)
 	defer ticker.Stop()
 	start := e.config.Now()
--- a/internal/node/probes_test.go
+++ b/internal/node/probes_test.go
@@ -23,7 +23,7 @@
 		connectable.Store(false)
 		e = NewEntry(EntryConfig{
 			Log: log.New(io.Discard), Now: SteadyClock(), Dial: DialTCP,
-			Knock: func(context.Context, netip.AddrPort, time.Duration) bool { return connectable.Load() },
+			Probe: func(context.Context, netip.AddrPort, time.Duration) bool { return connectable.Load() },
 		})
 	})
 
@@ -65,8 +65,8 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		addr := listener.Addr().(*net.TCPAddr).AddrPort()
-		Expect(KnockTCP(context.Background(), addr, patience)).To(BeTrue())
+		Expect(ProbeTCP(context.Background(), addr, patience)).To(BeTrue())
 		Expect(listener.Close()).To(Succeed())
-		Expect(KnockTCP(context.Background(), addr, patience)).To(BeFalse())
+		Expect(ProbeTCP(context.Background(), addr, patience)).To(BeFalse())
 	})
 })
