--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -39,13 +39,13 @@
 		// announcements of control instances; the zero value disables both.
 		OperatorAddr      netip.AddrPort
 		Seeds             []netip.AddrPort // peer addresses of control instances
-		MaxFlowAge        time.Duration    // maximum age of a flow
-		ToleratedLosses   int              // simultaneous losses of control instances to tolerate
-		GracePeriod       time.Duration    // time limit of a planned stop
-		HeartbeatInterval time.Duration    // heartbeat interval of endpoints
+		MaxFlowAge        time.Duration
+		ToleratedLosses   int           // simultaneous losses of control instances to tolerate
+		GracePeriod       time.Duration // time limit of a planned stop
+		HeartbeatInterval time.Duration // of endpoints
 		Codec             Codec
 		Dial              Dialer    // DialTCP outside tests
-		Probe             ProbeFunc // KnockTCP outside tests
+		Probe             ProbeFunc // ProbeTCP outside tests
 		Log               *log.Logger
 		Now               func() time.Time
 	}
--- a/internal/node/probes.go
+++ b/internal/node/probes.go
@@ -40,7 +40,7 @@
 	}
 )
 
-// ProbeTCP is the Knock for use outside tests.
+// ProbeTCP is the ProbeFunc for use outside tests.
 func ProbeTCP(ctx context.Context, addr netip.AddrPort, timeout time.Duration) bool {
 	dialer := net.Dialer{Timeout: timeout}
 	conn, err := dialer.DialContext(ctx, "tcp", addr.String())
