--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -30,21 +30,21 @@
 		incarnation  uint64
 		leaseUntil   time.Time // by the controller's clock, with margin
 		lastBeat     time.Time
-		applied      uint64
-		counted      uint64
-		heard        bool // by this controller, in this life
-		rows         map[bucketKey]row
+		appliedIndex uint64
+		countedIndex uint64
+		beatReceived bool // by this controller, in this life
+		counts       map[bucketKey]flowCount
 	}
 
-	row struct {
+	flowCount struct {
 		flows, pending uint32
 	}
 
-	// comeback follows a domain that was lost whole and is back.
-	comeback struct {
-		since    time.Time
-		index    uint64 // of the state when it came back
-		openedAt uint64 // from which its buckets with flows elsewhere are open
+	// returnedDomain follows a domain that was lost whole and is back.
+	returnedDomain struct {
+		returnedAt  time.Time
+		returnIndex uint64 // of the state when it came back
+		reopenIndex uint64 // from which its buckets with flows elsewhere are open
 	}
 
 	bucketKey struct {
@@ -67,21 +67,21 @@
 
 	// Controller decides for one term of leadership.
 	Controller struct {
-		config     Config
-		state      *control.State
-		startIndex uint64
-		active     uint64
-		members    map[string]*member
-		joining    map[string]*wire.Member
-		stopping   map[string]bool // entries that have said their last word
-		returned   map[string]*comeback
-		cutOff     map[string]map[string]uint64 // the lives of a domain's entries when it was lost
-		bereft     map[string]time.Time         // since when
-		open       map[bucketKey]*transition
-		assessor   *health.Assessor
-		planned    map[uint32]plan
-		lastPlace  time.Time
-		turn       uint32 // which services are looked at next
+		config           Config
+		state            *control.State
+		startIndex       uint64
+		activeIndex      uint64
+		members          map[string]*member
+		joining          map[string]*wire.Member
+		stopped          map[string]bool // entries that have said their last word
+		returnedDomains  map[string]*returnedDomain
+		lostIncarnations map[string]map[string]uint64 // the lives of a domain's entries when it was lost
+		lossSince        map[string]time.Time         // since when
+		tracked          map[bucketKey]*trackedTransition
+		assessor         *health.Assessor
+		lastPlans        map[uint32]lastPlan
+		lastPlacement    time.Time
+		rotation         uint32 // which services are looked at next
 	}
 )
 
@@ -90,14 +90,14 @@
 func New(c Config, now time.Time, state *control.State, startIndex uint64) *Controller {
 	k := &Controller{
 		config: c, state: state, startIndex: startIndex,
-		members: map[string]*member{}, joining: map[string]*wire.Member{}, stopping: map[string]bool{}, returned: map[string]*comeback{}, cutOff: map[string]map[string]uint64{}, bereft: map[string]time.Time{},
-		open: map[bucketKey]*transition{}, planned: map[uint32]plan{},
+		members: map[string]*member{}, joining: map[string]*wire.Member{}, stopped: map[string]bool{}, returnedDomains: map[string]*returnedDomain{}, lostIncarnations: map[string]map[string]uint64{}, lossSince: map[string]time.Time{},
+		tracked: map[bucketKey]*trackedTransition{}, lastPlans: map[uint32]lastPlan{},
 		assessor: health.New(c.Health, now),
 	}
 	for _, m := range state.Table().Members() {
 		k.members[m.Name()] = &member{
 			name: m.Name(), domain: m.Domain(), incarnation: m.Incarnation(),
-			leaseUntil: now.Add(c.Lease + c.Margin), lastBeat: now, rows: map[bucketKey]row{},
+			leaseUntil: now.Add(c.Lease + c.Margin), lastBeat: now, counts: map[bucketKey]flowCount{},
 		}
 	}
 	return k
@@ -107,7 +107,7 @@
 func (k *Controller) SetState(s *control.State) { k.state = s }
 
 // Active returns the index up to which changes are in use.
-func (k *Controller) Active() uint64 { return k.active }
+func (k *Controller) Active() uint64 { return k.activeIndex }
 
 // Assessor returns the weighed reports, for explanations.
 func (k *Controller) Assessor() *health.Assessor { return k.assessor }
@@ -117,55 +117,55 @@
 // that this instance can show its own lease as leader.
 func (k *Controller) Beat(now time.Time, r *wire.BeatRequest, current bool) Grant {
 	if !current {
-		return Grant{Active: k.active}
+		return Grant{Active: k.activeIndex}
 	}
-	k.active = max(k.active, min(r.Active, k.state.Index()))
+	k.activeIndex = max(k.activeIndex, min(r.Active, k.state.Index()))
 	if r.Stopped {
-		k.stopped(r)
-		return Grant{Active: k.active}
+		k.recordStop(r)
+		return Grant{Active: k.activeIndex}
 	}
 	m := k.members[r.Name]
 	if m == nil || m.incarnation != r.Incarnation {
-		m = k.replace(m, r)
+		m = k.replaceIncarnation(m, r)
 	}
-	m.lastBeat, m.applied, m.heard = now, r.Applied, true
-	k.takeCounts(m, r)
+	m.lastBeat, m.appliedIndex, m.beatReceived = now, r.Applied, true
+	k.recordCounts(m, r)
 	for _, l := range r.Loads {
 		k.assessor.Take(now, r.Name, health.Report{
 			Endpoint: l.Endpoint, Healthy: l.Healthy, Leaving: l.Leaving, Shedding: l.Shedding,
 			Connections: int(l.Connections), Running: int(l.Running),
 		})
 	}
-	if !k.admitted(r) || r.Applied < max(k.active, k.startIndex) || r.Applied > k.state.Index() {
-		return Grant{Active: k.active}
+	if !k.admit(r) || r.Applied < max(k.activeIndex, k.startIndex) || r.Applied > k.state.Index() {
+		return Grant{Active: k.activeIndex}
 	}
 	m.leaseUntil = now.Add(k.config.Lease + k.config.Margin)
-	return Grant{Lease: k.config.Lease, Active: k.active}
+	return Grant{Lease: k.config.Lease, Active: k.activeIndex}
 }
 
-// replace begins a new life of an entry. What its former life had seen is lost.
-func (k *Controller) replace(old *member, r *wire.BeatRequest) *member {
-	m := &member{name: r.Name, domain: r.Domain, incarnation: r.Incarnation, rows: map[bucketKey]row{}}
+// replaceIncarnation begins a new life of an entry. What its former life had seen is lost.
+func (k *Controller) replaceIncarnation(old *member, r *wire.BeatRequest) *member {
+	m := &member{name: r.Name, domain: r.Domain, incarnation: r.Incarnation, counts: map[bucketKey]flowCount{}}
 	if old != nil {
 		m.leaseUntil = old.leaseUntil
-		k.lost(old)
+		k.memberLost(old)
 	}
 	k.members[r.Name] = m
 	return m
 }
 
-// stopped notes the last beat of a planned stop: the entry decides no more.
-func (k *Controller) stopped(r *wire.BeatRequest) {
+// recordStop notes the last beat of a planned stop: the entry decides no more.
+func (k *Controller) recordStop(r *wire.BeatRequest) {
 	if m, listed := k.state.Table().Member(r.Name); listed && m.Incarnation() == r.Incarnation {
-		k.stopping[r.Name] = true
+		k.stopped[r.Name] = true
 		delete(k.members, r.Name)
 		delete(k.joining, r.Name)
 	}
 }
 
-// admitted reports whether the state lists this life of the entry; else it
+// admit reports whether the state lists this life of the entry; else it
 // notes the entry to be listed.
-func (k *Controller) admitted(r *wire.BeatRequest) bool {
+func (k *Controller) admit(r *wire.BeatRequest) bool {
 	m, listed := k.state.Table().Member(r.Name)
 	if listed && m.Incarnation() == r.Incarnation && m.Leaving() == r.Stopping {
 		delete(k.joining, r.Name)
@@ -175,29 +175,29 @@
 	return listed && m.Incarnation() == r.Incarnation
 }
 
-func (k *Controller) takeCounts(m *member, r *wire.BeatRequest) {
+func (k *Controller) recordCounts(m *member, r *wire.BeatRequest) {
 	if r.CountedIndex == 0 {
 		return
 	}
-	m.counted = r.CountedIndex
-	m.rows = make(map[bucketKey]row, len(r.Counts))
+	m.countedIndex = r.CountedIndex
+	m.counts = make(map[bucketKey]flowCount, len(r.Counts))
 	for _, c := range r.Counts {
-		m.rows[bucketKey{c.Service, c.Bucket}] = row{c.Flows, c.Pending}
+		m.counts[bucketKey{c.Service, c.Bucket}] = flowCount{c.Flows, c.Pending}
 	}
 }
 
 // Tick does what is due and returns the commands to be agreed on. It must be
 // called only when every command it returned before has been applied.
 func (k *Controller) Tick(now time.Time) []*wire.Command {
-	k.advance(now)
+	k.advanceActiveIndex(now)
 	var commands []*wire.Command
-	commands = append(commands, k.membership(now)...)
-	if now.Sub(k.lastPlace) >= k.config.PlaceEvery {
-		k.lastPlace = now
-		commands = append(commands, k.returning(now)...)
-		commands = append(commands, k.mourning(now)...)
-		commands = append(commands, k.transitions(now)...)
-		commands = append(commands, k.place(now)...)
+	commands = append(commands, k.membershipCommands(now)...)
+	if now.Sub(k.lastPlacement) >= k.config.PlaceEvery {
+		k.lastPlacement = now
+		commands = append(commands, k.resolveReturned(now)...)
+		commands = append(commands, k.resolveLosses(now)...)
+		commands = append(commands, k.transitionCommands(now)...)
+		commands = append(commands, k.placementCommands(now)...)
 	}
 	for _, c := range commands {
 		c.UnixNano = now.UnixNano()
@@ -205,15 +205,15 @@
 	return commands
 }
 
-// advance moves the active index to what every entry with a lease has applied.
-func (k *Controller) advance(now time.Time) {
-	least := k.state.Index()
+// advanceActiveIndex moves the active index to what every entry with a lease has applied.
+func (k *Controller) advanceActiveIndex(now time.Time) {
+	minApplied := k.state.Index()
 	for _, m := range k.members {
 		if now.Before(m.leaseUntil) {
-			least = min(least, m.applied)
+			minApplied = min(minApplied, m.appliedIndex)
 		}
 	}
-	k.active = max(k.active, least)
+	k.activeIndex = max(k.activeIndex, minApplied)
 }
 
 // Status returns what is known of the entries.
@@ -221,8 +221,8 @@
 	var all []MemberStatus
 	for _, m := range k.state.Table().Members() {
 		s := MemberStatus{Name: m.Name(), Domain: m.Domain()}
-		if have := k.members[m.Name()]; have != nil {
-			s.Applied, s.Silent, s.Leased = have.applied, now.Sub(have.lastBeat), now.Before(have.leaseUntil)
+		if known := k.members[m.Name()]; known != nil {
+			s.Applied, s.Silent, s.Leased = known.appliedIndex, now.Sub(known.lastBeat), now.Before(known.leaseUntil)
 		}
 		all = append(all, s)
 	}
@@ -232,9 +232,9 @@
 // FlowsLeft returns how many flows of a bucket are not on its current
 // endpoint: the most that one entry has seen.
 func (k *Controller) FlowsLeft(service, bucket uint32) uint32 {
-	var most uint32
+	var maxFlows uint32
 	for _, m := range k.members {
-		most = max(most, m.rows[bucketKey{service, bucket}].flows)
+		maxFlows = max(maxFlows, m.counts[bucketKey{service, bucket}].flows)
 	}
-	return most
+	return maxFlows
 }
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -9,145 +9,145 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// membership lists entries that have come and drops those whose lease has run
+// membershipCommands lists entries that have come and drops those whose lease has run
 // out. A domain that is lost whole may only be cut off and serve by itself, so
 // it is marked before its entries are dropped.
-func (k *Controller) membership(now time.Time) []*wire.Command {
+func (k *Controller) membershipCommands(now time.Time) []*wire.Command {
 	var commands []*wire.Command
 	change := &wire.Members{}
 	for _, name := range slices.Sorted(maps.Keys(k.joining)) {
 		change.Joined = append(change.Joined, k.joining[name])
 	}
 	clear(k.joining)
-	alive := k.aliveDomains(now)
-	commands = append(commands, k.noteReturns(now, alive)...)
+	aliveDomains := k.aliveDomains(now)
+	commands = append(commands, k.markReturned(now, aliveDomains)...)
 	for _, m := range k.state.Table().Members() {
-		if k.stopping[m.Name()] {
+		if k.stopped[m.Name()] {
 			change.Stopped = append(change.Stopped, m.Name())
 			k.assessor.Forget(m.Name())
 			continue
 		}
-		have := k.members[m.Name()]
-		if have != nil && now.Before(k.staysUntil(have)) || joins(change, m.Name()) {
+		known := k.members[m.Name()]
+		if known != nil && now.Before(k.listedUntil(known)) || isJoining(change, m.Name()) {
 			continue
 		}
-		if !alive[m.Domain()] && !m.Leaving() && !slices.Contains(k.state.Table().Cut(), m.Domain()) {
-			alive[m.Domain()] = true // marked once
-			k.cutOff[m.Domain()] = k.livesIn(m.Domain())
-			delete(k.returned, m.Domain())
-			commands = append(commands, suspect(&wire.Suspect{Domain: m.Domain()}))
+		if !aliveDomains[m.Domain()] && !m.Leaving() && !slices.Contains(k.state.Table().Cut(), m.Domain()) {
+			aliveDomains[m.Domain()] = true // marked once
+			k.lostIncarnations[m.Domain()] = k.incarnationsIn(m.Domain())
+			delete(k.returnedDomains, m.Domain())
+			commands = append(commands, suspectCommand(&wire.Suspect{Domain: m.Domain()}))
 		}
 		change.Left = append(change.Left, m.Name())
-		if have != nil {
-			k.lost(have)
+		if known != nil {
+			k.memberLost(known)
 			delete(k.members, m.Name())
 			k.assessor.Forget(m.Name())
 		}
 	}
-	clear(k.stopping)
+	clear(k.stopped)
 	if len(change.Joined)+len(change.Left)+len(change.Stopped) > 0 {
 		commands = append(commands, &wire.Command{Body: &wire.Command_Members{Members: change}})
 	}
 	return commands
 }
 
-// staysUntil returns until when an entry stays listed: while it has a lease,
+// listedUntil returns until when an entry stays listed: while it has a lease,
 // and long enough after a beat to apply what it lacks and get its first one.
-func (k *Controller) staysUntil(m *member) time.Time {
-	heard := m.lastBeat.Add(k.config.Lease + k.config.Margin)
-	if heard.After(m.leaseUntil) {
-		return heard
+func (k *Controller) listedUntil(m *member) time.Time {
+	beatDeadline := m.lastBeat.Add(k.config.Lease + k.config.Margin)
+	if beatDeadline.After(m.leaseUntil) {
+		return beatDeadline
 	}
 	return m.leaseUntil
 }
 
-// livesIn returns the incarnations of a domain's entries by name.
-func (k *Controller) livesIn(domain string) map[string]uint64 {
-	lives := map[string]uint64{}
+// incarnationsIn returns the incarnations of a domain's entries by name.
+func (k *Controller) incarnationsIn(domain string) map[string]uint64 {
+	incarnations := map[string]uint64{}
 	for _, m := range k.state.Table().Members() {
 		if m.Domain() == domain {
-			lives[m.Name()] = m.Incarnation()
+			incarnations[m.Name()] = m.Incarnation()
 		}
 	}
-	return lives
+	return incarnations
 }
 
-func joins(change *wire.Members, name string) bool {
+func isJoining(change *wire.Members, name string) bool {
 	return slices.ContainsFunc(change.Joined, func(m *wire.Member) bool { return m.Name == name })
 }
 
 // aliveDomains returns the domains of which an entry is heard.
 func (k *Controller) aliveDomains(now time.Time) map[string]bool {
-	alive := map[string]bool{}
+	domains := map[string]bool{}
 	for _, m := range k.members {
-		if now.Before(k.staysUntil(m)) {
-			alive[m.domain] = true
+		if now.Before(k.listedUntil(m)) {
+			domains[m.domain] = true
 		}
 	}
-	return alive
+	return domains
 }
 
-func suspect(s *wire.Suspect) *wire.Command {
+func suspectCommand(s *wire.Suspect) *wire.Command {
 	return &wire.Command{Body: &wire.Command_Suspect{Suspect: s}}
 }
 
-// noteReturns marks each domain that was lost whole and of which an entry
+// markReturned marks each domain that was lost whole and of which an entry
 // holds a lease again as one that can be asked.
-func (k *Controller) noteReturns(now time.Time, alive map[string]bool) []*wire.Command {
+func (k *Controller) markReturned(now time.Time, aliveDomains map[string]bool) []*wire.Command {
 	var commands []*wire.Command
 	for _, domain := range k.state.Table().Cut() {
-		if alive[domain] {
-			k.returned[domain] = &comeback{since: now, index: k.state.Index()}
-			commands = append(commands, suspect(&wire.Suspect{Domain: domain, Returned: true}))
+		if aliveDomains[domain] {
+			k.returnedDomains[domain] = &returnedDomain{returnedAt: now, returnIndex: k.state.Index()}
+			commands = append(commands, suspectCommand(&wire.Suspect{Domain: domain, Returned: true}))
 		}
 	}
 	return commands
 }
 
-// returning ends the doubt about domains that are back: once every entry has
+// resolveReturned ends the doubt about domains that are back: once every entry has
 // counted its flows since, the buckets that have flows elsewhere are opened,
 // and when that is in force everywhere the domain is cleared.
-func (k *Controller) returning(now time.Time) []*wire.Command {
+func (k *Controller) resolveReturned(now time.Time) []*wire.Command {
 	domains := k.state.Table().Returned()
 	if len(domains) == 0 {
-		clear(k.returned)
+		clear(k.returnedDomains)
 		return nil
 	}
 	for _, d := range domains {
-		if !k.counted(now, d) {
+		if !k.domainCounted(now, d) {
 			return nil
 		}
 	}
-	commands := k.reopen()
+	commands := k.reopenCommands()
 	for _, d := range domains {
-		back := k.returned[d]
-		if len(commands) > 0 || back.openedAt == 0 {
-			back.openedAt = k.state.Index() + uint64(len(commands))
-		} else if k.active >= back.openedAt {
-			whole := k.sameLives(d)
-			commands = append(commands, suspect(&wire.Suspect{Domain: d, Cleared: whole, Lost: !whole}))
+		returned := k.returnedDomains[d]
+		if len(commands) > 0 || returned.reopenIndex == 0 {
+			returned.reopenIndex = k.state.Index() + uint64(len(commands))
+		} else if k.activeIndex >= returned.reopenIndex {
+			noLoss := k.sameIncarnations(d)
+			commands = append(commands, suspectCommand(&wire.Suspect{Domain: d, Cleared: noLoss, Lost: !noLoss}))
 		}
 	}
 	return commands
 }
 
-// counted reports whether all flows of a domain that is back are known.
-func (k *Controller) counted(now time.Time, domain string) bool {
-	back := k.returned[domain]
-	if back == nil {
-		back = &comeback{since: now, index: k.state.Index()} // marked under a former leader
-		k.returned[domain] = back
+// domainCounted reports whether all flows of a domain that is back are known.
+func (k *Controller) domainCounted(now time.Time, domain string) bool {
+	returned := k.returnedDomains[domain]
+	if returned == nil {
+		returned = &returnedDomain{returnedAt: now, returnIndex: k.state.Index()} // marked under a former leader
+		k.returnedDomains[domain] = returned
 	}
-	waited := now.Sub(back.since)
-	return waited >= k.config.SettleAfter && k.allCounted(now, back.index) &&
-		(k.allBack(domain) || waited >= k.config.ReturnWait)
+	waited := now.Sub(returned.returnedAt)
+	return waited >= k.config.SettleAfter && k.allMembersCounted(now, returned.returnIndex) &&
+		(k.allMembersReturned(domain) || waited >= k.config.ReturnWait)
 }
 
-// allBack reports whether every entry that a domain had when it was lost is
+// allMembersReturned reports whether every entry that a domain had when it was lost is
 // listed again. Under a leader that did not see the loss it cannot be known.
-func (k *Controller) allBack(domain string) bool {
-	lives, known := k.cutOff[domain]
-	for name := range lives {
+func (k *Controller) allMembersReturned(domain string) bool {
+	incarnations, known := k.lostIncarnations[domain]
+	for name := range incarnations {
 		if _, listed := k.state.Table().Member(name); !listed {
 			return false
 		}
@@ -155,10 +155,10 @@
 	return known
 }
 
-// sameLives reports whether all of them live the life that they had then.
-func (k *Controller) sameLives(domain string) bool {
-	lives, known := k.cutOff[domain]
-	for name, incarnation := range lives {
+// sameIncarnations reports whether all of them live the life that they had then.
+func (k *Controller) sameIncarnations(domain string) bool {
+	incarnations, known := k.lostIncarnations[domain]
+	for name, incarnation := range incarnations {
 		if m, listed := k.state.Table().Member(name); !listed || m.Incarnation() != incarnation {
 			return false
 		}
@@ -166,39 +166,39 @@
 	return known
 }
 
-// mourning ends the doubt about what lost entries of a cut domain knew: after
+// resolveLosses ends the doubt about what lost entries of a cut domain knew: after
 // one idle limit every flow of theirs has been reset or is over.
-func (k *Controller) mourning(now time.Time) []*wire.Command {
+func (k *Controller) resolveLosses(now time.Time) []*wire.Command {
 	domains := k.state.Table().Bereft()
 	if len(domains) == 0 {
-		clear(k.bereft)
+		clear(k.lossSince)
 		return nil
 	}
-	var idle time.Duration
-	k.state.Table().Services(func(s *route.Service) { idle = max(idle, s.Policy().Idle) })
+	var maxIdle time.Duration
+	k.state.Table().Services(func(s *route.Service) { maxIdle = max(maxIdle, s.Policy().Idle) })
 	var commands []*wire.Command
 	for _, d := range domains {
-		since, known := k.bereft[d]
+		since, known := k.lossSince[d]
 		if !known {
-			k.bereft[d] = now
-		} else if now.Sub(since) >= idle+k.config.SettleAfter {
-			commands = append(commands, suspect(&wire.Suspect{Domain: d, Cleared: true}))
+			k.lossSince[d] = now
+		} else if now.Sub(since) >= maxIdle+k.config.SettleAfter {
+			commands = append(commands, suspectCommand(&wire.Suspect{Domain: d, Cleared: true}))
 		}
 	}
 	return commands
 }
 
-// reopen returns commands that open the settled buckets of which an entry
+// reopenCommands returns commands that open the settled buckets of which an entry
 // still sees flows on another endpoint.
-func (k *Controller) reopen() []*wire.Command {
+func (k *Controller) reopenCommands() []*wire.Command {
 	buckets := map[uint32][]uint32{}
 	for _, m := range k.members {
-		for key, r := range m.rows {
+		for key, r := range m.counts {
 			s := k.state.Table().Service(key.service)
 			if s == nil || r.flows == 0 {
 				continue
 			}
-			if _, open := s.Transition(key.bucket); !open && !slices.Contains(buckets[key.service], key.bucket) {
+			if _, inTransition := s.Transition(key.bucket); !inTransition && !slices.Contains(buckets[key.service], key.bucket) {
 				buckets[key.service] = append(buckets[key.service], key.bucket)
 			}
 		}
@@ -213,11 +213,11 @@
 	return commands
 }
 
-// allCounted reports whether every entry with a lease has counted its flows
+// allMembersCounted reports whether every entry with a lease has counted its flows
 // since an index was applied.
-func (k *Controller) allCounted(now time.Time, since uint64) bool {
+func (k *Controller) allMembersCounted(now time.Time, since uint64) bool {
 	for _, m := range k.members {
-		if now.Before(m.leaseUntil) && (!m.heard || m.counted < since) {
+		if now.Before(m.leaseUntil) && (!m.beatReceived || m.countedIndex < since) {
 			return false
 		}
 	}
--- a/internal/controller/transition.go
+++ b/internal/controller/transition.go
@@ -9,30 +9,30 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// transition is what the controller follows of a bucket in transition.
-type transition struct {
-	movedAt uint64
-	quiet   time.Time // since when nothing was lost that knew of its flows
-	zero    time.Time // since when no entry has seen a flow elsewhere
+// trackedTransition is what the controller follows of a bucket in trackedTransition.
+type trackedTransition struct {
+	movedAt      uint64
+	stableSince  time.Time // since when nothing was lost that knew of its flows
+	drainedSince time.Time // since when no entry has seen a flow elsewhere
 }
 
-// lost notes that an entry is gone: of the buckets that it saw flows of, or
+// memberLost notes that an entry is gone: of the buckets that it saw flows of, or
 // had not counted yet, every living flow must show itself once more.
-func (k *Controller) lost(m *member) {
-	for key, t := range k.open {
-		if m.rows[key].flows > 0 || m.counted < t.movedAt {
-			t.quiet = time.Time{}
+func (k *Controller) memberLost(m *member) {
+	for key, t := range k.tracked {
+		if m.counts[key].flows > 0 || m.countedIndex < t.movedAt {
+			t.stableSince = time.Time{}
 		}
 	}
 }
 
-// transitions ends what can be ended. A bucket is flipped when its holders
+// transitionCommands ends what can be ended. A bucket is flipped when its holders
 // know every flow that is elsewhere: after one idle limit each living flow has
 // shown itself. It is settled when every entry knows of the flip and no flow
 // is elsewhere any more, or when the drain deadline of its former endpoint has
 // passed. Without the flip between, one entry would take the old endpoint for
 // the default while another already sends new flows to the new one unrecorded.
-func (k *Controller) transitions(now time.Time) []*wire.Command {
+func (k *Controller) transitionCommands(now time.Time) []*wire.Command {
 	var commands []*wire.Command
 	seen := map[bucketKey]bool{}
 	k.state.Table().Services(func(s *route.Service) {
@@ -44,14 +44,14 @@
 			t := s.Open()[bucket]
 			key := bucketKey{s.ID(), bucket}
 			seen[key] = true
-			switch k.judge(now, s, key, t) {
-			case doSettle:
+			switch k.nextAction(now, s, key, t) {
+			case actionSettle:
 				settle = append(settle, bucket)
-			case doForce:
+			case actionForceSettle:
 				forced = append(forced, bucket)
-			case doFlip:
+			case actionFlip:
 				flip = append(flip, bucket)
-			case doNothing:
+			case actionNone:
 			}
 		}
 		commands = append(commands, settleCommand(s.ID(), settle, false)...)
@@ -60,7 +60,7 @@
 			commands = append(commands, &wire.Command{Body: &wire.Command_Flip{Flip: &wire.Flip{Service: s.ID(), Buckets: flip}}})
 		}
 	})
-	maps.DeleteFunc(k.open, func(key bucketKey, _ *transition) bool { return !seen[key] })
+	maps.DeleteFunc(k.tracked, func(key bucketKey, _ *trackedTransition) bool { return !seen[key] })
 	return commands
 }
 
@@ -71,77 +71,77 @@
 	return []*wire.Command{{Body: &wire.Command_Settle{Settle: &wire.Settle{Service: service, Buckets: buckets, Forced: forced}}}}
 }
 
-type judgement int
+type transitionAction int
 
 const (
-	doNothing judgement = iota
-	doSettle
-	doForce
-	doFlip
+	actionNone transitionAction = iota
+	actionSettle
+	actionForceSettle
+	actionFlip
 )
 
-func (k *Controller) judge(now time.Time, s *route.Service, key bucketKey, t route.Transition) judgement {
-	if t.MovedAt > k.active {
-		return doNothing
+func (k *Controller) nextAction(now time.Time, s *route.Service, key bucketKey, t route.Transition) transitionAction {
+	if t.MovedAt > k.activeIndex {
+		return actionNone
 	}
-	f := k.follow(now, key, t)
+	tracked := k.track(now, key, t)
 	if k.pastDeadline(now, s, t) {
-		return k.force(t)
+		return k.forcedAction(t)
 	}
-	flows, pending, counted := k.rows(now, key, t.MovedAt)
+	flows, pending, counted := k.bucketCounts(now, key, t.MovedAt)
 	if !counted || flows > 0 {
-		f.zero = time.Time{}
-	} else if f.zero.IsZero() {
-		f.zero = now
+		tracked.drainedSince = time.Time{}
+	} else if tracked.drainedSince.IsZero() {
+		tracked.drainedSince = now
 	}
 	if k.state.Table().Suspect() {
 		// Packets of flows that nobody knows are withheld, so a living flow may
 		// not show itself: it has an idle limit for it once the doubt has ended.
-		f.quiet = time.Time{}
-		return doNothing
+		tracked.stableSince = time.Time{}
+		return actionNone
 	}
-	if now.Sub(f.quiet) < s.Policy().Idle+k.config.SettleAfter {
-		return doNothing
+	if now.Sub(tracked.stableSince) < s.Policy().Idle+k.config.SettleAfter {
+		return actionNone
 	}
 	switch {
 	case counted && pending == 0 && !t.Flipped():
-		return doFlip
-	case t.FlipActive(k.active) && !f.zero.IsZero() && now.Sub(f.zero) >= k.config.SettleAfter:
-		return doSettle
+		return actionFlip
+	case t.FlipActive(k.activeIndex) && !tracked.drainedSince.IsZero() && now.Sub(tracked.drainedSince) >= k.config.SettleAfter:
+		return actionSettle
 	}
-	return doNothing
+	return actionNone
 }
 
-// follow returns what is followed of a bucket, begun anew when it has moved.
-func (k *Controller) follow(now time.Time, key bucketKey, t route.Transition) *transition {
-	f := k.open[key]
-	if f == nil || f.movedAt != t.MovedAt {
-		f = &transition{movedAt: t.MovedAt}
-		k.open[key] = f
+// track returns what is followed of a bucket, begun anew when it has moved.
+func (k *Controller) track(now time.Time, key bucketKey, t route.Transition) *trackedTransition {
+	tracked := k.tracked[key]
+	if tracked == nil || tracked.movedAt != t.MovedAt {
+		tracked = &trackedTransition{movedAt: t.MovedAt}
+		k.tracked[key] = tracked
 	}
-	if f.quiet.IsZero() {
-		f.quiet = now
+	if tracked.stableSince.IsZero() {
+		tracked.stableSince = now
 	}
-	return f
+	return tracked
 }
 
-// force ends a transition whose deadline has passed, in the same two steps.
-func (k *Controller) force(t route.Transition) judgement {
+// forcedAction ends a transition whose deadline has passed, in the same two steps.
+func (k *Controller) forcedAction(t route.Transition) transitionAction {
 	switch {
 	case !t.Flipped():
-		return doFlip
-	case t.FlipActive(k.active):
-		return doForce
+		return actionFlip
+	case t.FlipActive(k.activeIndex):
+		return actionForceSettle
 	}
-	return doNothing
+	return actionNone
 }
 
-// rows sums up what the entries with a lease have reported of a bucket.
-func (k *Controller) rows(now time.Time, key bucketKey, movedAt uint64) (flows, pending uint32, counted bool) {
-	counted = k.allCounted(now, movedAt)
+// bucketCounts sums up what the entries with a lease have reported of a bucket.
+func (k *Controller) bucketCounts(now time.Time, key bucketKey, movedAt uint64) (flows, pending uint32, counted bool) {
+	counted = k.allMembersCounted(now, movedAt)
 	for _, m := range k.members {
-		flows = max(flows, m.rows[key].flows)
-		pending += m.rows[key].pending
+		flows = max(flows, m.counts[key].flows)
+		pending += m.counts[key].pending
 	}
 	return flows, pending, counted
 }
--- a/internal/packet/encode.go
+++ b/internal/packet/encode.go
@@ -9,8 +9,8 @@
 
 // Encoder writes Geneve headers from templates that gopacket built once.
 type Encoder struct {
-	plain4, plain6, peer []byte
-	relay4, relay6       []byte
+	plainIPv4, plainIPv6, peer []byte
+	relayIPv4, relayIPv6       []byte
 }
 
 // NewEncoder builds the header templates.
@@ -24,11 +24,11 @@
 		}
 		return header
 	}
-	e.plain4 = build(layers.EthernetTypeIPv4, false)
-	e.plain6 = build(layers.EthernetTypeIPv6, false)
+	e.plainIPv4 = build(layers.EthernetTypeIPv4, false)
+	e.plainIPv6 = build(layers.EthernetTypeIPv6, false)
 	e.peer = build(PeerProtocol, false)
-	e.relay4 = build(layers.EthernetTypeIPv4, true)
-	e.relay6 = build(layers.EthernetTypeIPv6, true)
+	e.relayIPv4 = build(layers.EthernetTypeIPv4, true)
+	e.relayIPv6 = build(layers.EthernetTypeIPv6, true)
 	if err != nil {
 		return nil, fmt.Errorf("build geneve headers: %w", err)
 	}
@@ -37,22 +37,22 @@
 
 // AppendPlain appends a Geneve datagram with the inner packet to dst.
 func (e *Encoder) AppendPlain(dst, inner []byte) []byte {
-	header := e.plain4
-	if isIP6(inner) {
-		header = e.plain6
+	header := e.plainIPv4
+	if isIPv6(inner) {
+		header = e.plainIPv6
 	}
 	return append(append(dst, header...), inner...)
 }
 
 // AppendRelay appends a Geneve datagram with the inner packet and the option.
 func (e *Encoder) AppendRelay(dst, inner []byte, r Relay) []byte {
-	header := e.relay4
-	if isIP6(inner) {
-		header = e.relay6
+	header := e.relayIPv4
+	if isIPv6(inner) {
+		header = e.relayIPv6
 	}
 	start := len(dst)
 	dst = append(append(dst, header...), inner...)
-	r.put(dst[start+HeaderLen+optionHeaderLen : start+RelayLen])
+	r.encode(dst[start+HeaderLen+optionHeaderLen : start+RelayLen])
 	return dst
 }
 
@@ -61,12 +61,12 @@
 	return append(append(dst, e.peer...), message...)
 }
 
-func isIP6(inner []byte) bool { return len(inner) > 0 && inner[0]>>4 == 6 }
+func isIPv6(inner []byte) bool { return len(inner) > 0 && inner[0]>>4 == 6 }
 
 func buildHeader(proto layers.EthernetType, relay bool) ([]byte, error) {
 	g := &layers.Geneve{Protocol: proto}
 	if relay {
-		g.Options = []*layers.GeneveOption{{Class: optionClass, Type: optionRelay, Data: make([]byte, relayDataLen)}}
+		g.Options = []*layers.GeneveOption{{Class: relayOptionClass, Type: relayOptionType, Data: make([]byte, relayDataLen)}}
 	}
 	buf := gopacket.NewSerializeBuffer()
 	if err := g.SerializeTo(buf, gopacket.SerializeOptions{FixLengths: true}); err != nil {
@@ -95,16 +95,16 @@
 // BuildReset returns the RST that ends the flow of a caller's TCP packet.
 func BuildReset(p *Packet) ([]byte, error) {
 	var d Decoder
-	var fresh Packet
-	if r := d.DecodeInner(p.inner, &fresh); r != Decoded || fresh.tuple.transport != TCP {
-		return nil, fmt.Errorf("no reset for a packet that is %s %s", r, fresh.tuple.transport)
+	var decoded Packet
+	if r := d.DecodeInner(p.inner, &decoded); r != Decoded || decoded.tuple.transport != TCP {
+		return nil, fmt.Errorf("no reset for a packet that is %s %s", r, decoded.tuple.transport)
 	}
 	seq, ack := d.TCPSequence()
-	next := seq + uint32(len(fresh.payload))
-	if fresh.flags.syn || fresh.flags.fin {
+	next := seq + uint32(len(decoded.payload))
+	if decoded.flags.syn || decoded.flags.fin {
 		next++
 	}
-	return Build(fresh.tuple.Reverse(), Flags{rst: true, ack: true}, ack, next, nil)
+	return Build(decoded.tuple.Reverse(), Flags{rst: true, ack: true}, ack, next, nil)
 }
 
 func networkLayer(t Tuple) (gopacket.NetworkLayer, gopacket.SerializableLayer) {
--- a/internal/packet/packet.go
+++ b/internal/packet/packet.go
@@ -39,8 +39,8 @@
 	optionHeaderLen  = 4
 	relayDataLen     = 24
 	maxOptionsLength = 128
-	optionClass      = 0xFF0B // experimental range of RFC 8926
-	optionRelay      = 1
+	relayOptionClass = 0xFF0B // experimental range of RFC 8926
+	relayOptionType  = 1
 	protocolTCP      = 6
 	protocolUDP      = 17
 )
@@ -66,21 +66,21 @@
 	// Packet is a decoded packet. Its slices point into the received buffer
 	// and are valid until the next call of Decode.
 	Packet struct {
-		tuple    Tuple
-		flags    Flags
-		inner    []byte
-		payload  []byte
-		relay    Relay
-		relayed  bool
-		peer     bool
-		innerIP6 bool
+		tuple     Tuple
+		flags     Flags
+		inner     []byte
+		payload   []byte
+		relay     Relay
+		relayed   bool
+		peer      bool
+		innerIPv6 bool
 	}
 
 	// Decoder decodes packets with reused layers; one goroutine uses it.
 	Decoder struct {
 		geneve layers.Geneve
-		ip4    layers.IPv4
-		ip6    layers.IPv6
+		ipv4   layers.IPv4
+		ipv6   layers.IPv6
 		tcp    layers.TCP
 		udp    layers.UDP
 	}
@@ -195,9 +195,9 @@
 		p.peer = true
 		return Decoded
 	case layers.EthernetTypeIPv4:
-		return d.decode4(p)
+		return d.decodeIPv4(p)
 	case layers.EthernetTypeIPv6:
-		return d.decode6(p)
+		return d.decodeIPv6(p)
 	default:
 		return UnknownInner
 	}
@@ -210,14 +210,14 @@
 		return TooShort
 	}
 	if inner[0]>>4 == 6 {
-		return d.decode6(p)
+		return d.decodeIPv6(p)
 	}
-	return d.decode4(p)
+	return d.decodeIPv4(p)
 }
 
 func (d *Decoder) decodeOptions(p *Packet) Reason {
 	for _, o := range d.geneve.Options {
-		if o.Class != optionClass || o.Type != optionRelay {
+		if o.Class != relayOptionClass || o.Type != relayOptionType {
 			if o.Type&0x80 != 0 {
 				return BadGeneve // an unknown critical option must not be ignored
 			}
@@ -226,32 +226,32 @@
 		if len(o.Data) != relayDataLen {
 			return BadRelay
 		}
-		p.relay = readRelay(o.Data)
+		p.relay = decodeRelay(o.Data)
 		p.relayed = true
 	}
 	return Decoded
 }
 
-func (d *Decoder) decode4(p *Packet) Reason {
-	if err := d.ip4.DecodeFromBytes(p.inner, gopacket.NilDecodeFeedback); err != nil || d.ip4.Version != 4 {
+func (d *Decoder) decodeIPv4(p *Packet) Reason {
+	if err := d.ipv4.DecodeFromBytes(p.inner, gopacket.NilDecodeFeedback); err != nil || d.ipv4.Version != 4 {
 		return BadIP
 	}
-	if d.ip4.FragOffset != 0 || d.ip4.Flags&layers.IPv4MoreFragments != 0 {
+	if d.ipv4.FragOffset != 0 || d.ipv4.Flags&layers.IPv4MoreFragments != 0 {
 		return Fragment
 	}
-	src, _ := netip.AddrFromSlice(d.ip4.SrcIP)
-	dst, _ := netip.AddrFromSlice(d.ip4.DstIP)
-	return d.decodeTransport(p, src, dst, d.ip4.Protocol, d.ip4.Payload)
+	src, _ := netip.AddrFromSlice(d.ipv4.SrcIP)
+	dst, _ := netip.AddrFromSlice(d.ipv4.DstIP)
+	return d.decodeTransport(p, src, dst, d.ipv4.Protocol, d.ipv4.Payload)
 }
 
-func (d *Decoder) decode6(p *Packet) Reason {
-	p.innerIP6 = true
-	if err := d.ip6.DecodeFromBytes(p.inner, gopacket.NilDecodeFeedback); err != nil || d.ip6.Version != 6 {
+func (d *Decoder) decodeIPv6(p *Packet) Reason {
+	p.innerIPv6 = true
+	if err := d.ipv6.DecodeFromBytes(p.inner, gopacket.NilDecodeFeedback); err != nil || d.ipv6.Version != 6 {
 		return BadIP
 	}
-	src, _ := netip.AddrFromSlice(d.ip6.SrcIP)
-	dst, _ := netip.AddrFromSlice(d.ip6.DstIP)
-	return d.decodeTransport(p, src, dst, d.ip6.NextHeader, d.ip6.Payload)
+	src, _ := netip.AddrFromSlice(d.ipv6.SrcIP)
+	dst, _ := netip.AddrFromSlice(d.ipv6.DstIP)
+	return d.decodeTransport(p, src, dst, d.ipv6.NextHeader, d.ipv6.Payload)
 }
 
 func (d *Decoder) decodeTransport(p *Packet, src, dst netip.Addr, proto layers.IPProtocol, data []byte) Reason {
@@ -346,7 +346,7 @@
 	return r
 }
 
-func readRelay(data []byte) Relay {
+func decodeRelay(data []byte) Relay {
 	return Relay{
 		kind:     RelayKind(data[0]),
 		hops:     data[1],
@@ -357,7 +357,7 @@
 	}
 }
 
-func (r Relay) put(data []byte) {
+func (r Relay) encode(data []byte) {
 	data[0] = byte(r.kind)
 	data[1] = r.hops
 	binary.BigEndian.PutUint16(data[2:], r.origin)
--- a/internal/packet/packet_test.go
+++ b/internal/packet/packet_test.go
@@ -20,7 +20,7 @@
 	return inner
 }
 
-func TestRoundTrip(t *testing.T) {
+func TestEncodeDecodeRoundTrip(t *testing.T) {
 	for _, v6 := range []bool{false, true} {
 		g := gomega.NewWithT(t)
 		e, err := NewEncoder()
@@ -41,14 +41,14 @@
 	}
 }
 
-func TestHostilePacketsAreCountedByReason(t *testing.T) {
+func TestDecodeRejectsMalformedPackets(t *testing.T) {
 	e, err := NewEncoder()
 	if err != nil {
 		t.Fatal(err)
 	}
-	good := e.AppendPlain(nil, samplePacket(t, false))
-	change := func(at int, b byte) []byte {
-		c := append([]byte(nil), good...)
+	valid := e.AppendPlain(nil, samplePacket(t, false))
+	withByte := func(at int, b byte) []byte {
+		c := append([]byte(nil), valid...)
 		c[at] = b
 		return c
 	}
@@ -57,15 +57,15 @@
 		want Reason
 	}{
 		"empty":             {nil, TooShort},
-		"truncated geneve":  {good[:5], TooShort},
-		"truncated ip":      {good[:HeaderLen+10], BadIP},
-		"truncated tcp":     {good[:HeaderLen+25], BadTransport},
-		"bad version":       {change(0, 0x40), BadGeneve},
-		"options past end":  {change(0, 0x20), BadGeneve},
-		"options overflow":  {change(0, 0x3f), TooManyOptions},
-		"unknown inner":     {change(2, 0x77), UnknownInner},
-		"fragment":          {change(HeaderLen+6, 0x20), Fragment},
-		"unknown transport": {change(HeaderLen+9, 1), UnknownTransport},
+		"truncated geneve":  {valid[:5], TooShort},
+		"truncated ip":      {valid[:HeaderLen+10], BadIP},
+		"truncated tcp":     {valid[:HeaderLen+25], BadTransport},
+		"bad version":       {withByte(0, 0x40), BadGeneve},
+		"options past end":  {withByte(0, 0x20), BadGeneve},
+		"options overflow":  {withByte(0, 0x3f), TooManyOptions},
+		"unknown inner":     {withByte(2, 0x77), UnknownInner},
+		"fragment":          {withByte(HeaderLen+6, 0x20), Fragment},
+		"unknown transport": {withByte(HeaderLen+9, 1), UnknownTransport},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -27,8 +27,8 @@
 		Endpoint uint32
 	}
 
-	// load is an endpoint with the buckets it has and should have.
-	load struct {
+	// allocation is an endpoint with the buckets it has and should have.
+	allocation struct {
 		endpoint uint32
 		target   int
 		buckets  []uint32
@@ -40,142 +40,142 @@
 // limit do. A bucket whose last move is after the active index stays: moving
 // it twice before everyone has heard of the first would need three places.
 // Without any positive share nothing moves, so a service is never emptied.
-func Plan(s *route.Service, weights []Weight, active uint64, limit int) []Move {
-	loads := targets(weights, s.BucketCount())
-	if len(loads) == 0 {
+func Plan(s *route.Service, weights []Weight, activeIndex uint64, limit int) []Move {
+	allocations := targetAllocations(weights, s.BucketCount())
+	if len(allocations) == 0 {
 		return nil
 	}
-	position := make(map[uint32]int, len(loads))
-	for i := range loads {
-		position[loads[i].endpoint] = i
+	allocationIndex := make(map[uint32]int, len(allocations))
+	for i := range allocations {
+		allocationIndex[allocations[i].endpoint] = i
 	}
-	var homeless []uint32
+	var unplaced []uint32
 	for b := range uint32(s.BucketCount()) {
-		if i, ok := position[s.Current(b)]; ok {
-			loads[i].buckets = append(loads[i].buckets, b)
-		} else if movable(s, b, active) {
-			homeless = append(homeless, b)
+		if i, ok := allocationIndex[s.Current(b)]; ok {
+			allocations[i].buckets = append(allocations[i].buckets, b)
+		} else if mayMove(s, b, activeIndex) {
+			unplaced = append(unplaced, b)
 		}
 	}
-	moves := place(s.ID(), homeless, loads)
-	return append(moves, spread(s, loads, active, limit)...)
+	moves := placeUnplaced(s.ID(), unplaced, allocations)
+	return append(moves, rebalance(s, allocations, activeIndex, limit)...)
 }
 
-func movable(s *route.Service, bucket uint32, active uint64) bool {
-	t, open := s.Transition(bucket)
-	return !open || t.MovedAt <= active
+func mayMove(s *route.Service, bucket uint32, activeIndex uint64) bool {
+	t, inTransition := s.Transition(bucket)
+	return !inTransition || t.MovedAt <= activeIndex
 }
 
-// targets gives each endpoint with a share its count of buckets, by largest
+// targetAllocations gives each endpoint with a share its count of buckets, by largest
 // remainder, in the order of endpoints.
-func targets(weights []Weight, buckets int) []load {
+func targetAllocations(weights []Weight, buckets int) []allocation {
 	var sum float64
-	var loads []load
+	var allocations []allocation
 	var shares []float64
 	for _, w := range weights {
 		if w.Share > 0 {
 			sum += w.Share
-			loads = append(loads, load{endpoint: w.Endpoint})
+			allocations = append(allocations, allocation{endpoint: w.Endpoint})
 			shares = append(shares, w.Share)
 		}
 	}
 	left := buckets
-	remainders := make([]float64, len(loads))
-	order := make([]int, len(loads))
-	for i := range loads {
+	remainders := make([]float64, len(allocations))
+	order := make([]int, len(allocations))
+	for i := range allocations {
 		exact := float64(buckets) * shares[i] / sum
-		loads[i].target = int(exact)
+		allocations[i].target = int(exact)
 		remainders[i] = exact - math.Floor(exact)
-		left -= loads[i].target
+		left -= allocations[i].target
 		order[i] = i
 	}
 	slices.SortStableFunc(order, func(a, b int) int { return cmp.Compare(remainders[b], remainders[a]) })
 	for i := 0; left > 0 && len(order) > 0; i, left = (i+1)%len(order), left-1 {
-		loads[order[i]].target++
+		allocations[order[i]].target++
 	}
-	return loads
+	return allocations
 }
 
-// place puts each homeless bucket on the endpoint that lacks most; equal ones
+// placeUnplaced puts each homeless bucket on the endpoint that lacks most; equal ones
 // are told apart by a hash, so that the buckets of one endpoint scatter.
-func place(service uint32, homeless []uint32, loads []load) []Move {
-	moves := make([]Move, 0, len(homeless))
-	for _, b := range homeless {
+func placeUnplaced(service uint32, unplaced []uint32, allocations []allocation) []Move {
+	moves := make([]Move, 0, len(unplaced))
+	for _, b := range unplaced {
 		best := 0
-		for i := range loads {
-			if better(service, b, &loads[i], &loads[best]) {
+		for i := range allocations {
+			if hasLargerDeficit(service, b, &allocations[i], &allocations[best]) {
 				best = i
 			}
 		}
-		loads[best].buckets = append(loads[best].buckets, b)
-		moves = append(moves, Move{b, loads[best].endpoint})
+		allocations[best].buckets = append(allocations[best].buckets, b)
+		moves = append(moves, Move{b, allocations[best].endpoint})
 	}
 	return moves
 }
 
-func better(service, bucket uint32, a, b *load) bool {
-	lackA, lackB := a.target-len(a.buckets), b.target-len(b.buckets)
-	if lackA != lackB {
-		return lackA > lackB
+func hasLargerDeficit(service, bucket uint32, a, b *allocation) bool {
+	deficitA, deficitB := a.target-len(a.buckets), b.target-len(b.buckets)
+	if deficitA != deficitB {
+		return deficitA > deficitB
 	}
-	return mix(service, bucket, a.endpoint) > mix(service, bucket, b.endpoint)
+	return bucketHash(service, bucket, a.endpoint) > bucketHash(service, bucket, b.endpoint)
 }
 
-func mix(service, bucket, endpoint uint32) uint64 {
+func bucketHash(service, bucket, endpoint uint32) uint64 {
 	return siphash.Hash(uint64(service), uint64(endpoint), []byte{byte(bucket), byte(bucket >> 8), byte(bucket >> 16)})
 }
 
-// spread moves buckets from the endpoint with most surplus to the one that
+// rebalance moves buckets from the endpoint with most surplus to the one that
 // lacks most. A surplus of one is left alone: it is worth no record.
-func spread(s *route.Service, loads []load, active uint64, limit int) []Move {
+func rebalance(s *route.Service, allocations []allocation, activeIndex uint64, limit int) []Move {
 	var moves []Move
 	for len(moves) < limit {
-		from, to := extremes(loads)
-		surplus := len(loads[from].buckets) - loads[from].target
-		lack := loads[to].target - len(loads[to].buckets)
-		if surplus < 1 || lack < 1 || surplus+lack < 3 {
+		from, to := largestSurplusAndDeficit(allocations)
+		surplus := len(allocations[from].buckets) - allocations[from].target
+		deficit := allocations[to].target - len(allocations[to].buckets)
+		if surplus < 1 || deficit < 1 || surplus+deficit < 3 {
 			return moves
 		}
-		b, ok := takeBucket(s, &loads[from], active)
+		b, ok := takeBucket(s, &allocations[from], activeIndex)
 		if !ok {
 			return moves
 		}
-		loads[to].buckets = append(loads[to].buckets, b)
-		moves = append(moves, Move{b, loads[to].endpoint})
+		allocations[to].buckets = append(allocations[to].buckets, b)
+		moves = append(moves, Move{b, allocations[to].endpoint})
 	}
 	return moves
 }
 
-func extremes(loads []load) (most, least int) {
-	for i := range loads {
-		surplus := len(loads[i].buckets) - loads[i].target
-		if surplus > len(loads[most].buckets)-loads[most].target {
-			most = i
+func largestSurplusAndDeficit(allocations []allocation) (surplusIndex, deficitIndex int) {
+	for i := range allocations {
+		surplus := len(allocations[i].buckets) - allocations[i].target
+		if surplus > len(allocations[surplusIndex].buckets)-allocations[surplusIndex].target {
+			surplusIndex = i
 		}
-		if surplus < len(loads[least].buckets)-loads[least].target {
-			least = i
+		if surplus < len(allocations[deficitIndex].buckets)-allocations[deficitIndex].target {
+			deficitIndex = i
 		}
 	}
-	return most, least
+	return surplusIndex, deficitIndex
 }
 
 // takeBucket removes the bucket that is best moved: a settled one, the one
 // with the lowest hash; one in transition only back to where it came from is
 // not worth the care, so it stays.
-func takeBucket(s *route.Service, l *load, active uint64) (uint32, bool) {
+func takeBucket(s *route.Service, a *allocation, activeIndex uint64) (uint32, bool) {
 	best := -1
-	for i, b := range l.buckets {
-		if _, open := s.Transition(b); open || !movable(s, b, active) {
+	for i, b := range a.buckets {
+		if _, inTransition := s.Transition(b); inTransition || !mayMove(s, b, activeIndex) {
 			continue
 		}
-		if best < 0 || mix(s.ID(), b, 0) < mix(s.ID(), l.buckets[best], 0) {
+		if best < 0 || bucketHash(s.ID(), b, 0) < bucketHash(s.ID(), a.buckets[best], 0) {
 			best = i
 		}
 	}
 	if best < 0 {
 		return 0, false
 	}
-	b := l.buckets[best]
-	l.buckets = slices.Delete(l.buckets, best, best+1)
+	b := a.buckets[best]
+	a.buckets = slices.Delete(a.buckets, best, best+1)
 	return b, true
 }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -31,7 +31,7 @@
 	return weights
 }
 
-func apply(t *route.Table, moves []Move, index uint64) *route.Table {
+func applyMoves(t *route.Table, moves []Move, index uint64) *route.Table {
 	b := route.NewBuilder(t, index)
 	for _, m := range moves {
 		b.Move(service, m.Bucket, m.Endpoint)
@@ -39,30 +39,30 @@
 	return b.Table()
 }
 
-func counts(t *route.Table) map[uint32]int {
-	got := map[uint32]int{}
+func bucketsPerEndpoint(t *route.Table) map[uint32]int {
+	counts := map[uint32]int{}
 	s := t.Service(service)
 	for b := range uint32(s.BucketCount()) {
-		got[s.Current(b)]++
+		counts[s.Current(b)]++
 	}
-	return got
+	return counts
 }
 
-func TestFirstPlacementIsEven(t *testing.T) {
+func TestInitialPlacementIsEven(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable(14)
-	table = apply(table, Plan(table.Service(service), equalWeights(14), 1, 10), 2)
-	for e, n := range counts(table) {
+	table = applyMoves(table, Plan(table.Service(service), equalWeights(14), 1, 10), 2)
+	for e, n := range bucketsPerEndpoint(table) {
 		g.Expect(n).To(gomega.BeNumerically("~", 1024/14, 1), "endpoint %d", e)
 	}
 	g.Expect(Plan(table.Service(service), equalWeights(14), 2, 10)).To(gomega.BeEmpty(), "a placed service is left alone")
 }
 
-func TestLeavingMovesOnlyItsOwnBuckets(t *testing.T) {
+func TestDrainMovesOnlyBucketsOfTheEndpoint(t *testing.T) {
 	g := gomega.NewWithT(t)
 	table := newTable(14)
-	table = apply(table, Plan(table.Service(service), equalWeights(14), 1, 10), 2)
-	had := counts(table)[5]
+	table = applyMoves(table, Plan(table.Service(service), equalWeights(14), 1, 10), 2)
+	had := bucketsPerEndpoint(table)[5]
 	weights := equalWeights(14)
 	weights[4].Share = 0
 	moves := Plan(table.Service(service), weights, 2, 0)
@@ -73,18 +73,18 @@
 	}
 }
 
-func TestAServiceIsNeverEmptied(t *testing.T) {
+func TestNoMovesWhenAllSharesAreZero(t *testing.T) {
 	table := newTable(3)
 	gomega.NewWithT(t).Expect(Plan(table.Service(service), []Weight{{1, 0}, {2, 0}, {3, 0}}, 1, 10)).To(gomega.BeEmpty())
 }
 
-func TestPlansConvergeAndKeepTheLimit(t *testing.T) {
+func TestPlanConvergesWithinMoveLimit(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 20).Draw(rt, "endpoints")
 		limit := rapid.IntRange(1, 30).Draw(rt, "limit")
 		table := newTable(n)
 		index := uint64(1)
-		table = apply(table, Plan(table.Service(service), equalWeights(n), index, limit), 2)
+		table = applyMoves(table, Plan(table.Service(service), equalWeights(n), index, limit), 2)
 		weights := equalWeights(n)
 		for i := range weights {
 			weights[i].Share = rapid.Float64Range(0.1, 2).Draw(rt, "share")
@@ -98,15 +98,15 @@
 			if len(moves) == 0 {
 				break
 			}
-			table = apply(table, moves, index)
+			table = applyMoves(table, moves, index)
 			settled := route.NewBuilder(table, index)
 			for _, m := range moves {
 				settled.Settle(service, m.Bucket)
 			}
 			table = settled.Table()
 		}
-		got := counts(table)
-		for _, l := range targets(weights, table.Service(service).BucketCount()) {
+		got := bucketsPerEndpoint(table)
+		for _, l := range targetAllocations(weights, table.Service(service).BucketCount()) {
 			if diff := got[l.endpoint] - l.target; diff < -1 || diff > 1 {
 				rt.Fatalf("endpoint %d has %d buckets, target %d", l.endpoint, got[l.endpoint], l.target)
 			}
@@ -117,7 +117,7 @@
 func BenchmarkPlan4000Endpoints(b *testing.B) {
 	table := newTable(4000)
 	weights := equalWeights(4000)
-	table = apply(table, Plan(table.Service(service), weights, 1, 0), 2)
+	table = applyMoves(table, Plan(table.Service(service), weights, 1, 0), 2)
 	weights[7].Share = 0
 	b.ResetTimer()
 	for b.Loop() {
@@ -133,7 +133,7 @@
 	for _, flows := range []int{1_000 * endpoints, 30_000} {
 		b.Run(fmt.Sprint(flows), func(b *testing.B) {
 			table := newTable(endpoints)
-			table = apply(table, Plan(table.Service(service), equalWeights(endpoints), 1, 10), 2)
+			table = applyMoves(table, Plan(table.Service(service), equalWeights(endpoints), 1, 10), 2)
 			s := table.Service(service)
 			for b.Loop() {
 				rng := rand.New(rand.NewPCG(1, 2))
--- a/internal/route/builder.go
+++ b/internal/route/builder.go
@@ -9,17 +9,17 @@
 // Builder makes the next table from the last one. Only what is touched is
 // copied; the old table stays as it was.
 type Builder struct {
-	next     *Table
-	touched  map[uint32]bool
-	ownMaps  bool
-	ownSlice bool
+	next           *Table
+	copied         map[uint32]bool
+	mapsCopied     bool
+	servicesCopied bool
 }
 
 // NewBuilder starts from a table.
 func NewBuilder(from *Table, index uint64) *Builder {
 	next := *from
 	next.index = index
-	return &Builder{next: &next, touched: map[uint32]bool{}}
+	return &Builder{next: &next, copied: map[uint32]bool{}}
 }
 
 // Table returns the new table; the builder must not be used afterwards.
@@ -35,11 +35,11 @@
 	for int(id) > len(b.next.services) {
 		b.next.services = append(b.next.services, nil)
 	}
-	s := b.service(id)
+	s := b.mutableService(id)
 	if s == nil {
-		s = &Service{id: id, buckets: make([]uint32, buckets), open: map[uint32]Transition{}, createdAt: b.next.index}
+		s = &Service{id: id, buckets: make([]uint32, buckets), transitions: map[uint32]Transition{}, createdAt: b.next.index}
 		b.next.services[id-1] = s
-		b.touched[id] = true
+		b.copied[id] = true
 	}
 	for _, c := range s.classes {
 		delete(b.next.byKey, c.Key)
@@ -54,7 +54,7 @@
 func (b *Builder) RemoveService(id uint32) {
 	b.copyMaps()
 	b.copyServices()
-	s := b.service(id)
+	s := b.mutableService(id)
 	if s == nil {
 		return
 	}
@@ -74,7 +74,7 @@
 	old := b.next.endpoints[e.id]
 	if old != nil {
 		delete(b.next.byAddr, old.addr)
-	} else if s := b.service(e.service); s != nil {
+	} else if s := b.mutableService(e.service); s != nil {
 		s.endpoints = append(slices.Clone(s.endpoints), e.id)
 		slices.Sort(s.endpoints)
 	}
@@ -93,7 +93,7 @@
 	if b.next.byAddr[old.addr] == id {
 		delete(b.next.byAddr, old.addr)
 	}
-	if s := b.service(old.service); s != nil {
+	if s := b.mutableService(old.service); s != nil {
 		s.endpoints = slices.DeleteFunc(slices.Clone(s.endpoints), func(o uint32) bool { return o == id })
 	}
 	delete(b.next.endpoints, id)
@@ -103,7 +103,7 @@
 // needs no transition, since no flow can be on it yet.
 func (b *Builder) Move(service, bucket, endpoint uint32) bool {
 	b.copyServices()
-	s := b.service(service)
+	s := b.mutableService(service)
 	if s == nil || int(bucket) >= len(s.buckets) {
 		return false
 	}
@@ -119,46 +119,46 @@
 	if old == 0 {
 		return true
 	}
-	t, open := s.open[bucket]
-	if !open {
+	t, inTransition := s.transitions[bucket]
+	if !inTransition {
 		t.Default = old
 	}
 	t.Previous, t.Current, t.MovedAt, t.FlippedAt = old, endpoint, b.next.index, 0
-	s.open[bucket] = t
+	s.transitions[bucket] = t
 	return true
 }
 
 // Flip makes the current endpoint of a bucket in transition its default.
 func (b *Builder) Flip(service, bucket uint32) {
 	b.copyServices()
-	s := b.service(service)
+	s := b.mutableService(service)
 	if s == nil {
 		return
 	}
-	if t, open := s.open[bucket]; open {
+	if t, inTransition := s.transitions[bucket]; inTransition {
 		t.Default, t.FlippedAt = t.Current, b.next.index
-		s.open[bucket] = t
+		s.transitions[bucket] = t
 	}
 }
 
 // Reopen puts a settled bucket in transition without moving it.
 func (b *Builder) Reopen(service, bucket uint32) {
 	b.copyServices()
-	s := b.service(service)
+	s := b.mutableService(service)
 	if s == nil || int(bucket) >= len(s.buckets) || s.buckets[bucket] == 0 {
 		return
 	}
-	if _, open := s.open[bucket]; !open {
+	if _, inTransition := s.transitions[bucket]; !inTransition {
 		e := s.buckets[bucket]
-		s.open[bucket] = Transition{Default: e, Previous: e, Current: e, MovedAt: b.next.index, FlippedAt: b.next.index}
+		s.transitions[bucket] = Transition{Default: e, Previous: e, Current: e, MovedAt: b.next.index, FlippedAt: b.next.index}
 	}
 }
 
 // Settle ends the transition of a bucket.
 func (b *Builder) Settle(service, bucket uint32) {
 	b.copyServices()
-	if s := b.service(service); s != nil {
-		delete(s.open, bucket)
+	if s := b.mutableService(service); s != nil {
+		delete(s.transitions, bucket)
 	}
 }
 
@@ -189,75 +189,75 @@
 // MarkCut notes that a domain was lost whole.
 func (b *Builder) MarkCut(domain string) {
 	b.MarkCleared(domain)
-	b.next.cut = with(b.next.cut, domain)
+	b.next.partitioned = withString(b.next.partitioned, domain)
 }
 
 // MarkReturned notes that a cut domain can be asked again.
 func (b *Builder) MarkReturned(domain string) {
 	b.MarkCleared(domain)
-	b.next.returned = with(b.next.returned, domain)
+	b.next.returned = withString(b.next.returned, domain)
 }
 
 // MarkBereft notes that all can be asked who will ever come back.
 func (b *Builder) MarkBereft(domain string) {
 	b.MarkCleared(domain)
-	b.next.bereft = with(b.next.bereft, domain)
+	b.next.returnedWithLoss = withString(b.next.returnedWithLoss, domain)
 }
 
 // MarkCleared notes that nothing of a domain is in doubt any more.
 func (b *Builder) MarkCleared(domain string) {
-	b.next.cut = without(b.next.cut, domain)
-	b.next.returned = without(b.next.returned, domain)
-	b.next.bereft = without(b.next.bereft, domain)
+	b.next.partitioned = withoutString(b.next.partitioned, domain)
+	b.next.returned = withoutString(b.next.returned, domain)
+	b.next.returnedWithLoss = withoutString(b.next.returnedWithLoss, domain)
 }
 
-func with(list []string, s string) []string {
-	list = without(list, s)
+func withString(list []string, s string) []string {
+	list = withoutString(list, s)
 	list = append(list, s)
 	slices.Sort(list)
 	return list
 }
 
-func without(list []string, s string) []string {
+func withoutString(list []string, s string) []string {
 	return slices.DeleteFunc(slices.Clone(list), func(o string) bool { return o == s })
 }
 
-// service returns a service that this builder may change.
-func (b *Builder) service(id uint32) *Service {
+// mutableService returns a mutableService that this builder may change.
+func (b *Builder) mutableService(id uint32) *Service {
 	s := b.next.Service(id)
-	if s == nil || b.touched[id] {
+	if s == nil || b.copied[id] {
 		return s
 	}
 	c := *s
 	c.buckets = slices.Clone(s.buckets)
-	c.open = maps.Clone(s.open)
+	c.transitions = maps.Clone(s.transitions)
 	b.next.services[id-1] = &c
-	b.touched[id] = true
+	b.copied[id] = true
 	return &c
 }
 
 func (b *Builder) copyServices() {
-	if !b.ownSlice {
+	if !b.servicesCopied {
 		b.next.services = slices.Clone(b.next.services)
-		b.ownSlice = true
+		b.servicesCopied = true
 	}
 }
 
 func (b *Builder) copyMaps() {
-	if b.ownMaps {
+	if b.mapsCopied {
 		return
 	}
 	b.next.byKey = maps.Clone(b.next.byKey)
 	b.next.endpoints = maps.Clone(b.next.endpoints)
 	b.next.byAddr = maps.Clone(b.next.byAddr)
-	b.ownMaps = true
+	b.mapsCopied = true
 }
 
 // Restore sets the whole placement of a service, as a snapshot holds it.
-func (b *Builder) Restore(service uint32, buckets []uint32, open map[uint32]Transition, createdAt uint64) {
+func (b *Builder) Restore(service uint32, buckets []uint32, transitions map[uint32]Transition, createdAt uint64) {
 	b.copyServices()
-	if s := b.service(service); s != nil {
-		s.buckets, s.open, s.createdAt = buckets, open, createdAt
+	if s := b.mutableService(service); s != nil {
+		s.buckets, s.transitions, s.createdAt = buckets, transitions, createdAt
 	}
 }
 
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -71,14 +71,14 @@
 	// Service is a set of endpoints that do the same, with its placement and
 	// the classes of traffic that reach it.
 	Service struct {
-		id        uint32
-		name      string
-		policy    Policy
-		classes   []Class
-		endpoints []uint32
-		buckets   []uint32
-		open      map[uint32]Transition
-		createdAt uint64
+		id          uint32
+		name        string
+		policy      Policy
+		classes     []Class
+		endpoints   []uint32
+		buckets     []uint32
+		transitions map[uint32]Transition
+		createdAt   uint64
 	}
 
 	// Class is one address of a service and how its traffic is treated.
@@ -103,8 +103,8 @@
 	}
 
 	classRef struct {
-		service uint32
-		class   int
+		service    uint32
+		classIndex int
 	}
 
 	// Member is a live entry.
@@ -114,13 +114,13 @@
 		incarnation uint64
 		leaving     bool
 		joinedAt    uint64
-		seed        uint64
+		hashSeed    uint64
 	}
 )
 
 const (
-	addressesLen = 32 // of two IPv6 addresses
-	portsLen     = 5  // of two ports and the transport
+	addressesLen         = 32 // of two IPv6 addresses
+	portsAndTransportLen = 5  // of two ports and the transport
 )
 
 // NewHasher returns a Hasher with the fleet's key.
@@ -131,7 +131,7 @@
 // Flow returns the id of the flow that a caller's tuple belongs to; answers
 // are given reversed.
 func (h Hasher) Flow(t packet.Tuple) FlowID {
-	var b [addressesLen + portsLen]byte
+	var b [addressesLen + portsAndTransportLen]byte
 	n := addressesLen
 	if t.Src().Addr().Is4() {
 		src, dst := t.Src().Addr().As4(), t.Dst().Addr().As4()
@@ -146,7 +146,7 @@
 	binary.LittleEndian.PutUint16(b[n:], t.Src().Port())
 	binary.LittleEndian.PutUint16(b[n+2:], t.Dst().Port())
 	b[n+4] = byte(t.Transport())
-	high, low := siphash.Hash128(h.key0, h.key1, b[:n+portsLen])
+	high, low := siphash.Hash128(h.key0, h.key1, b[:n+portsAndTransportLen])
 	return FlowID{high, low}
 }
 
@@ -218,15 +218,15 @@
 
 // Transition returns the transition that the bucket is in, if any.
 func (s *Service) Transition(bucket uint32) (Transition, bool) {
-	if len(s.open) == 0 {
+	if len(s.transitions) == 0 {
 		return Transition{}, false
 	}
-	t, ok := s.open[bucket]
+	t, ok := s.transitions[bucket]
 	return t, ok
 }
 
 // Open returns the buckets in transition. The map must not be changed.
-func (s *Service) Open() map[uint32]Transition { return s.open }
+func (s *Service) Open() map[uint32]Transition { return s.transitions }
 
 // ForNew returns the endpoint for a new flow when changes up to the active
 // index are in use.
@@ -266,24 +266,24 @@
 
 // score orders the members for one bucket: rendezvous hashing.
 func (m Member) score(service, bucket uint32) uint64 {
-	return siphash.Hash(m.seed, uint64(service)<<32|uint64(bucket), nil)
+	return siphash.Hash(m.hashSeed, uint64(service)<<32|uint64(bucket), nil)
 }
 
 // Rank returns the owner and the second holder of a bucket among members
 // that are not leaving; a name is empty where there are too few.
 func Rank(members []Member, service, bucket uint32) (owner, second string) {
-	var best, next uint64
+	var ownerScore, secondScore uint64
 	for i := range members {
 		if members[i].leaving {
 			continue
 		}
 		score := members[i].score(service, bucket)
 		switch {
-		case owner == "" || score > best:
-			second, next = owner, best
-			owner, best = members[i].name, score
-		case second == "" || score > next:
-			second, next = members[i].name, score
+		case owner == "" || score > ownerScore:
+			second, secondScore = owner, ownerScore
+			owner, ownerScore = members[i].name, score
+		case second == "" || score > secondScore:
+			second, secondScore = members[i].name, score
 		}
 	}
 	return owner, second
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -4,16 +4,16 @@
 
 // Table is the immutable state that entries route by.
 type Table struct {
-	index     uint64
-	services  []*Service // by id - 1; nil where removed
-	byKey     map[ServiceKey]classRef
-	endpoints map[uint32]*Endpoint
-	byAddr    map[netip.AddrPort]uint32
-	members   []Member
-	cut       []string // domains that may hold flows which the others cannot ask about
-	returned  []string // domains that are back and can be asked
-	bereft    []string // domains that are back without what their lost entries knew
-	lossIndex uint64   // of the last command that dropped or replaced an entry
+	index            uint64
+	services         []*Service // by id - 1; nil where removed
+	byKey            map[ServiceKey]classRef
+	endpoints        map[uint32]*Endpoint
+	byAddr           map[netip.AddrPort]uint32
+	members          []Member
+	partitioned      []string // domains that may hold flows which the others cannot ask about
+	returned         []string // domains that are back and can be asked
+	returnedWithLoss []string // domains that are back without what their lost entries knew
+	lossIndex        uint64   // of the last command that dropped or replaced an entry
 }
 
 // Empty returns a table without services.
@@ -35,7 +35,7 @@
 		return nil, nil
 	}
 	s := t.services[ref.service-1]
-	return s, &s.classes[ref.class]
+	return s, &s.classes[ref.classIndex]
 }
 
 // Service returns a service by id, or nil.
@@ -91,18 +91,18 @@
 }
 
 // Cut returns the domains that were lost whole and not seen since.
-func (t *Table) Cut() []string { return t.cut }
+func (t *Table) Cut() []string { return t.partitioned }
 
 // Returned returns the domains that were cut off and can be asked again.
 func (t *Table) Returned() []string { return t.returned }
 
 // Bereft returns the domains that are back, but without what those of their
 // entries knew that were lost meanwhile.
-func (t *Table) Bereft() []string { return t.bereft }
+func (t *Table) Bereft() []string { return t.returnedWithLoss }
 
 // LossIndex returns the index at which an entry was last dropped or replaced.
 func (t *Table) LossIndex() uint64 { return t.lossIndex }
 
 // Suspect reports whether flows may exist that the table does not place: the
 // owner then asks its peers before it takes a bucket's endpoint for granted.
-func (t *Table) Suspect() bool { return len(t.cut)+len(t.returned)+len(t.bereft) > 0 }
+func (t *Table) Suspect() bool { return len(t.partitioned)+len(t.returned)+len(t.returnedWithLoss) > 0 }
