--- a/internal/flow/answer.go
+++ b/internal/flow/answer.go
@@ -27,10 +27,10 @@
 	id := e.config.Hasher.Flow(tuple)
 	v := Verdict{service: service, endpoint: endpoint, id: id, bucket: service.Bucket(id)}
 	if e.config.Modulo {
-		return e.answerIf(true, v, ByAnswer)
+		return e.verdictOnAnswer(true, v, ByAnswer)
 	}
-	got := e.answerFor(now, v, p)
-	if got.action == Forward && p.Flags().Accepts() && e.doubtful() {
+	got := e.answerForService(now, v, p)
+	if got.action == Forward && p.Flags().Accepts() && e.placementUncertain() {
 		e.announceAccepted(got)
 	}
 	return got
@@ -51,8 +51,8 @@
 	}
 }
 
-// accepted takes a peer's word on a flow that is not known to be open elsewhere.
-func (e *Engine) accepted(now time.Time, a *wire.Accepted) {
+// handleAccepted takes a peer's word on a flow that is not known to be open elsewhere.
+func (e *Engine) handleAccepted(now time.Time, a *wire.Accepted) {
 	id := route.FlowID{High: a.High, Low: a.Low}
 	endpoint := e.view.Table.Endpoint(a.Endpoint)
 	if endpoint == nil {
@@ -68,38 +68,38 @@
 	}
 }
 
-func (e *Engine) answerFor(now time.Time, v Verdict, p *packet.Packet) Verdict {
+func (e *Engine) answerForService(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	id, endpoint := v.id, v.endpoint
 	if s := e.flows.get(id); s != nil {
 		return e.answerKnown(now, v, p, s)
 	}
 	if r, ok := e.records[id]; ok {
-		if r.endpoint != endpoint.ID() && proves(p) {
-			return e.correct(now, v, p)
+		if r.endpoint != endpoint.ID() && provesHandshake(p) {
+			return e.correctEndpoint(now, v, p)
 		}
-		return e.answerIf(r.endpoint == endpoint.ID(), v, ByRecord)
+		return e.verdictOnAnswer(r.endpoint == endpoint.ID(), v, ByRecord)
 	}
 	return e.answerUnknown(now, v, p)
 }
 
-// proves reports whether an answer shows that its endpoint holds the flow: a
+// provesHandshake reports whether an answer shows that its endpoint holds the flow: a
 // segment that is neither SYN nor RST comes only after a whole handshake.
-func proves(p *packet.Packet) bool {
+func provesHandshake(p *packet.Packet) bool {
 	return p.Tuple().Transport() == packet.TCP && !p.Flags().Accepts() && !p.Flags().Resets()
 }
 
-// correct replaces what was noted at a SYN by what the answer proves: a SYN
+// correctEndpoint replaces what was noted at a SYN by what the answer proves: a SYN
 // that was sent again may have been placed twice while views differed, and the
 // endpoint whose handshake went through is the flow's.
-func (e *Engine) correct(now time.Time, v Verdict, p *packet.Packet) Verdict {
-	e.cache(now, v, p, v.endpoint.ID(), false)
+func (e *Engine) correctEndpoint(now time.Time, v Verdict, p *packet.Packet) Verdict {
+	e.cacheFlow(now, v, p, v.endpoint.ID(), false)
 	if r, ok := e.records[v.id]; ok {
 		e.records[v.id] = record{v.endpoint.ID(), r.key, now, true}
 	}
-	return e.answerIf(true, v, ByAnswer)
+	return e.verdictOnAnswer(true, v, ByAnswer)
 }
 
-func (e *Engine) answerIf(held bool, v Verdict, reason Reason) Verdict {
+func (e *Engine) verdictOnAnswer(held bool, v Verdict, reason Reason) Verdict {
 	if !held {
 		v.action, v.reason = Drop, WrongEndpoint
 		return v
@@ -110,16 +110,16 @@
 
 func (e *Engine) answerKnown(now time.Time, v Verdict, p *packet.Packet, s *slot) Verdict {
 	if s.endpoint != v.endpoint.ID() {
-		if s.state == stateOpening && proves(p) {
-			return e.correct(now, v, p)
+		if s.state == stateOpening && provesHandshake(p) {
+			return e.correctEndpoint(now, v, p)
 		}
-		return e.answerIf(false, v, ByCache)
+		return e.verdictOnAnswer(false, v, ByCache)
 	}
-	s.seen = e.flows.ticks(now)
+	s.lastSeen = e.flows.ticks(now)
 	if p.Flags().Ends() {
 		e.flows.setState(s, stateClosing)
 	}
-	return e.answerIf(true, v, ByCache)
+	return e.verdictOnAnswer(true, v, ByCache)
 }
 
 // answerUnknown decides on an answer of a flow that this entry does not know.
@@ -128,13 +128,13 @@
 func (e *Engine) answerUnknown(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	t, open := v.service.Transition(v.bucket)
 	switch {
-	case proves(p):
-		e.cache(now, v, p, v.endpoint.ID(), false)
-		return e.answerIf(true, v, ByAnswer)
+	case provesHandshake(p):
+		e.cacheFlow(now, v, p, v.endpoint.ID(), false)
+		return e.verdictOnAnswer(true, v, ByAnswer)
 	case !open && !e.view.Table.Suspect() && now.Before(e.view.LeaseUntil):
-		return e.answerIf(v.service.Current(v.bucket) == v.endpoint.ID(), v, BySettled)
+		return e.verdictOnAnswer(v.service.Current(v.bucket) == v.endpoint.ID(), v, BySettled)
 	case !now.Before(e.view.LeaseUntil):
-		return e.answerIf(p.Flags().Accepts(), v, ByAnswer)
+		return e.verdictOnAnswer(p.Flags().Accepts(), v, ByAnswer)
 	}
 	owner, _ := route.Rank(e.view.Table.Members(), v.service.ID(), v.bucket)
 	if owner != e.config.Self {
@@ -144,17 +144,17 @@
 		t = settledTransition(v.service.Current(v.bucket))
 	}
 	id := v.endpoint.ID()
-	if e.complete(v) && p.Tuple().Transport() == packet.TCP {
-		return e.answerIf(id == t.Default, v, ByDefault)
+	if e.hasAllRecords(v) && p.Tuple().Transport() == packet.TCP {
+		return e.verdictOnAnswer(id == t.Default, v, ByDefault)
 	}
-	return e.answerIf(id == t.Default || id == t.Current || id == t.Previous, v, ByDefault)
+	return e.verdictOnAnswer(id == t.Default || id == t.Current || id == t.Previous, v, ByDefault)
 }
 
 // relayAnswer sends an answer to the bucket's owner to be checked there.
 func (e *Engine) relayAnswer(v Verdict, p *packet.Packet, owner string) Verdict {
 	previous, _ := p.Relay()
 	if previous.Hops() >= maxHops || owner == "" {
-		return e.answerIf(false, v, HopLimit)
+		return e.verdictOnAnswer(false, v, HopLimit)
 	}
 	v.relay = packet.NewRelay(packet.RelayCheck, v.endpoint.ID(), e.view.Table.Index(), 0).After(previous)
 	v.action, v.reason, v.peer = Relay, ToOwner, owner
--- a/internal/flow/engine.go
+++ b/internal/flow/engine.go
@@ -14,8 +14,8 @@
 // changed, to the new one, and to the second holder.
 const maxHops = 4
 
-// plainFlags are those of a segment that neither opens nor ends a flow.
-var plainFlags = packet.NewFlags(false, true, false, false)
+// dataFlags are those of a segment that neither opens nor ends a flow.
+var dataFlags = packet.NewFlags(false, true, false, false)
 
 type (
 	// bucketKey names a bucket of a service.
@@ -41,33 +41,33 @@
 
 	// Engine decides for one entry.
 	Engine struct {
-		config  Config
-		view    *View
-		flows   *flowTable
-		records map[route.FlowID]record
-		byHeld  map[bucketKey]*holding
-		waiting map[route.FlowID]*question
-		asked   []*question // in the order of deadlines, answered ones too
-		asks    *rate.Limiter
-		push    pusher
-		sweep   sweeper
-		out     []Out
-		stats   Stats
+		config        Config
+		view          *View
+		flows         *flowTable
+		records       map[route.FlowID]record
+		holdings      map[bucketKey]*holding
+		questions     map[route.FlowID]*question
+		questionQueue []*question // in the order of deadlines, answered ones too
+		askLimiter    *rate.Limiter
+		push          pusher
+		sweep         sweeper
+		out           []Out
+		stats         Stats
 	}
 )
 
 // New returns an engine that knows nothing and decides nothing.
 func New(c Config, now time.Time) *Engine {
 	return &Engine{
-		config:  c,
-		view:    &View{Table: route.Empty()},
-		flows:   newFlowTable(c.Flows, now),
-		records: map[route.FlowID]record{},
-		byHeld:  map[bucketKey]*holding{},
-		waiting: map[route.FlowID]*question{},
-		asks:    rate.NewLimiter(rate.Limit(c.AsksASecond), c.AsksASecond),
-		push:    newPusher(c),
-		sweep:   newSweeper(),
+		config:     c,
+		view:       &View{Table: route.Empty()},
+		flows:      newFlowTable(c.Flows, now),
+		records:    map[route.FlowID]record{},
+		holdings:   map[bucketKey]*holding{},
+		questions:  map[route.FlowID]*question{},
+		askLimiter: rate.NewLimiter(rate.Limit(c.AsksASecond), c.AsksASecond),
+		push:       newPusher(c),
+		sweep:      newSweeper(),
 	}
 }
 
@@ -77,7 +77,7 @@
 // Stats returns counts of what the engine holds and has done.
 func (e *Engine) Stats() Stats {
 	s := e.stats
-	s.Flows, s.HalfOpen, s.Records, s.Waiting = e.flows.used, e.flows.opening, len(e.records), len(e.waiting)
+	s.Flows, s.HalfOpen, s.Records, s.Waiting = e.flows.used, e.flows.opening, len(e.records), len(e.questions)
 	s.PushBacklog = uint64(e.push.backlog())
 	return s
 }
@@ -99,17 +99,17 @@
 	}
 	id := e.config.Hasher.Flow(tuple)
 	cached := e.flows.get(id)
-	if endpoint := e.plainHit(cached, p); endpoint != nil && endpoint.Service() == service.ID() {
-		cached.seen = e.flows.ticks(now)
+	if endpoint := e.cachedEndpoint(cached, p); endpoint != nil && endpoint.Service() == service.ID() {
+		cached.lastSeen = e.flows.ticks(now)
 		return Verdict{action: Forward, reason: ByCache, endpoint: endpoint, service: service, id: id, bucket: service.Bucket(id)}
 	}
-	return e.inboundSlow(now, service, id, cached, p)
+	return e.inboundSlowPath(now, service, id, cached, p)
 }
 
-// plainHit returns the endpoint of an open cached flow for a packet that
+// cachedEndpoint returns the endpoint of an open cached flow for a packet that
 // neither opens nor ends it and was not relayed: nearly every packet.
-func (e *Engine) plainHit(s *slot, p *packet.Packet) *route.Endpoint {
-	if s == nil || s.state != stateOpen || p.Flags() != plainFlags || e.config.Modulo {
+func (e *Engine) cachedEndpoint(s *slot, p *packet.Packet) *route.Endpoint {
+	if s == nil || s.state != stateOpen || p.Flags() != dataFlags || e.config.Modulo {
 		return nil
 	}
 	if _, relayed := p.Relay(); relayed {
@@ -118,66 +118,66 @@
 	return e.view.Table.Endpoint(s.endpoint)
 }
 
-func (e *Engine) inboundSlow(now time.Time, service *route.Service, id route.FlowID, cached *slot, p *packet.Packet) Verdict {
+func (e *Engine) inboundSlowPath(now time.Time, service *route.Service, id route.FlowID, cached *slot, p *packet.Packet) Verdict {
 	v := Verdict{service: service, id: id, bucket: service.Bucket(id)}
 	if e.config.Modulo {
 		return e.modulo(v)
 	}
 	if relay, ok := p.Relay(); ok && relay.Kind() == packet.RelayStore {
-		return e.store(now, v, p, relay)
+		return e.storeAndForward(now, v, p, relay)
 	}
 	if cached != nil {
-		if got, ok := e.fromCache(now, v, p, cached); ok {
+		if got, ok := e.decideFromCache(now, v, p, cached); ok {
 			return got
 		}
 	}
 	if r, ok := e.records[id]; ok {
-		if !e.reused(now, p, r) {
-			return e.fromRecord(now, v, p, r)
+		if !e.reusesTuple(now, p, r) {
+			return e.decideFromRecord(now, v, p, r)
 		}
 		e.announceReuse(v)
 	}
-	return e.unknown(now, v, p)
+	return e.decideUnknown(now, v, p)
 }
 
-// doubtful reports whether a domain is cut off, or was and is not settled: a
+// placementUncertain reports whether a domain is cut off, or was and is not settled: a
 // SYN that was forwarded then proves nothing.
-func (e *Engine) doubtful() bool { return e.view.Island || e.view.Table.Suspect() }
+func (e *Engine) placementUncertain() bool { return e.view.Island || e.view.Table.Suspect() }
 
-// quiet reports whether a flow has had no packet for longer than a SYN of it
+// idleBeyondHalfOpen reports whether a flow has had no packet for longer than a SYN of it
 // can have lain in an entry that was paused and still holds its lease.
-func (e *Engine) quiet(now time.Time, s *slot) bool {
-	return time.Duration(e.flows.ticks(now)-s.seen)*tick > e.config.HalfOpenLife
+func (e *Engine) idleBeyondHalfOpen(now time.Time, s *slot) bool {
+	return time.Duration(e.flows.ticks(now)-s.lastSeen)*tick > e.config.HalfOpenLife
 }
 
-// isNewFlow reports whether a SYN on a cached flow opens a new one on the same
+// opensNewFlow reports whether a SYN on a cached flow opens a new one on the same
 // tuple: the old one has closed, or its endpoint takes no new flow and the SYN
 // is no early repetition.
-func (e *Engine) isNewFlow(now time.Time, s *slot, endpoint *route.Endpoint) bool {
+func (e *Engine) opensNewFlow(now time.Time, s *slot, endpoint *route.Endpoint) bool {
 	switch s.state {
 	case stateClosing:
 		return true
 	case stateOpening:
-		return e.quiet(now, s)
+		return e.idleBeyondHalfOpen(now, s)
 	default:
-		return endpoint.Leaving() && e.quiet(now, s)
+		return endpoint.Leaving() && e.idleBeyondHalfOpen(now, s)
 	}
 }
 
-// fromCache decides by the cache; false where the flow is a new one.
-func (e *Engine) fromCache(now time.Time, v Verdict, p *packet.Packet, s *slot) (Verdict, bool) {
+// decideFromCache decides by the cache; false where the flow is a new one.
+func (e *Engine) decideFromCache(now time.Time, v Verdict, p *packet.Packet, s *slot) (Verdict, bool) {
 	endpoint := e.view.Table.Endpoint(s.endpoint)
-	if endpoint == nil || p.Flags().Opens() && e.isNewFlow(now, s, endpoint) {
+	if endpoint == nil || p.Flags().Opens() && e.opensNewFlow(now, s, endpoint) {
 		e.flows.remove(v.id)
 		return v, false
 	}
 	if s.state == stateOpening && p.Flags().Opens() {
 		return e.send(v, endpoint, ByCache), true // a repeated SYN does not make the flow younger
 	}
-	if s.state == stateOpening && e.doubtful() {
+	if s.state == stateOpening && e.placementUncertain() {
 		return v, false // the SYN may have been placed elsewhere too, on another side of a cut
 	}
-	s.seen = e.flows.ticks(now)
+	s.lastSeen = e.flows.ticks(now)
 	if p.Flags().Ends() {
 		e.flows.setState(s, stateClosing)
 	} else if s.state == stateOpening && !p.Flags().Opens() {
@@ -186,14 +186,14 @@
 	return e.send(v, endpoint, ByCache), true
 }
 
-// reused reports whether a SYN opens a new flow on the tuple of an old record
+// reusesTuple reports whether a SYN opens a new flow on the tuple of an old record
 // whose endpoint takes no new flow.
-func (e *Engine) reused(now time.Time, p *packet.Packet, r record) bool {
-	if !p.Flags().Opens() || now.Sub(r.at) <= e.config.HalfOpenLife {
+func (e *Engine) reusesTuple(now time.Time, p *packet.Packet, r record) bool {
+	if !p.Flags().Opens() || now.Sub(r.storedAt) <= e.config.HalfOpenLife {
 		return false
 	}
-	have := e.view.Table.Endpoint(r.endpoint)
-	return have == nil || have.Leaving()
+	endpoint := e.view.Table.Endpoint(r.endpoint)
+	return endpoint == nil || endpoint.Leaving()
 }
 
 // announceReuse tells the peers that a tuple is a new flow now, so that none
@@ -204,11 +204,11 @@
 	for _, peer := range e.view.Reachable {
 		e.out = append(e.out, Out{Peer: peer, Message: forget})
 	}
-	e.forget(v.id)
+	e.forgetLeaving(v.id)
 }
 
-// forget drops what is known of a flow whose endpoint is leaving.
-func (e *Engine) forget(id route.FlowID) {
+// forgetLeaving drops what is known of a flow whose endpoint is leaving.
+func (e *Engine) forgetLeaving(id route.FlowID) {
 	if s := e.flows.get(id); s != nil {
 		if endpoint := e.view.Table.Endpoint(s.endpoint); endpoint == nil || endpoint.Leaving() {
 			e.flows.remove(id)
@@ -222,17 +222,17 @@
 	}
 }
 
-// unknown decides on a packet of a flow that this entry does not know.
-func (e *Engine) unknown(now time.Time, v Verdict, p *packet.Packet) Verdict {
+// decideUnknown decides on a packet of a flow that this entry does not know.
+func (e *Engine) decideUnknown(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	if !now.Before(e.view.LeaseUntil) {
-		return e.withoutLease(now, v, p)
+		return e.decideWithoutLease(now, v, p)
 	}
-	t, open := v.service.Transition(v.bucket)
-	asks := e.view.Table.Suspect() && !p.Flags().Opens() || len(e.view.Table.Returned()) > 0
-	if !open && !asks {
+	t, inTransition := v.service.Transition(v.bucket)
+	mustAsk := e.view.Table.Suspect() && !p.Flags().Opens() || len(e.view.Table.Returned()) > 0
+	if !inTransition && !mustAsk {
 		return e.forward(now, v, p, v.service.Current(v.bucket), BySettled)
 	}
-	if !open {
+	if !inTransition {
 		t = settledTransition(v.service.Current(v.bucket))
 	}
 	if t.FlipActive(e.view.Active) && p.Flags().Opens() && len(e.view.Table.Returned()) == 0 {
@@ -242,19 +242,19 @@
 	if owner != e.config.Self {
 		return e.relayTo(v, p, owner, ToOwner)
 	}
-	return e.asOwner(now, v, p, t, second)
+	return e.decideAsOwner(now, v, p, t, second)
 }
 
 func settledTransition(endpoint uint32) route.Transition {
 	return route.Transition{Default: endpoint, Previous: endpoint, Current: endpoint, FlippedAt: 1}
 }
 
-// asOwner decides on a flow without a record, as the owner of its bucket.
-func (e *Engine) asOwner(now time.Time, v Verdict, p *packet.Packet, t route.Transition, second string) Verdict {
+// decideAsOwner decides on a flow without a record, as the owner of its bucket.
+func (e *Engine) decideAsOwner(now time.Time, v Verdict, p *packet.Packet, t route.Transition, second string) Verdict {
 	if p.Flags().Opens() && len(e.view.Table.Returned()) == 0 {
-		return e.newFlow(now, v, p, t, second)
+		return e.placeNewFlow(now, v, p, t, second)
 	}
-	if e.complete(v) && (!isUDP(p) || t.Flipped()) {
+	if e.hasAllRecords(v) && (!isUDP(p) || t.Flipped()) {
 		return e.forward(now, v, p, t.Default, ByDefault)
 	}
 	return e.ask(now, v, p)
@@ -279,13 +279,13 @@
 
 // forward sends a packet to an endpoint and caches the flow.
 func (e *Engine) forward(now time.Time, v Verdict, p *packet.Packet, endpoint uint32, reason Reason) Verdict {
-	have := e.view.Table.Endpoint(endpoint)
-	if have == nil {
+	target := e.view.Table.Endpoint(endpoint)
+	if target == nil {
 		v.action, v.reason = Drop, NoEndpoint
 		return v
 	}
-	e.cache(now, v, p, endpoint, reason == ByRecord)
-	return e.send(v, have, reason)
+	e.cacheFlow(now, v, p, endpoint, reason == ByRecord)
+	return e.send(v, target, reason)
 }
 
 // send is the last step before a packet leaves for a backend server. It
@@ -300,9 +300,9 @@
 	return v
 }
 
-// cache notes the endpoint of a flow. Known says that the holders of its
+// cacheFlow notes the endpoint of a flow. Known says that the holders of its
 // bucket know of it, so that it need not be pushed to them.
-func (e *Engine) cache(now time.Time, v Verdict, p *packet.Packet, endpoint uint32, known bool) {
+func (e *Engine) cacheFlow(now time.Time, v Verdict, p *packet.Packet, endpoint uint32, reported bool) {
 	state := stateOpen
 	if p.Flags().Opens() {
 		state = stateOpening
@@ -314,5 +314,5 @@
 		e.stats.TableFull++
 		return
 	}
-	s.pushed = known
+	s.reported = reported
 }
--- a/internal/flow/engine_test.go
+++ b/internal/flow/engine_test.go
@@ -19,8 +19,8 @@
 	service = netip.MustParseAddrPort("192.0.2.1:443")
 )
 
-// table has one service with all buckets on endpoint 1, and three entries.
-func table(endpoints int, change func(*route.Builder)) *route.Table {
+// newTable has one service with all buckets on endpoint 1, and three entries.
+func newTable(endpoints int, change func(*route.Builder)) *route.Table {
 	b := route.NewBuilder(route.Empty(), 1)
 	classes := []route.Class{{Name: "feed", Key: route.ServiceKey{Addr: service, Transport: packet.TCP}}}
 	b.PutService(1, "s", classes, route.Policy{Idle: time.Minute}, 64)
@@ -43,17 +43,17 @@
 	return b.Table()
 }
 
-func engine(t *route.Table, active uint64) *flow.Engine {
+func newEngine(t *route.Table, active uint64) *flow.Engine {
 	e := flow.New(flow.Config{
 		Self: "e0", Domain: "d", Incarnation: 1, Flows: 1000, Records: 10, Waiting: 4, AsksASecond: 10, PushBytes: 1000,
 		AskTimeout: 50 * time.Millisecond, PushRetry: time.Second, HalfOpenLife: time.Second, SweepEvery: time.Second,
 	}, start)
-	e.SetView(&flow.View{Table: table(2, nil), Active: 1, LeaseUntil: start.Add(time.Hour), Reachable: []string{"e1", "e2"}})
+	e.SetView(&flow.View{Table: newTable(2, nil), Active: 1, LeaseUntil: start.Add(time.Hour), Reachable: []string{"e1", "e2"}})
 	e.SetView(&flow.View{Table: t, Active: active, LeaseUntil: start.Add(time.Hour), Reachable: []string{"e1", "e2"}})
 	return e
 }
 
-func packetOf(port uint16, flags packet.Flags) *packet.Packet {
+func newPacket(port uint16, flags packet.Flags) *packet.Packet {
 	src := netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), port)
 	inner, err := packet.Build(packet.NewTuple(src, service, packet.TCP), flags, 1, 1, nil)
 	if err != nil {
@@ -72,27 +72,27 @@
 	data = packet.NewFlags(false, true, false, false)
 )
 
-func TestWithoutLeaseNothingNewIsDecided(t *testing.T) {
+func TestNoNewFlowsWithoutLease(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := engine(table(2, nil), 1)
-	g.Expect(e.Inbound(start, packetOf(1, syn)).Action()).To(gomega.Equal(flow.Forward))
+	e := newEngine(newTable(2, nil), 1)
+	g.Expect(e.Inbound(start, newPacket(1, syn)).Action()).To(gomega.Equal(flow.Forward))
 	late := start.Add(2 * time.Hour)
-	g.Expect(e.Inbound(late, packetOf(2, syn)).Reason()).To(gomega.Equal(flow.NoLease))
-	g.Expect(e.Inbound(start, packetOf(1, data)).Reason()).To(gomega.Equal(flow.ByCache), "what is known goes on")
+	g.Expect(e.Inbound(late, newPacket(2, syn)).Reason()).To(gomega.Equal(flow.NoLease))
+	g.Expect(e.Inbound(start, newPacket(1, data)).Reason()).To(gomega.Equal(flow.ByCache), "what is known goes on")
 }
 
-func TestAnnouncedMoveIsNotUsedBeforeItIsActive(t *testing.T) {
+func TestMoveIsNotUsedBeforeItIsActive(t *testing.T) {
 	g := gomega.NewWithT(t)
-	moved := table(2, func(b *route.Builder) {
+	moved := newTable(2, func(b *route.Builder) {
 		for bucket := range uint32(64) {
 			b.Move(1, bucket, 2)
 		}
 	})
 	for active, want := range map[uint64]string{1: "b0", 2: "b1"} {
-		e := engine(moved, active)
+		e := newEngine(moved, active)
 		seen := 0
 		for port := range uint16(60) {
-			v := e.Inbound(start, packetOf(1+port, syn))
+			v := e.Inbound(start, newPacket(1+port, syn))
 			if v.Endpoint() == nil {
 				continue // another entry owns the bucket
 			}
@@ -103,40 +103,40 @@
 	}
 }
 
-func TestRecordBoundIsStated(t *testing.T) {
+func TestRecordLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
-	moved := table(2, func(b *route.Builder) {
+	moved := newTable(2, func(b *route.Builder) {
 		for bucket := range uint32(64) {
 			b.Move(1, bucket, 2)
 		}
 	})
-	e := engine(moved, 2)
+	e := newEngine(moved, 2)
 	reasons := map[flow.Reason]int{}
 	for port := range uint16(200) {
-		reasons[e.Inbound(start, packetOf(1+port, syn)).Reason()]++
+		reasons[e.Inbound(start, newPacket(1+port, syn)).Reason()]++
 	}
 	g.Expect(reasons[flow.ToSecond]).To(gomega.Equal(10), "as many as there may be records")
 	g.Expect(reasons[flow.RecordLimit]).To(gomega.BeNumerically(">", 0))
 }
 
-func TestSYNFloodFillsNeitherTableNorRecords(t *testing.T) {
+func TestSYNFloodLeavesRoomForOpenFlows(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := engine(table(2, nil), 1)
+	e := newEngine(newTable(2, nil), 1)
 	for port := range uint16(20_000) {
-		g.Expect(e.Inbound(start, packetOf(1+port, syn)).Action()).To(gomega.Equal(flow.Forward))
+		g.Expect(e.Inbound(start, newPacket(1+port, syn)).Action()).To(gomega.Equal(flow.Forward))
 	}
 	stats := e.Stats()
 	g.Expect(stats.HalfOpen).To(gomega.BeNumerically("<=", 1000))
 	g.Expect(stats.Records).To(gomega.BeZero())
-	g.Expect(e.Inbound(start, packetOf(30_000, data)).Action()).To(gomega.Equal(flow.Forward))
+	g.Expect(e.Inbound(start, newPacket(30_000, data)).Action()).To(gomega.Equal(flow.Forward))
 	g.Expect(e.Stats().Flows).To(gomega.Equal(stats.Flows+1), "an open flow still finds room")
 }
 
-func TestAnswersPassOnlyForFlowsTheEndpointHolds(t *testing.T) {
+func TestAnswersPassOnlyFromTheEndpointOfTheFlow(t *testing.T) {
 	g := gomega.NewWithT(t)
-	e := engine(table(2, nil), 1)
-	e.Inbound(start, packetOf(1, syn))
-	e.Inbound(start, packetOf(1, data))
+	e := newEngine(newTable(2, nil), 1)
+	e.Inbound(start, newPacket(1, syn))
+	e.Inbound(start, newPacket(1, data))
 	answer := func(port uint16, f packet.Flags) *packet.Packet {
 		src := netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), port)
 		inner, err := packet.Build(packet.NewTuple(service, src, packet.TCP), f, 1, 1, nil)
@@ -154,9 +154,9 @@
 	g.Expect(e.Answer(start, second, answer(77, reset)).Action()).To(gomega.Equal(flow.Drop))
 }
 
-func TestOwnerOfLostRecordsAsksAndNeverGuesses(t *testing.T) {
+func TestOwnerWithoutRecordsAsksPeers(t *testing.T) {
 	g := gomega.NewWithT(t)
-	moved := table(2, func(b *route.Builder) {
+	moved := newTable(2, func(b *route.Builder) {
 		for bucket := range uint32(64) {
 			b.Move(1, bucket, 2)
 		}
@@ -167,13 +167,13 @@
 		AskTimeout: 50 * time.Millisecond, PushRetry: time.Second, HalfOpenLife: time.Second, SweepEvery: time.Second,
 	}, start)
 	e.SetView(&flow.View{Table: moved, Active: 2, LeaseUntil: start.Add(time.Hour), Reachable: []string{"e1", "e2"}})
-	var asked flow.Verdict
+	var verdict flow.Verdict
 	for port := range uint16(60) {
-		if asked = e.Inbound(start, packetOf(1+port, data)); asked.Action() == flow.Waited {
+		if verdict = e.Inbound(start, newPacket(1+port, data)); verdict.Action() == flow.Waited {
 			break
 		}
 	}
-	g.Expect(asked.Action()).To(gomega.Equal(flow.Waited))
+	g.Expect(verdict.Action()).To(gomega.Equal(flow.Waited))
 	for _, o := range e.TakeOut() {
 		ask := o.Message.GetAsk()
 		e.Peer(start, &wire.Peer{From: o.Peer, Body: &wire.Peer_Told{Told: &wire.Told{High: ask.High, Low: ask.Low, Service: 1}}})
@@ -186,8 +186,8 @@
 
 // While the former owner of a bucket may not know that it is not, the new one
 // places nothing that only its records would lead to.
-func TestNewOwnerWaitsUntilTheFormerOneKnows(t *testing.T) {
-	opened := table(2, func(b *route.Builder) {
+func TestNewOwnerWaitsForFormerOwner(t *testing.T) {
+	opened := newTable(2, func(b *route.Builder) {
 		b.RemoveMember("e0")
 		for bucket := range uint32(64) {
 			b.Move(1, bucket, 2)
@@ -204,7 +204,7 @@
 		e.SetView(&flow.View{Table: joined, Active: active, LeaseUntil: start.Add(time.Hour), Reachable: reachable})
 		seen := map[flow.Reason]int{}
 		for port := range uint16(60) {
-			v := e.Inbound(start, packetOf(1+port, syn))
+			v := e.Inbound(start, newPacket(1+port, syn))
 			seen[v.Reason()]++
 			if v.Endpoint() != nil && v.Action() == flow.Forward {
 				g.Expect(v.Endpoint().Name()).To(gomega.Equal("b0"), "the default")
@@ -217,10 +217,10 @@
 func BenchmarkDecisionOnAHit(b *testing.B) {
 	for _, flows := range []int{1, 64} {
 		b.Run(fmt.Sprint(flows, " flows in turn"), func(b *testing.B) {
-			e := engine(table(14, nil), 1)
+			e := newEngine(newTable(14, nil), 1)
 			var list []*packet.Packet
 			for n := range flows {
-				p := packetOf(uint16(1+n), data)
+				p := newPacket(uint16(1+n), data)
 				e.Inbound(start, p)
 				list = append(list, p)
 			}
--- a/internal/flow/flowtable.go
+++ b/internal/flow/flowtable.go
@@ -9,10 +9,10 @@
 const (
 	// tick is the resolution of the time at which a flow was last seen.
 	tick = 100 * time.Millisecond
-	// maxFill is the share of slots, in eighths, that may be used.
-	maxFill = 7
-	// maxOpening is the share of slots, in eighths, that half-open flows may use.
-	maxOpening = 2
+	// maxFillEighths is the share of slots, in eighths, that may be used.
+	maxFillEighths = 7
+	// maxOpeningEighths is the share of slots, in eighths, that half-open flows may use.
+	maxOpeningEighths = 2
 )
 
 // The states of a cached flow.
@@ -28,9 +28,9 @@
 	slot struct {
 		id       route.FlowID
 		endpoint uint32
-		seen     uint32 // ticks since the table began
+		lastSeen uint32 // ticks since the table began
 		state    uint8
-		pushed   bool // the holders of its bucket know of it
+		reported bool // the holders of its bucket know of it
 	}
 
 	// flowTable is a hash table of fixed size with linear probing. It never
@@ -41,21 +41,21 @@
 		mask    uint64
 		used    int
 		opening int
-		began   time.Time
+		epoch   time.Time
 		cursor  uint64
 	}
 )
 
 // newFlowTable returns a table for at least limit flows.
-func newFlowTable(limit int, began time.Time) *flowTable {
+func newFlowTable(capacity int, epoch time.Time) *flowTable {
 	size := 64
-	for size*maxFill/8 < limit {
+	for size*maxFillEighths/8 < capacity {
 		size *= 2
 	}
-	return &flowTable{slots: make([]slot, size), mask: uint64(size - 1), began: began}
+	return &flowTable{slots: make([]slot, size), mask: uint64(size - 1), epoch: epoch}
 }
 
-func (t *flowTable) ticks(now time.Time) uint32 { return uint32(now.Sub(t.began) / tick) }
+func (t *flowTable) ticks(now time.Time) uint32 { return uint32(now.Sub(t.epoch) / tick) }
 
 // get returns the slot of a flow, or nil.
 func (t *flowTable) get(id route.FlowID) *slot {
@@ -75,27 +75,27 @@
 	}
 	s := &t.slots[i]
 	if s.state == stateFree {
-		if t.used >= len(t.slots)/8*maxFill || state == stateOpening && t.opening >= len(t.slots)/8*maxOpening {
+		if t.used >= len(t.slots)/8*maxFillEighths || state == stateOpening && t.opening >= len(t.slots)/8*maxOpeningEighths {
 			return nil
 		}
 		t.used++
 	} else {
-		t.count(s.state, -1)
+		t.adjustOpening(s.state, -1)
 	}
-	t.count(state, 1)
-	*s = slot{id: id, endpoint: endpoint, seen: t.ticks(now), state: state}
+	t.adjustOpening(state, 1)
+	*s = slot{id: id, endpoint: endpoint, lastSeen: t.ticks(now), state: state}
 	return s
 }
 
-func (t *flowTable) count(state uint8, n int) {
+func (t *flowTable) adjustOpening(state uint8, n int) {
 	if state == stateOpening {
 		t.opening += n
 	}
 }
 
 func (t *flowTable) setState(s *slot, state uint8) {
-	t.count(s.state, -1)
-	t.count(state, 1)
+	t.adjustOpening(s.state, -1)
+	t.adjustOpening(state, 1)
 	s.state = state
 }
 
@@ -108,15 +108,15 @@
 		}
 		i = (i + 1) & t.mask
 	}
-	t.count(t.slots[i].state, -1)
+	t.adjustOpening(t.slots[i].state, -1)
 	t.used--
 	for j := i; ; {
 		j = (j + 1) & t.mask
 		if t.slots[j].state == stateFree {
 			break
 		}
-		home := t.slots[j].id.Low & t.mask
-		if (j-home)&t.mask >= (j-i)&t.mask {
+		preferred := t.slots[j].id.Low & t.mask
+		if (j-preferred)&t.mask >= (j-i)&t.mask {
 			t.slots[i] = t.slots[j]
 			i = j
 		}
@@ -124,9 +124,9 @@
 	t.slots[i] = slot{}
 }
 
-// each calls f for up to n slots in use from where it last stopped and
+// scan calls f for up to n slots in use from where it last stopped and
 // reports whether it came round to the start. f returns false to free the slot.
-func (t *flowTable) each(n int, f func(*slot) bool) (wrapped bool) {
+func (t *flowTable) scan(n int, f func(*slot) bool) (wrapped bool) {
 	for range n {
 		s := &t.slots[t.cursor]
 		if s.state != stateFree && !f(s) {
--- a/internal/flow/holder.go
+++ b/internal/flow/holder.go
@@ -11,10 +11,10 @@
 type (
 	// record tells on which endpoint a flow of a bucket in transition lives.
 	record struct {
-		endpoint uint32
-		key      bucketKey
-		at       time.Time // when it was made or told here
-		open     bool      // more than its SYN has been seen
+		endpoint  uint32
+		key       bucketKey
+		storedAt  time.Time // when it was made or told here
+		confirmed bool      // more than its SYN has been seen
 	}
 
 	// holding is what this entry knows as owner or second holder of a bucket.
@@ -27,48 +27,48 @@
 	}
 )
 
-// keep stores a record; false when there is no room.
-func (e *Engine) keep(now time.Time, v Verdict, endpoint uint32) bool {
-	return e.keepRecord(now, v.id, bucketKey{v.service.ID(), v.bucket}, endpoint)
+// storeRecord stores a record; false when there is no room.
+func (e *Engine) storeRecord(now time.Time, v Verdict, endpoint uint32) bool {
+	return e.putRecord(now, v.id, bucketKey{v.service.ID(), v.bucket}, endpoint)
 }
 
-func (e *Engine) keepRecord(now time.Time, id route.FlowID, key bucketKey, endpoint uint32) bool {
-	if have, ok := e.records[id]; ok && have.endpoint == endpoint {
+func (e *Engine) putRecord(now time.Time, id route.FlowID, key bucketKey, endpoint uint32) bool {
+	if existing, ok := e.records[id]; ok && existing.endpoint == endpoint {
 		return true
 	}
 	if _, ok := e.records[id]; !ok && len(e.records) >= e.config.Records {
 		e.stats.RecordsDropped++
 		return false
 	}
-	e.records[id] = record{endpoint: endpoint, key: key, at: now}
+	e.records[id] = record{endpoint: endpoint, key: key, storedAt: now}
 	h := e.holdingOf(key)
 	h.flows[id] = struct{}{}
 	return true
 }
 
-// prove notes that the flow of a record is open where the record says.
-func (e *Engine) prove(id route.FlowID) {
+// confirmRecord notes that the flow of a record is open where the record says.
+func (e *Engine) confirmRecord(id route.FlowID) {
 	if r, ok := e.records[id]; ok {
-		r.open = true
+		r.confirmed = true
 		e.records[id] = r
 	}
 }
 
 func (e *Engine) holdingOf(key bucketKey) *holding {
-	h := e.byHeld[key]
+	h := e.holdings[key]
 	if h == nil {
 		h = &holding{flows: map[route.FlowID]struct{}{}}
-		e.byHeld[key] = h
+		e.holdings[key] = h
 	}
 	return h
 }
 
-// complete reports whether this owner has every record of a bucket.
-func (e *Engine) complete(v Verdict) bool {
+// hasAllRecords reports whether this owner has every record of a bucket.
+func (e *Engine) hasAllRecords(v Verdict) bool {
 	if e.view.Table.Suspect() {
 		return false
 	}
-	h := e.byHeld[bucketKey{v.service.ID(), v.bucket}]
+	h := e.holdings[bucketKey{v.service.ID(), v.bucket}]
 	return h != nil && h.complete
 }
 
@@ -92,9 +92,9 @@
 	}
 }
 
-// listed reports whether a table lists this life of the entry. While it does
+// isListed reports whether a table lists this life of the entry. While it does
 // not, others hold the buckets, and what is held here is not complete.
-func (e *Engine) listed(t *route.Table) bool {
+func (e *Engine) isListed(t *route.Table) bool {
 	m, ok := t.Member(e.config.Self)
 	return ok && m.Incarnation() == e.config.Incarnation
 }
@@ -103,8 +103,8 @@
 // what has just opened is known whole, and where a holder has changed the
 // first of the former holders that still lives hands its records over.
 func (e *Engine) updateHoldings(previous, next *View) {
-	for key, h := range e.byHeld {
-		h.complete = h.complete && e.listed(next.Table)
+	for key, h := range e.holdings {
+		h.complete = h.complete && e.isListed(next.Table)
 		e.dropSettled(key, next)
 	}
 	sameMembers := slices.Equal(next.Table.Members(), previous.Table.Members())
@@ -113,19 +113,19 @@
 		for _, bucket := range slices.Sorted(maps.Keys(s.Open())) {
 			t := s.Open()[bucket]
 			key := bucketKey{s.ID(), bucket}
-			old, wasOpen := openBefore(before, bucket)
-			if wasOpen && old == t && sameMembers {
+			oldTransition, wasInTransition := previousTransition(before, bucket)
+			if wasInTransition && oldTransition == t && sameMembers {
 				continue
 			}
-			e.updateHolding(key, wasOpen, previous, next)
-			if t.Flipped() && !old.Flipped() {
+			e.updateHolding(key, wasInTransition, previous, next)
+			if t.Flipped() && !oldTransition.Flipped() {
 				e.dropOnCurrent(key, t.Current)
 			}
 		}
 	})
 }
 
-func openBefore(s *route.Service, bucket uint32) (route.Transition, bool) {
+func previousTransition(s *route.Service, bucket uint32) (route.Transition, bool) {
 	if s == nil {
 		return route.Transition{}, false
 	}
@@ -141,17 +141,17 @@
 // holdersOf returns the owner and the second holder of a bucket.
 func holdersOf(t *route.Table, key bucketKey) (owner, second holder) {
 	ownerName, secondName := route.Rank(t.Members(), key.service, key.bucket)
-	return lifeOf(t, ownerName), lifeOf(t, secondName)
+	return holderNamed(t, ownerName), holderNamed(t, secondName)
 }
 
-func lifeOf(t *route.Table, name string) holder {
+func holderNamed(t *route.Table, name string) holder {
 	m, _ := t.Member(name)
 	return holder{name, m.Incarnation()}
 }
 
-func (e *Engine) updateHolding(key bucketKey, wasOpen bool, previous, next *View) {
+func (e *Engine) updateHolding(key bucketKey, wasInTransition bool, previous, next *View) {
 	owner, second := holdersOf(next.Table, key)
-	if !e.listed(next.Table) {
+	if !e.isListed(next.Table) {
 		return
 	}
 	oldOwner, oldSecond := holdersOf(previous.Table, key)
@@ -159,31 +159,31 @@
 		// The former owner lives and may not know yet: see newFlow.
 		e.holdingOf(key).ownedSince = next.Table.Index()
 	}
-	same := owner == oldOwner && second == oldSecond
-	mine := owner.name == e.config.Self || second.name == e.config.Self
+	sameHolders := owner == oldOwner && second == oldSecond
+	isHolder := owner.name == e.config.Self || second.name == e.config.Self
 	switch {
-	case !wasOpen && mine:
+	case !wasInTransition && isHolder:
 		// It was settled until now, so no flow of it can be elsewhere, if
 		// this entry has seen the opening itself and held it then.
-		e.holdingOf(key).complete = same && e.listed(previous.Table) && !previous.Table.Suspect()
-	case wasOpen && !same:
-		e.passOn(key, next.Table, [2]holder{oldOwner, oldSecond}, [2]holder{owner, second})
+		e.holdingOf(key).complete = sameHolders && e.isListed(previous.Table) && !previous.Table.Suspect()
+	case wasInTransition && !sameHolders:
+		e.transferRecords(key, next.Table, [2]holder{oldOwner, oldSecond}, [2]holder{owner, second})
 	}
 }
 
-// passOn lets the first of the former holders that still lives hand the
+// transferRecords lets the first of the former holders that still lives hand the
 // records of a bucket to each new one.
-func (e *Engine) passOn(key bucketKey, t *route.Table, former, now [2]holder) {
-	heir := firstAlive(t, former[0], former[1])
-	if heir == "" {
-		e.sweep.pushAgain(key) // both are lost: every entry tells what it has seen
+func (e *Engine) transferRecords(key bucketKey, t *route.Table, former, current [2]holder) {
+	sender := firstAlive(t, former[0], former[1])
+	if sender == "" {
+		e.sweep.reportAgain(key) // both are lost: every entry tells what it has seen
 	}
-	if e.config.Self != heir {
+	if e.config.Self != sender {
 		return
 	}
-	for _, peer := range now {
+	for _, peer := range current {
 		if peer.name != "" && peer.name != e.config.Self && !slices.Contains(former[:], peer) {
-			e.handOver(key, peer.name)
+			e.queueHandover(key, peer.name)
 		}
 	}
 }
@@ -209,15 +209,15 @@
 			return // records of a domain that served by itself are still needed
 		}
 	}
-	for id := range e.byHeld[key].flows {
+	for id := range e.holdings[key].flows {
 		delete(e.records, id)
 	}
-	delete(e.byHeld, key)
+	delete(e.holdings, key)
 }
 
 // dropOnCurrent forgets the records that a flip has made the default.
 func (e *Engine) dropOnCurrent(key bucketKey, current uint32) {
-	h := e.byHeld[key]
+	h := e.holdings[key]
 	if h == nil {
 		return
 	}
--- a/internal/flow/lease.go
+++ b/internal/flow/lease.go
@@ -10,14 +10,14 @@
 	"oxbowsaddle/internal/route"
 )
 
-// withoutLease decides on an unknown flow while this entry's lease has run
+// decideWithoutLease decides on an unknown flow while this entry's lease has run
 // out. What it knows may be old, so it leaves the decision to an entry that
 // holds a lease; a domain that is cut off whole decides by itself. A SYN is
 // dropped: it may have lain here through a pause while its flow was opened by
 // another entry, and a caller that still wants the flow sends it again.
-func (e *Engine) withoutLease(now time.Time, v Verdict, p *packet.Packet) Verdict {
+func (e *Engine) decideWithoutLease(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	if e.view.Island {
-		return e.onIsland(now, v, p)
+		return e.decideIsolated(now, v, p)
 	}
 	if n := len(e.view.Leased); n > 0 && !p.Flags().Opens() {
 		return e.relayTo(v, p, e.view.Leased[v.id.Low%uint64(n)], ToLeased)
@@ -26,25 +26,25 @@
 	return v
 }
 
-// onIsland decides in a failure domain that is cut off. Every new flow gets a
+// decideIsolated decides in a failure domain that is cut off. Every new flow gets a
 // record, so that it is found again when the domain is back.
-func (e *Engine) onIsland(now time.Time, v Verdict, p *packet.Packet) Verdict {
-	owner, second := route.Rank(e.islandMembers(), v.service.ID(), v.bucket)
+func (e *Engine) decideIsolated(now time.Time, v Verdict, p *packet.Packet) Verdict {
+	owner, second := route.Rank(e.isolatedMembers(), v.service.ID(), v.bucket)
 	if owner != e.config.Self {
 		return e.relayTo(v, p, owner, ToOwner)
 	}
 	if !p.Flags().Opens() {
 		return e.ask(now, v, p)
 	}
-	endpoint := e.islandEndpoint(v)
+	endpoint := e.isolatedEndpoint(v)
 	if endpoint == 0 {
 		v.action, v.reason = Drop, NoEndpoint
 		return v
 	}
-	return e.recordNew(now, v, p, endpoint, second)
+	return e.placeWithRecord(now, v, p, endpoint, second)
 }
 
-func (e *Engine) islandMembers() []route.Member {
+func (e *Engine) isolatedMembers() []route.Member {
 	var members []route.Member
 	for _, m := range e.view.Table.Members() {
 		if m.Name() == e.config.Self || slices.Contains(e.view.Reachable, m.Name()) {
@@ -54,20 +54,20 @@
 	return members
 }
 
-// islandEndpoint returns the bucket's endpoint where it can be reached, else
+// isolatedEndpoint returns the bucket's endpoint where it can be reached, else
 // one that can, the same on every entry of the domain.
-func (e *Engine) islandEndpoint(v Verdict) uint32 {
-	wanted := v.service.Current(v.bucket)
+func (e *Engine) isolatedEndpoint(v Verdict) uint32 {
+	preferred := v.service.Current(v.bucket)
 	if t, open := v.service.Transition(v.bucket); open {
-		wanted = t.ForNew(e.view.Active)
+		preferred = t.ForNew(e.view.Active)
 	}
-	if e.takesNew(wanted) {
-		return wanted
+	if e.acceptsNewFlows(preferred) {
+		return preferred
 	}
 	var best uint32
 	var bestScore uint64
 	for _, id := range v.service.Endpoints() {
-		if !e.takesNew(id) {
+		if !e.acceptsNewFlows(id) {
 			continue
 		}
 		score := siphash.Hash(uint64(id), v.id.High, nil)
@@ -78,7 +78,7 @@
 	return best
 }
 
-func (e *Engine) takesNew(endpoint uint32) bool {
-	have := e.view.Table.Endpoint(endpoint)
-	return have != nil && !have.Leaving() && slices.Contains(e.view.Domains, have.Domain())
+func (e *Engine) acceptsNewFlows(endpoint uint32) bool {
+	target := e.view.Table.Endpoint(endpoint)
+	return target != nil && !target.Leaving() && slices.Contains(e.view.Domains, target.Domain())
 }
--- a/internal/flow/push.go
+++ b/internal/flow/push.go
@@ -13,30 +13,30 @@
 )
 
 const (
-	// pushRecords is how many records one push carries, under a packet's size.
-	pushRecords = 40
+	// maxRecordsPerPush is how many records one push carries, under a packet's size.
+	maxRecordsPerPush = 40
 	// recordBytes and pushBytes are the size of a record and of the rest of a
 	// push in a datagram with its headers.
-	recordBytes = 26
-	pushBytes   = 80
-	// maxTries bounds how often a push is sent to a peer that does not answer.
-	maxTries = 8
-	// maxSeen bounds the flows that wait to be told to the holders.
-	maxSeen = 1 << 16
+	recordBytes       = 26
+	pushOverheadBytes = 80
+	// maxPushAttempts bounds how often a push is sent to a peer that does not answer.
+	maxPushAttempts = 8
+	// maxQueuedReports bounds the flows that wait to be told to the holders.
+	maxQueuedReports = 1 << 16
 )
 
 type (
 	// handover hands all records of a bucket to a new holder.
 	handover struct {
-		key     bucketKey
-		peer    string
-		ids     []route.FlowID
-		open    int  // pushes that are not answered
-		closing bool // the last push, which says complete, has been sent
+		key            bucketKey
+		peer           string
+		ids            []route.FlowID
+		unacknowledged int  // pushes that are not answered
+		finalSent      bool // the last push, which says complete, has been sent
 	}
 
-	// seenFlow is a flow that the holders of its bucket must be told of.
-	seenFlow struct {
+	// flowReport is a flow that the holders of its bucket must be told of.
+	flowReport struct {
 		id       route.FlowID
 		endpoint uint32
 		halfOpen bool
@@ -46,8 +46,8 @@
 	sentPush struct {
 		peer     string
 		push     *wire.Push
-		tries    int
-		due      time.Time
+		attempts int
+		resendAt time.Time
 		handover *handover
 	}
 
@@ -55,36 +55,36 @@
 	// handovers go first and what entries have seen waits; a flow that the
 	// holders were not told of is found by asking.
 	pusher struct {
-		limit     *rate.Limiter
-		retry     time.Duration
-		sequence  uint64
-		handovers []*handover
-		seen      map[bucketKey][]seenFlow
-		seenOrder []bucketKey
-		seenCount int
-		sent      []*sentPush // in the order of sequences
+		limiter       *rate.Limiter
+		retryInterval time.Duration
+		sequence      uint64
+		handovers     []*handover
+		reports       map[bucketKey][]flowReport
+		reportOrder   []bucketKey
+		reportCount   int
+		sent          []*sentPush // in the order of sequences
 	}
 )
 
 func newPusher(c Config) pusher {
 	return pusher{
-		limit: rate.NewLimiter(rate.Limit(c.PushBytes), max(c.PushBytes, pushBytes+pushRecords*recordBytes)),
-		retry: c.PushRetry,
-		seen:  map[bucketKey][]seenFlow{},
+		limiter:       rate.NewLimiter(rate.Limit(c.PushBytes), max(c.PushBytes, pushOverheadBytes+maxRecordsPerPush*recordBytes)),
+		retryInterval: c.PushRetry,
+		reports:       map[bucketKey][]flowReport{},
 	}
 }
 
 func (p *pusher) backlog() int {
-	n := p.seenCount
+	n := p.reportCount
 	for _, h := range p.handovers {
 		n += len(h.ids)
 	}
 	return n + len(p.sent)
 }
 
-// pending returns how many flows of a bucket the holders have not confirmed.
-func (p *pusher) pending(key bucketKey) int {
-	n := len(p.seen[key])
+// unconfirmed returns how many flows of a bucket the holders have not confirmed.
+func (p *pusher) unconfirmed(key bucketKey) int {
+	n := len(p.reports[key])
 	for _, s := range p.sent {
 		if s.handover == nil && s.push.Service == key.service && s.push.Bucket == key.bucket {
 			n += len(s.push.Records)
@@ -93,25 +93,25 @@
 	return n
 }
 
-// handOver queues all records of a bucket for a new holder.
-func (e *Engine) handOver(key bucketKey, peer string) {
+// queueHandover queues all records of a bucket for a new holder.
+func (e *Engine) queueHandover(key bucketKey, peer string) {
 	h := &handover{key: key, peer: peer}
-	if held := e.byHeld[key]; held != nil {
+	if held := e.holdings[key]; held != nil {
 		h.ids = slices.SortedFunc(maps.Keys(held.flows), compareIDs)
 	}
 	e.push.handovers = append(e.push.handovers, h)
 }
 
-// tell queues a flow for the holders of its bucket; false when the queue is full.
-func (e *Engine) tell(key bucketKey, id route.FlowID, endpoint uint32, halfOpen bool) bool {
-	if e.push.seenCount >= maxSeen {
+// queueReport queues a flow for the holders of its bucket; false when the queue is full.
+func (e *Engine) queueReport(key bucketKey, id route.FlowID, endpoint uint32, halfOpen bool) bool {
+	if e.push.reportCount >= maxQueuedReports {
 		return false
 	}
-	if _, queued := e.push.seen[key]; !queued {
-		e.push.seenOrder = append(e.push.seenOrder, key)
+	if _, queued := e.push.reports[key]; !queued {
+		e.push.reportOrder = append(e.push.reportOrder, key)
 	}
-	e.push.seen[key] = append(e.push.seen[key], seenFlow{id, endpoint, halfOpen})
-	e.push.seenCount++
+	e.push.reports[key] = append(e.push.reports[key], flowReport{id, endpoint, halfOpen})
+	e.push.reportCount++
 	return true
 }
 
@@ -119,67 +119,67 @@
 func (e *Engine) runPushes(now time.Time) {
 	e.resend(now)
 	e.runHandovers(now)
-	for len(e.push.seenOrder) > 0 {
-		key := e.push.seenOrder[0]
-		flows := e.push.seen[key]
-		n := min(len(flows), pushRecords)
+	for len(e.push.reportOrder) > 0 {
+		key := e.push.reportOrder[0]
+		flows := e.push.reports[key]
+		n := min(len(flows), maxRecordsPerPush)
 		if !e.allowPush(now, n) {
 			return
 		}
-		e.pushSeen(now, key, flows[:n])
-		e.push.seenCount -= n
+		e.sendReports(now, key, flows[:n])
+		e.push.reportCount -= n
 		if n < len(flows) {
-			e.push.seen[key] = flows[n:]
+			e.push.reports[key] = flows[n:]
 			continue
 		}
-		delete(e.push.seen, key)
-		e.push.seenOrder = e.push.seenOrder[1:]
+		delete(e.push.reports, key)
+		e.push.reportOrder = e.push.reportOrder[1:]
 	}
 }
 
 func (e *Engine) allowPush(now time.Time, records int) bool {
-	return e.push.limit.AllowN(now, pushBytes+records*recordBytes)
+	return e.push.limiter.AllowN(now, pushOverheadBytes+records*recordBytes)
 }
 
 func (e *Engine) runHandovers(now time.Time) {
-	var left []*handover
+	var remaining []*handover
 	for _, h := range e.push.handovers {
-		for len(h.ids) > 0 && e.allowPush(now, min(len(h.ids), pushRecords)) {
-			n := min(len(h.ids), pushRecords)
+		for len(h.ids) > 0 && e.allowPush(now, min(len(h.ids), maxRecordsPerPush)) {
+			n := min(len(h.ids), maxRecordsPerPush)
 			e.sendPush(now, h.peer, h.key, e.recordsOf(h.ids[:n]), false, h)
 			h.ids = h.ids[n:]
 		}
-		if len(h.ids) == 0 && h.open == 0 && !h.closing && e.allowPush(now, 0) {
-			h.closing = true
-			held := e.byHeld[h.key]
+		if len(h.ids) == 0 && h.unacknowledged == 0 && !h.finalSent && e.allowPush(now, 0) {
+			h.finalSent = true
+			held := e.holdings[h.key]
 			e.sendPush(now, h.peer, h.key, nil, held != nil && held.complete, h)
 		}
-		if !h.closing || h.open > 0 {
-			left = append(left, h)
+		if !h.finalSent || h.unacknowledged > 0 {
+			remaining = append(remaining, h)
 		}
 	}
-	e.push.handovers = left
+	e.push.handovers = remaining
 }
 
-func (e *Engine) recordsOf(ids []route.FlowID) []seenFlow {
-	var flows []seenFlow
+func (e *Engine) recordsOf(ids []route.FlowID) []flowReport {
+	var flows []flowReport
 	for _, id := range ids {
 		if r, ok := e.records[id]; ok {
-			flows = append(flows, seenFlow{id, r.endpoint, !r.open})
+			flows = append(flows, flowReport{id, r.endpoint, !r.confirmed})
 		}
 	}
 	return flows
 }
 
-// pushSeen tells flows to both holders; to itself without a message.
-func (e *Engine) pushSeen(now time.Time, key bucketKey, flows []seenFlow) {
+// sendReports tells flows to both holders; to itself without a message.
+func (e *Engine) sendReports(now time.Time, key bucketKey, flows []flowReport) {
 	owner, second := route.Rank(e.view.Table.Members(), key.service, key.bucket)
 	for _, peer := range []string{owner, second} {
 		switch peer {
 		case "":
 		case e.config.Self:
 			for _, f := range flows {
-				e.takeRecord(now, key, f)
+				e.mergeRecord(now, key, f)
 			}
 		default:
 			e.sendPush(now, peer, key, flows, false, nil)
@@ -187,14 +187,14 @@
 	}
 }
 
-func (e *Engine) sendPush(now time.Time, peer string, key bucketKey, flows []seenFlow, complete bool, h *handover) {
+func (e *Engine) sendPush(now time.Time, peer string, key bucketKey, flows []flowReport, complete bool, h *handover) {
 	e.push.sequence++
 	push := &wire.Push{Service: key.service, Bucket: key.bucket, Complete: complete, Sequence: e.push.sequence}
 	for _, f := range flows {
 		push.Records = append(push.Records, &wire.FlowRecord{High: f.id.High, Low: f.id.Low, Endpoint: f.endpoint, HalfOpen: f.halfOpen})
 	}
 	if h != nil {
-		h.open++
+		h.unacknowledged++
 	}
 	s := &sentPush{peer: peer, push: push, handover: h}
 	e.push.sent = append(e.push.sent, s)
@@ -202,10 +202,10 @@
 }
 
 func (e *Engine) transmit(now time.Time, s *sentPush) {
-	s.tries++
-	s.due = now.Add(e.push.retry)
+	s.attempts++
+	s.resendAt = now.Add(e.push.retryInterval)
 	e.stats.Pushes++
-	e.stats.PushBytes += uint64(pushBytes + len(s.push.Records)*recordBytes)
+	e.stats.PushBytes += uint64(pushOverheadBytes + len(s.push.Records)*recordBytes)
 	e.out = append(e.out, Out{Peer: s.peer, Message: &wire.Peer{From: e.config.Self, Body: &wire.Peer_Push{Push: s.push}}})
 }
 
@@ -213,11 +213,11 @@
 // lives no more or does not answer at all.
 func (e *Engine) resend(now time.Time) {
 	e.push.sent = slices.DeleteFunc(e.push.sent, func(s *sentPush) bool {
-		if now.Before(s.due) {
+		if now.Before(s.resendAt) {
 			return false
 		}
-		if _, alive := e.view.Table.Member(s.peer); !alive || s.tries >= maxTries {
-			e.giveUp(s)
+		if _, alive := e.view.Table.Member(s.peer); !alive || s.attempts >= maxPushAttempts {
+			e.abandonPush(s)
 			return true
 		}
 		if e.allowPush(now, len(s.push.Records)) {
@@ -227,35 +227,35 @@
 	})
 }
 
-// giveUp makes flows that could not be told be told again by the next pass.
-func (e *Engine) giveUp(s *sentPush) {
+// abandonPush makes flows that could not be told be told again by the next pass.
+func (e *Engine) abandonPush(s *sentPush) {
 	if s.handover != nil {
-		s.handover.open--
+		s.handover.unacknowledged--
 		return
 	}
 	for _, r := range s.push.Records {
 		if cached := e.flows.get(route.FlowID{High: r.High, Low: r.Low}); cached != nil {
-			cached.pushed = false
+			cached.reported = false
 		}
 	}
 }
 
-func (e *Engine) pushed(from string, sequence uint64) {
+func (e *Engine) handlePushed(from string, sequence uint64) {
 	i := slices.IndexFunc(e.push.sent, func(s *sentPush) bool { return s.push.Sequence == sequence && s.peer == from })
 	if i < 0 {
 		return
 	}
 	if h := e.push.sent[i].handover; h != nil {
-		h.open--
+		h.unacknowledged--
 	}
 	e.push.sent = slices.Delete(e.push.sent, i, i+1)
 }
 
-// takePush stores what a peer knows of a bucket.
-func (e *Engine) takePush(now time.Time, from string, push *wire.Push) {
+// handlePush stores what a peer knows of a bucket.
+func (e *Engine) handlePush(now time.Time, from string, push *wire.Push) {
 	key := bucketKey{push.Service, push.Bucket}
 	for _, r := range push.Records {
-		e.takeRecord(now, key, seenFlow{route.FlowID{High: r.High, Low: r.Low}, r.Endpoint, r.HalfOpen})
+		e.mergeRecord(now, key, flowReport{route.FlowID{High: r.High, Low: r.Low}, r.Endpoint, r.HalfOpen})
 	}
 	if push.Complete {
 		e.holdingOf(key).complete = true
@@ -265,22 +265,22 @@
 	}}})
 }
 
-// takeRecord stores what a peer has seen, unless this entry knows better. A
+// mergeRecord stores what a peer has seen, unless this entry knows better. A
 // record that finds no room makes the holding incomplete: the owner then asks.
-func (e *Engine) takeRecord(now time.Time, key bucketKey, f seenFlow) {
-	have := e.view.Table.Endpoint(f.endpoint)
-	if have == nil || have.Service() != key.service {
+func (e *Engine) mergeRecord(now time.Time, key bucketKey, f flowReport) {
+	endpoint := e.view.Table.Endpoint(f.endpoint)
+	if endpoint == nil || endpoint.Service() != key.service {
 		return
 	}
-	if r, known := e.records[f.id]; known && (r.open || f.halfOpen) {
+	if r, known := e.records[f.id]; known && (r.confirmed || f.halfOpen) {
 		return
 	}
-	if !e.keepRecord(now, f.id, key, f.endpoint) {
+	if !e.putRecord(now, f.id, key, f.endpoint) {
 		e.holdingOf(key).complete = false
 		return
 	}
 	if !f.halfOpen {
-		e.prove(f.id)
+		e.confirmRecord(f.id)
 	}
 }
 
--- a/internal/flow/sweep.go
+++ b/internal/flow/sweep.go
@@ -6,8 +6,8 @@
 	"oxbowsaddle/internal/route"
 )
 
-// closingLife is how long a closed flow is remembered for its last packets.
-const closingLife = 10 * time.Second
+// closingTimeout is how long a closed flow is remembered for its last packets.
+const closingTimeout = 10 * time.Second
 
 type (
 	// Row tells how many flows of a bucket are not on its current endpoint,
@@ -26,26 +26,26 @@
 
 	// sweeper walks the cached flows a few at a time.
 	sweeper struct {
-		began   uint64
-		rows    map[bucketKey]uint32
-		conns   map[uint32]uint32
-		again   map[bucketKey]bool
-		last    Count
-		lastRun time.Time
-		carry   float64
+		startIndex     uint64
+		flowsElsewhere map[bucketKey]uint32
+		connections    map[uint32]uint32
+		rereport       map[bucketKey]bool
+		lastCount      Count
+		lastRun        time.Time
+		remainder      float64
 	}
 )
 
 func newSweeper() sweeper {
-	return sweeper{rows: map[bucketKey]uint32{}, conns: map[uint32]uint32{}, again: map[bucketKey]bool{}}
+	return sweeper{flowsElsewhere: map[bucketKey]uint32{}, connections: map[uint32]uint32{}, rereport: map[bucketKey]bool{}}
 }
 
-// pushAgain makes the present pass tell the flows of a bucket once more,
+// reportAgain makes the present pass tell the flows of a bucket once more,
 // because both of its holders were lost.
-func (s *sweeper) pushAgain(key bucketKey) { s.again[key] = true }
+func (s *sweeper) reportAgain(key bucketKey) { s.rereport[key] = true }
 
 // LastCount returns the result of the last whole pass.
-func (e *Engine) LastCount() Count { return e.sweep.last }
+func (e *Engine) LastCount() Count { return e.sweep.lastCount }
 
 // Tick does what is due: sweeps, pushes, and questions that got no answer.
 func (e *Engine) Tick(now time.Time) {
@@ -58,14 +58,14 @@
 	if e.sweep.lastRun.IsZero() {
 		e.sweep.lastRun = now
 	}
-	e.sweep.carry += float64(len(e.flows.slots)) * float64(now.Sub(e.sweep.lastRun)) / float64(e.config.SweepEvery)
+	e.sweep.remainder += float64(len(e.flows.slots)) * float64(now.Sub(e.sweep.lastRun)) / float64(e.config.SweepEvery)
 	e.sweep.lastRun = now
-	n := min(int(e.sweep.carry), 2*len(e.flows.slots))
-	e.sweep.carry -= float64(n)
+	n := min(int(e.sweep.remainder), 2*len(e.flows.slots))
+	e.sweep.remainder -= float64(n)
 	for n > 0 {
 		step := min(n, len(e.flows.slots)-int(e.flows.cursor))
 		n -= step
-		if e.flows.each(step, func(s *slot) bool { return e.sweepSlot(now, s) }) {
+		if e.flows.scan(step, func(s *slot) bool { return e.sweepSlot(now, s) }) {
 			e.finishPass()
 		}
 	}
@@ -73,16 +73,16 @@
 
 // finishPass publishes the count and begins the next pass.
 func (e *Engine) finishPass() {
-	count := Count{Index: e.sweep.began, Connections: e.sweep.conns}
+	count := Count{Index: e.sweep.startIndex, Connections: e.sweep.connections}
 	e.countRecords()
-	for key, flows := range e.sweep.rows {
-		count.Rows = append(count.Rows, Row{key.service, key.bucket, flows, uint32(e.push.pending(key))})
+	for key, flows := range e.sweep.flowsElsewhere {
+		count.Rows = append(count.Rows, Row{key.service, key.bucket, flows, uint32(e.push.unconfirmed(key))})
 	}
-	e.sweep.last = count
-	e.sweep.began = e.view.Table.Index()
-	e.sweep.rows = map[bucketKey]uint32{}
-	e.sweep.conns = map[uint32]uint32{}
-	clear(e.sweep.again)
+	e.sweep.lastCount = count
+	e.sweep.startIndex = e.view.Table.Index()
+	e.sweep.flowsElsewhere = map[bucketKey]uint32{}
+	e.sweep.connections = map[uint32]uint32{}
+	clear(e.sweep.rereport)
 }
 
 // countRecords adds the flows that this entry holds records of in buckets
@@ -90,7 +90,7 @@
 // the row makes the controller open the bucket. In a bucket in transition a
 // record is not counted, since its flow may have ended unseen.
 func (e *Engine) countRecords() {
-	for key, h := range e.byHeld {
+	for key, h := range e.holdings {
 		s := e.view.Table.Service(key.service)
 		if s == nil || len(h.flows) == 0 {
 			continue
@@ -105,7 +105,7 @@
 			}
 		}
 		if elsewhere > 0 {
-			e.sweep.rows[key] = max(e.sweep.rows[key], elsewhere)
+			e.sweep.flowsElsewhere[key] = max(e.sweep.flowsElsewhere[key], elsewhere)
 		}
 	}
 }
@@ -118,30 +118,30 @@
 		return false
 	}
 	service := e.view.Table.Service(endpoint.Service())
-	if time.Duration(e.flows.ticks(now)-s.seen)*tick > e.lifeOf(s, service) {
+	if time.Duration(e.flows.ticks(now)-s.lastSeen)*tick > e.idleTimeout(s, service) {
 		return false
 	}
 	if s.state != stateClosing {
-		e.sweep.conns[s.endpoint]++
+		e.sweep.connections[s.endpoint]++
 	}
 	bucket := service.Bucket(s.id)
 	if service.Current(bucket) == s.endpoint {
 		return true
 	}
 	key := bucketKey{service.ID(), bucket}
-	e.sweep.rows[key]++
-	if !s.pushed || e.sweep.again[key] {
-		s.pushed = s.state != stateOpening && e.tell(key, s.id, s.endpoint, false)
+	e.sweep.flowsElsewhere[key]++
+	if !s.reported || e.sweep.rereport[key] {
+		s.reported = s.state != stateOpening && e.queueReport(key, s.id, s.endpoint, false)
 	}
 	return true
 }
 
-func (e *Engine) lifeOf(s *slot, service *route.Service) time.Duration {
+func (e *Engine) idleTimeout(s *slot, service *route.Service) time.Duration {
 	switch s.state {
 	case stateOpening:
 		return e.config.HalfOpenLife
 	case stateClosing:
-		return min(closingLife, service.Policy().Idle)
+		return min(closingTimeout, service.Policy().Idle)
 	default:
 		return service.Policy().Idle
 	}
