--- a/internal/packet/encode.go
+++ b/internal/packet/encode.go
@@ -7,7 +7,7 @@
 	"github.com/gopacket/gopacket/layers"
 )
 
-// Encoder writes Geneve headers from templates that gopacket built once.
+// Encoder prepends prebuilt Geneve headers to packets.
 type Encoder struct {
 	plainIPv4, plainIPv6, peer []byte
 	relayIPv4, relayIPv6       []byte
@@ -44,7 +44,7 @@
 	return append(append(dst, header...), inner...)
 }
 
-// AppendRelay appends a Geneve datagram with the inner packet and the option.
+// AppendRelay appends a Geneve datagram with the inner packet and a relay option.
 func (e *Encoder) AppendRelay(dst, inner []byte, r Relay) []byte {
 	header := e.relayIPv4
 	if isIPv6(inner) {
@@ -75,9 +75,8 @@
 	return append([]byte(nil), buf.Bytes()...), nil
 }
 
-// Build serialises an IP packet with the given transport payload; the flags
-// and numbers are used for TCP only. It allocates and serves answers that the
-// system makes itself, and the stand-ins.
+// Build serialises an IP packet with the given transport payload. The flags and
+// sequence numbers apply to TCP only. It allocates, so it isn't for the forwarding path.
 func Build(t Tuple, f Flags, seq, ack uint32, payload []byte) ([]byte, error) {
 	buf := gopacket.NewSerializeBuffer()
 	opts := gopacket.SerializeOptions{FixLengths: true, ComputeChecksums: true}
@@ -92,7 +91,7 @@
 	return buf.Bytes(), nil
 }
 
-// BuildReset returns the RST that ends the flow of a caller's TCP packet.
+// BuildReset returns the RST that aborts the flow of a caller's TCP packet.
 func BuildReset(p *Packet) ([]byte, error) {
 	var d Decoder
 	var decoded Packet
--- a/internal/packet/packet.go
+++ b/internal/packet/packet.go
@@ -1,7 +1,6 @@
-// Package packet reads and writes what travels between the fabric, the
-// entries and the backend servers: whole IP packets in Geneve over UDP
-// (RFC 8926). It decides nothing. A Decoder reuses its layers, so that a
-// packet in steady state costs no allocation.
+// Package packet encodes and decodes the datagrams between the fabric, the
+// entries and the backend servers: whole IP packets in Geneve over UDP (RFC
+// 8926). A Decoder reuses its layers, so that decoding a packet doesn't allocate.
 package packet
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/gopacket/gopacket/layers"
 )
 
-// Reasons for which a packet is not decoded. The list is closed.
+// Results of decoding: Decoded, or the reason why a packet was rejected.
 const (
 	Decoded Reason = iota
 	TooShort
@@ -28,8 +27,8 @@
 )
 
 const (
-	// PeerProtocol is the Geneve protocol type of datagrams between entries:
-	// the second of the two types that IEEE 802 leaves for local experiments.
+	// PeerProtocol is the Geneve protocol type of datagrams between entries: the
+	// second EtherType that IEEE 802 reserves for local experiments.
 	PeerProtocol layers.EthernetType = 0x88B6
 	// HeaderLen is the length in bytes of a Geneve header without options.
 	HeaderLen = 8
@@ -39,32 +38,32 @@
 	optionHeaderLen  = 4
 	relayDataLen     = 24
 	maxOptionsLength = 128
-	relayOptionClass = 0xFF0B // experimental range of RFC 8926
+	relayOptionClass = 0xFF0B // in the experimental range of RFC 8926
 	relayOptionType  = 1
 	protocolTCP      = 6
 	protocolUDP      = 17
 )
 
 type (
-	// Reason says why a packet was not decoded.
+	// Reason is the result of decoding a packet.
 	Reason uint8
 
 	// Transport is the IP protocol number of the inner packet: TCP or UDP.
 	Transport uint8
 
-	// Tuple names one direction of a flow.
+	// Tuple is the addresses, ports and transport of one direction of a flow.
 	Tuple struct {
 		src, dst  netip.AddrPort
 		transport Transport
 	}
 
-	// Flags are the TCP flags that decisions depend on; zero for UDP.
+	// Flags are the TCP flags that affect forwarding; all false for UDP.
 	Flags struct {
 		syn, ack, fin, rst bool
 	}
 
-	// Packet is a decoded packet. Its slices point into the received buffer
-	// and are valid until the next call of Decode.
+	// Packet is a decoded packet. Its slices point into the received buffer and
+	// are valid until the buffer is reused.
 	Packet struct {
 		tuple     Tuple
 		flags     Flags
@@ -76,7 +75,7 @@
 		innerIPv6 bool
 	}
 
-	// Decoder decodes packets with reused layers; one goroutine uses it.
+	// Decoder decodes packets into reused layers. It must not be used concurrently.
 	Decoder struct {
 		geneve layers.Geneve
 		ipv4   layers.IPv4
@@ -86,7 +85,7 @@
 	}
 )
 
-// The transports that flows may use.
+// The supported transports.
 const (
 	TCP Transport = protocolTCP
 	UDP Transport = protocolUDP
@@ -97,10 +96,10 @@
 	"fragment", "bad_transport", "unknown_transport", "bad_relay",
 }
 
-// String returns the name of the reason as metrics and logs show it.
+// String returns the name of the reason in metrics and logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reasons returns every reason, for metrics made at start.
+// Reasons returns every reason.
 func Reasons() []Reason {
 	all := make([]Reason, reasonCount)
 	for i := range all {
@@ -122,10 +121,10 @@
 	return Tuple{src: src, dst: dst, transport: t}
 }
 
-// Src returns the sender's address and port.
+// Src returns the source address and port.
 func (t Tuple) Src() netip.AddrPort { return t.src }
 
-// Dst returns the receiver's address and port.
+// Dst returns the destination address and port.
 func (t Tuple) Dst() netip.AddrPort { return t.dst }
 
 // Transport returns the transport of the flow.
@@ -137,37 +136,37 @@
 // NewFlags returns TCP flags.
 func NewFlags(syn, ack, fin, rst bool) Flags { return Flags{syn, ack, fin, rst} }
 
-// Opens reports whether the packet asks for a new TCP flow.
+// Opens reports whether the packet is a SYN without ACK, which opens a TCP flow.
 func (f Flags) Opens() bool { return f.syn && !f.ack }
 
-// Accepts reports whether the packet is the answer to a SYN.
+// Accepts reports whether the packet is a SYN-ACK, which accepts a TCP flow.
 func (f Flags) Accepts() bool { return f.syn && f.ack }
 
-// Ends reports whether the packet closes a direction or resets the flow.
+// Ends reports whether the packet has FIN or RST set.
 func (f Flags) Ends() bool { return f.fin || f.rst }
 
-// Resets reports whether the packet resets the flow.
+// Resets reports whether the packet has RST set.
 func (f Flags) Resets() bool { return f.rst }
 
-// Tuple returns the inner addresses as sent.
+// Tuple returns the tuple of the inner packet.
 func (p *Packet) Tuple() Tuple { return p.tuple }
 
 // Flags returns the TCP flags.
 func (p *Packet) Flags() Flags { return p.flags }
 
-// Inner returns the inner IP packet, or the protobuf bytes of a peer datagram.
+// Inner returns the inner IP packet, or the encoded message of a peer datagram.
 func (p *Packet) Inner() []byte { return p.inner }
 
-// Payload returns the payload of the inner transport.
+// Payload returns the transport payload of the inner packet.
 func (p *Packet) Payload() []byte { return p.payload }
 
-// Relay returns the relay option and whether the packet carries one.
+// Relay returns the relay option and whether the packet has one.
 func (p *Packet) Relay() (Relay, bool) { return p.relay, p.relayed }
 
-// IsPeer reports whether this is a datagram between entries, not a packet.
+// IsPeer reports whether the datagram is a message between entries rather than a packet.
 func (p *Packet) IsPeer() bool { return p.peer }
 
-// Clone returns a copy that stays valid when the buffer is used again.
+// Clone returns a copy that doesn't refer to the received buffer.
 func (p *Packet) Clone() *Packet {
 	c := *p
 	c.inner = append([]byte(nil), p.inner...)
@@ -175,7 +174,7 @@
 	return &c
 }
 
-// Decode reads one Geneve datagram into p and returns why it could not.
+// Decode decodes one Geneve datagram into p.
 func (d *Decoder) Decode(data []byte, p *Packet) Reason {
 	if len(data) < HeaderLen {
 		return TooShort
@@ -203,7 +202,7 @@
 	}
 }
 
-// DecodeInner reads a bare inner IP packet, as the stand-ins hold it.
+// DecodeInner decodes an IP packet without a Geneve header into p.
 func (d *Decoder) DecodeInner(inner []byte, p *Packet) Reason {
 	*p = Packet{inner: inner}
 	if len(inner) == 0 {
@@ -219,7 +218,7 @@
 	for _, o := range d.geneve.Options {
 		if o.Class != relayOptionClass || o.Type != relayOptionType {
 			if o.Type&0x80 != 0 {
-				return BadGeneve // an unknown critical option must not be ignored
+				return BadGeneve // RFC 8926: a packet with an unknown critical option must be dropped
 			}
 			continue
 		}
@@ -277,11 +276,11 @@
 	return Decoded
 }
 
-// TCPSequence returns the sequence and acknowledgement numbers of the last
-// TCP packet that this decoder has read.
+// TCPSequence returns the sequence and acknowledgement numbers of the last TCP
+// packet that d decoded.
 func (d *Decoder) TCPSequence() (seq, ack uint32) { return d.tcp.Seq, d.tcp.Ack }
 
-// Relay travels with a packet from one entry to another.
+// Relay is the Geneve option of a packet that one entry relays to another.
 type Relay struct {
 	kind     RelayKind
 	hops     uint8
@@ -291,56 +290,56 @@
 	trace    uint64
 }
 
-// RelayKind says what the receiver of a relayed packet is asked to do.
+// RelayKind says what the receiver of a relayed packet must do.
 type RelayKind uint8
 
-// The kinds of relay.
+// Kinds of relayed packets.
 const (
-	// RelayDecide asks the bucket's owner to decide.
+	// RelayDecide asks the owner of the bucket to choose the endpoint.
 	RelayDecide RelayKind = iota + 1
-	// RelayStore tells the second holder to keep the owner's decision and
-	// to pass the packet on to the endpoint.
+	// RelayStore tells the second holder to store the owner's decision and to
+	// forward the packet to the endpoint.
 	RelayStore
-	// RelayCheck asks the owner whether an answer may pass.
+	// RelayCheck asks the owner of the bucket whether an answer may be forwarded.
 	RelayCheck
-	// RelayWork hands a request or an answer of work to the service's owner.
+	// RelayWork passes a request, or the answer to one, to the owner of the service.
 	RelayWork
 )
 
-// NewRelay returns a relay option. Trace 0 means that the packet is not sampled.
+// NewRelay returns a relay option. A trace of 0 means that the packet isn't sampled.
 func NewRelay(kind RelayKind, endpoint uint32, index, trace uint64) Relay {
 	return Relay{kind: kind, endpoint: endpoint, index: index, trace: trace}
 }
 
-// Kind returns what is asked.
+// Kind returns what the receiver must do.
 func (r Relay) Kind() RelayKind { return r.kind }
 
-// Hops returns how many entries have relayed the packet.
+// Hops returns how often the packet has been relayed.
 func (r Relay) Hops() uint8 { return r.hops }
 
-// Endpoint returns the endpoint that was decided or that sent the answer.
+// Endpoint returns the endpoint that was chosen or that sent the answer.
 func (r Relay) Endpoint() uint32 { return r.endpoint }
 
-// Index returns the index of the state that the sender decided by.
+// Index returns the index of the table that the sender decided with.
 func (r Relay) Index() uint64 { return r.index }
 
-// Trace returns the trace id of a sampled packet, or 0.
+// Trace returns the trace ID of a sampled packet, or 0.
 func (r Relay) Trace() uint64 { return r.trace }
 
-// WithTrace returns the option with the trace id of a sampled packet.
+// WithTrace returns the option with a trace ID.
 func (r Relay) WithTrace(trace uint64) Relay {
 	r.trace = trace
 	return r
 }
 
-// After returns the option as one hop after another one, whose trace it keeps.
+// After returns the option for the hop after previous, with the same trace ID.
 func (r Relay) After(previous Relay) Relay {
 	r.hops = previous.hops + 1
 	r.trace = previous.trace
 	return r
 }
 
-// WithHop returns the option with one more hop counted.
+// WithHop returns the option with the hop count incremented.
 func (r Relay) WithHop() Relay {
 	r.hops++
 	return r
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,7 +1,7 @@
-// Package placement decides which endpoint each bucket of a service is on. It
-// is arithmetic without input or output: the same service and weights give
-// the same moves everywhere. Few buckets move for a change: only those of
-// endpoints that may take no more, and the surplus of the others.
+// Package placement assigns the buckets of a service to its endpoints. It is
+// deterministic: the same service and weights give the same moves on every
+// instance. A change moves only the buckets of endpoints without a share and the
+// surplus of the others.
 package placement
 
 import (
@@ -15,19 +15,19 @@
 )
 
 type (
-	// Weight is the share that an endpoint should get; 0 takes no new flow.
+	// Weight is the relative share of buckets of an endpoint; 0 means no new flows.
 	Weight struct {
 		Endpoint uint32
 		Share    float64
 	}
 
-	// Move puts one bucket on another endpoint.
+	// Move assigns a bucket to another endpoint.
 	Move struct {
 		Bucket   uint32
 		Endpoint uint32
 	}
 
-	// allocation is an endpoint with the buckets it has and should have.
+	// allocation holds the buckets of an endpoint and how many it should have.
 	allocation struct {
 		endpoint uint32
 		target   int
@@ -36,10 +36,10 @@
 )
 
 // Plan returns the moves that bring a service to its weights. Buckets without
-// an endpoint, or on one with share 0, always move; of the others at most
-// limit do. A bucket whose last move is after the active index stays: moving
-// it twice before everyone has heard of the first would need three places.
-// Without any positive share nothing moves, so a service is never emptied.
+// an endpoint, or on one with share 0, always move; at most limit others do. A
+// bucket whose last move is after activeIndex isn't moved: until every entry uses
+// that move, its transition can't represent a further endpoint. If no share is
+// positive, nothing moves.
 func Plan(s *route.Service, weights []Weight, activeIndex uint64, limit int) []Move {
 	allocations := targetAllocations(weights, s.BucketCount())
 	if len(allocations) == 0 {
@@ -66,8 +66,8 @@
 	return !inTransition || t.MovedAt <= activeIndex
 }
 
-// targetAllocations gives each endpoint with a share its count of buckets, by largest
-// remainder, in the order of endpoints.
+// targetAllocations distributes the number of buckets over the endpoints with a
+// share by the largest remainder method.
 func targetAllocations(weights []Weight, buckets int) []allocation {
 	var sum float64
 	var allocations []allocation
@@ -96,8 +96,8 @@
 	return allocations
 }
 
-// placeUnplaced puts each homeless bucket on the endpoint that lacks most; equal ones
-// are told apart by a hash, so that the buckets of one endpoint scatter.
+// placeUnplaced assigns each unplaced bucket to the endpoint with the largest
+// deficit. Ties are broken by a hash, which spreads the buckets of one endpoint.
 func placeUnplaced(service uint32, unplaced []uint32, allocations []allocation) []Move {
 	moves := make([]Move, 0, len(unplaced))
 	for _, b := range unplaced {
@@ -125,8 +125,8 @@
 	return siphash.Hash(uint64(service), uint64(endpoint), []byte{byte(bucket), byte(bucket >> 8), byte(bucket >> 16)})
 }
 
-// rebalance moves buckets from the endpoint with most surplus to the one that
-// lacks most. A surplus of one is left alone: it is worth no record.
+// rebalance moves buckets from the endpoint with the largest surplus to the one
+// with the largest deficit. It ignores a surplus and deficit of one bucket.
 func rebalance(s *route.Service, allocations []allocation, activeIndex uint64, limit int) []Move {
 	var moves []Move
 	for len(moves) < limit {
@@ -159,9 +159,8 @@
 	return surplusIndex, deficitIndex
 }
 
-// takeBucket removes the bucket that is best moved: a settled one, the one
-// with the lowest hash; one in transition only back to where it came from is
-// not worth the care, so it stays.
+// takeBucket removes the bucket with the lowest hash among those that aren't in
+// transition.
 func takeBucket(s *route.Service, a *allocation, activeIndex uint64) (uint32, bool) {
 	best := -1
 	for i, b := range a.buckets {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -55,7 +55,7 @@
 	for e, n := range bucketsPerEndpoint(table) {
 		g.Expect(n).To(gomega.BeNumerically("~", 1024/14, 1), "endpoint %d", e)
 	}
-	g.Expect(Plan(table.Service(service), equalWeights(14), 2, 10)).To(gomega.BeEmpty(), "a placed service is left alone")
+	g.Expect(Plan(table.Service(service), equalWeights(14), 2, 10)).To(gomega.BeEmpty(), "nothing moves once the service is balanced")
 }
 
 func TestDrainMovesOnlyBucketsOfTheEndpoint(t *testing.T) {
@@ -125,9 +125,9 @@
 	}
 }
 
-// BenchmarkImbalance gives random flows to the buckets of a placed service and
-// reports the highest endpoint over the mean: median and 99th percentile of
-// many draws. Run with -benchtime 1x.
+// BenchmarkImbalance hashes random flows to the buckets of a placed service and
+// reports the median and the 99th percentile, over many draws, of the flows on
+// the most loaded endpoint relative to the mean. Run with -benchtime 1x.
 func BenchmarkImbalance(b *testing.B) {
 	const endpoints, draws = 14, 400
 	for _, flows := range []int{1_000 * endpoints, 30_000} {
--- a/internal/route/builder.go
+++ b/internal/route/builder.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Builder makes the next table from the last one. Only what is touched is
-// copied; the old table stays as it was.
+// Builder derives a table from an existing one by copy on write. The existing
+// table isn't changed.
 type Builder struct {
 	next           *Table
 	copied         map[uint32]bool
@@ -15,20 +15,21 @@
 	servicesCopied bool
 }
 
-// NewBuilder starts from a table.
+// NewBuilder returns a builder of the table at index that starts as a copy of from.
 func NewBuilder(from *Table, index uint64) *Builder {
 	next := *from
 	next.index = index
 	return &Builder{next: &next, copied: map[uint32]bool{}}
 }
 
-// Table returns the new table; the builder must not be used afterwards.
+// Table returns the new table. The builder must not be used afterwards.
 func (b *Builder) Table() *Table { return b.next }
 
-// NextServiceID returns the id that a new service gets.
+// NextServiceID returns the ID for the next new service.
 func (b *Builder) NextServiceID() uint32 { return uint32(len(b.next.services)) + 1 }
 
-// PutService adds a service or changes its classes and policy; buckets stay.
+// PutService adds a service, or replaces its name, classes and policy but not its
+// buckets.
 func (b *Builder) PutService(id uint32, name string, classes []Class, policy Policy, buckets int) {
 	b.copyMaps()
 	b.copyServices()
@@ -50,7 +51,7 @@
 	}
 }
 
-// RemoveService drops a service and its endpoints.
+// RemoveService removes a service and its endpoints.
 func (b *Builder) RemoveService(id uint32) {
 	b.copyMaps()
 	b.copyServices()
@@ -67,7 +68,7 @@
 	b.next.services[id-1] = nil
 }
 
-// PutEndpoint adds or replaces an endpoint of a known service.
+// PutEndpoint adds or replaces an endpoint of an existing service.
 func (b *Builder) PutEndpoint(e *Endpoint) {
 	b.copyMaps()
 	b.copyServices()
@@ -82,7 +83,7 @@
 	b.next.byAddr[e.addr] = e.id
 }
 
-// RemoveEndpoint drops an endpoint that no bucket is on.
+// RemoveEndpoint removes an endpoint. No bucket may be assigned to it.
 func (b *Builder) RemoveEndpoint(id uint32) {
 	b.copyMaps()
 	b.copyServices()
@@ -99,8 +100,8 @@
 	delete(b.next.endpoints, id)
 }
 
-// Move gives a bucket a new endpoint. The first endpoint of an empty bucket
-// needs no transition, since no flow can be on it yet.
+// Move assigns a bucket to another endpoint and reports whether that changed the
+// table. A bucket without an endpoint has no flows and needs no transition.
 func (b *Builder) Move(service, bucket, endpoint uint32) bool {
 	b.copyServices()
 	s := b.mutableService(service)
@@ -109,7 +110,7 @@
 	}
 	e := b.next.endpoints[endpoint]
 	if e == nil || e.service != service {
-		return false // never across services
+		return false // an endpoint of another service
 	}
 	old := s.buckets[bucket]
 	if old == endpoint {
@@ -128,7 +129,7 @@
 	return true
 }
 
-// Flip makes the current endpoint of a bucket in transition its default.
+// Flip makes the current endpoint of a bucket in transition its default endpoint.
 func (b *Builder) Flip(service, bucket uint32) {
 	b.copyServices()
 	s := b.mutableService(service)
@@ -141,7 +142,7 @@
 	}
 }
 
-// Reopen puts a settled bucket in transition without moving it.
+// Reopen starts a transition of a settled bucket without moving it.
 func (b *Builder) Reopen(service, bucket uint32) {
 	b.copyServices()
 	s := b.mutableService(service)
@@ -162,7 +163,7 @@
 	}
 }
 
-// PutMember adds or replaces a live entry.
+// PutMember adds or replaces a member.
 func (b *Builder) PutMember(m Member) {
 	if old, listed := b.next.Member(m.name); listed && old.incarnation != m.incarnation {
 		b.next.lossIndex = b.next.index
@@ -173,7 +174,7 @@
 	b.next.members = members
 }
 
-// LoseMember drops an entry that is gone without a word.
+// LoseMember removes an entry that failed, so that its records are lost.
 func (b *Builder) LoseMember(name string) {
 	if _, listed := b.next.Member(name); listed {
 		b.next.lossIndex = b.next.index
@@ -181,30 +182,31 @@
 	b.RemoveMember(name)
 }
 
-// RemoveMember drops an entry that has handed everything over.
+// RemoveMember removes an entry that handed over its records.
 func (b *Builder) RemoveMember(name string) {
 	b.next.members = slices.DeleteFunc(slices.Clone(b.next.members), func(o Member) bool { return o.name == name })
 }
 
-// MarkCut notes that a domain was lost whole.
+// MarkCut marks a domain as lost: none of its entries can be reached.
 func (b *Builder) MarkCut(domain string) {
 	b.MarkCleared(domain)
 	b.next.partitioned = withString(b.next.partitioned, domain)
 }
 
-// MarkReturned notes that a cut domain can be asked again.
+// MarkReturned marks a lost domain as reachable again.
 func (b *Builder) MarkReturned(domain string) {
 	b.MarkCleared(domain)
 	b.next.returned = withString(b.next.returned, domain)
 }
 
-// MarkBereft notes that all can be asked who will ever come back.
+// MarkBereft marks a domain as reachable again, without the records of the
+// entries that failed while it was lost.
 func (b *Builder) MarkBereft(domain string) {
 	b.MarkCleared(domain)
 	b.next.returnedWithLoss = withString(b.next.returnedWithLoss, domain)
 }
 
-// MarkCleared notes that nothing of a domain is in doubt any more.
+// MarkCleared removes every mark of a domain.
 func (b *Builder) MarkCleared(domain string) {
 	b.next.partitioned = withoutString(b.next.partitioned, domain)
 	b.next.returned = withoutString(b.next.returned, domain)
@@ -222,7 +224,7 @@
 	return slices.DeleteFunc(slices.Clone(list), func(o string) bool { return o == s })
 }
 
-// mutableService returns a mutableService that this builder may change.
+// mutableService returns a copy of a service that this builder may change.
 func (b *Builder) mutableService(id uint32) *Service {
 	s := b.next.Service(id)
 	if s == nil || b.copied[id] {
@@ -253,7 +255,7 @@
 	b.mapsCopied = true
 }
 
-// Restore sets the whole placement of a service, as a snapshot holds it.
+// Restore replaces the placement of a service, from a snapshot.
 func (b *Builder) Restore(service uint32, buckets []uint32, transitions map[uint32]Transition, createdAt uint64) {
 	b.copyServices()
 	if s := b.mutableService(service); s != nil {
@@ -261,5 +263,5 @@
 	}
 }
 
-// RestoreLoss sets the index of the last loss of an entry.
+// RestoreLoss sets the loss index, from a snapshot.
 func (b *Builder) RestoreLoss(index uint64) { b.next.lossIndex = index }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -1,8 +1,7 @@
-// Package route holds the table that every entry routes by: services with
-// their buckets, the endpoints on backend servers, and the live entries. A
-// Table is immutable once published; a Builder makes the next one. It is the
-// result of the replicated log and therefore the same on every entry that has
-// applied the same index.
+// Package route holds the routing table of the entries: services with their
+// buckets, the endpoints on backend servers, and the live entries. A Table is
+// immutable; a Builder makes the next one. Tables are derived from the replicated
+// log, so entries that applied the same index have the same table.
 package route
 
 import (
@@ -16,24 +15,24 @@
 )
 
 type (
-	// ServiceKey names a service by what a packet shows of it.
+	// ServiceKey identifies a service by destination address, port and transport.
 	ServiceKey struct {
 		Addr      netip.AddrPort
 		Transport packet.Transport
 	}
 
-	// FlowID identifies a flow by a keyed 128-bit hash of the caller's side
-	// of its tuple. The high half also chooses the bucket.
+	// FlowID identifies a flow by a keyed 128-bit hash of the tuple from the
+	// caller to the service. The high half selects the bucket.
 	FlowID struct {
 		High, Low uint64
 	}
 
-	// Hasher makes flow ids; every entry of a fleet has the same key.
+	// Hasher computes flow IDs. All entries of a fleet use the same key.
 	Hasher struct {
 		key0, key1 uint64
 	}
 
-	// Endpoint is one place on a backend server where a service runs.
+	// Endpoint is an address on a backend server where a service runs.
 	Endpoint struct {
 		id          uint32
 		service     uint32
@@ -46,30 +45,30 @@
 		leaving     bool
 	}
 
-	// EndpointConfig is what an Endpoint is made from.
+	// EndpointConfig holds the fields of a new Endpoint.
 	EndpointConfig struct {
 		ID, Service uint32
 		Name        string
 		Addr        netip.AddrPort
-		Health      netip.AddrPort // not valid where nothing answers
+		Health      netip.AddrPort // invalid if the endpoint has no health check
 		Domain      string
-		Slots       int // requests it runs at a time
-		Connections int // flows it holds at most
+		Slots       int // concurrent requests
+		Connections int // maximum number of flows
 		Leaving     bool
 	}
 
-	// Transition is the state of a bucket whose endpoint has changed: flows
-	// that nobody has a record of are on Default, new flows go to Current
-	// once MovedAt is active, and to Previous until then. From FlippedAt on
-	// the holders have a record of every flow that is not on Current.
+	// Transition is the state of a bucket whose endpoint has changed. Flows
+	// without a record are on Default. New flows go to Previous until MovedAt is
+	// active, then to Current. From FlippedAt on, the holders of the bucket have a
+	// record of every flow that isn't on Current.
 	Transition struct {
 		Default, Previous, Current uint32
 		MovedAt                    uint64
-		FlippedAt                  uint64 // 0 before
+		FlippedAt                  uint64 // 0 if not flipped yet
 	}
 
-	// Service is a set of endpoints that do the same, with its placement and
-	// the classes of traffic that reach it.
+	// Service is a set of equivalent endpoints, with the assignment of its buckets
+	// and the classes of traffic that it serves.
 	Service struct {
 		id          uint32
 		name        string
@@ -81,25 +80,25 @@
 		createdAt   uint64
 	}
 
-	// Class is one address of a service and how its traffic is treated.
+	// Class is one address of a service and how its traffic is handled.
 	Class struct {
 		Name       string
 		Key        ServiceKey
-		Work       bool // requests in CoAP instead of opaque flows
-		Repeatable bool // a request may run more than once
-		Priority   int  // 0 comes first
+		Work       bool // carries CoAP requests rather than opaque flows
+		Repeatable bool // requests are idempotent
+		Priority   int  // 0 is the highest
 	}
 
-	// Policy is what the template of the service's team decides.
+	// Policy holds the settings from the template of the service's team.
 	Policy struct {
 		Team          string
-		Idle          time.Duration // a flow without packets for so long has ended
-		DrainDeadline time.Duration // a leaving backend server keeps flows this long
-		Balance       float64       // 0: never move for balance, 1: at any imbalance
-		RequestLife   time.Duration // the longest life of a request
-		QueueLimit    int           // requests that wait at most
-		LowestShare   float64       // share of the slots that lower classes get under pressure
-		RetryShare    float64       // retries as a share of first attempts
+		Idle          time.Duration // after which a flow without packets has ended
+		DrainDeadline time.Duration // how long a leaving endpoint keeps its flows
+		Balance       float64       // 0: never rebalance, 1: rebalance at any imbalance
+		RequestLife   time.Duration // maximum lifetime of a request
+		QueueLimit    int           // maximum number of queued requests
+		LowestShare   float64       // minimum share of the slots for lower priorities under load
+		RetryShare    float64       // maximum ratio of retries to first attempts
 	}
 
 	classRef struct {
@@ -107,7 +106,7 @@
 		classIndex int
 	}
 
-	// Member is a live entry.
+	// Member is an entry in the list of live entries.
 	Member struct {
 		name        string
 		domain      string
@@ -119,8 +118,8 @@
 )
 
 const (
-	addressesLen         = 32 // of two IPv6 addresses
-	portsAndTransportLen = 5  // of two ports and the transport
+	addressesLen         = 32 // two IPv6 addresses
+	portsAndTransportLen = 5  // two ports and the transport
 )
 
 // NewHasher returns a Hasher with the fleet's key.
@@ -128,8 +127,8 @@
 	return Hasher{binary.LittleEndian.Uint64(key[:8]), binary.LittleEndian.Uint64(key[8:])}
 }
 
-// Flow returns the id of the flow that a caller's tuple belongs to; answers
-// are given reversed.
+// Flow returns the ID of the flow with the given tuple from the caller to the
+// service. For answers, pass the reversed tuple.
 func (h Hasher) Flow(t packet.Tuple) FlowID {
 	var b [addressesLen + portsAndTransportLen]byte
 	n := addressesLen
@@ -137,7 +136,7 @@
 		src, dst := t.Src().Addr().As4(), t.Dst().Addr().As4()
 		copy(b[:], src[:])
 		copy(b[len(src):], dst[:])
-		n = len(src) + len(dst) // a different length is a different hash
+		n = len(src) + len(dst) // IPv4 input is shorter, so it can't collide with IPv6
 	} else {
 		src, dst := t.Src().Addr().As16(), t.Dst().Addr().As16()
 		copy(b[:], src[:])
@@ -150,73 +149,73 @@
 	return FlowID{high, low}
 }
 
-// Request returns the id of the request that a caller's tuple and token name.
+// Request returns the ID of the request with the given CoAP token on a caller's tuple.
 func (h Hasher) Request(t packet.Tuple, token []byte) FlowID {
 	flow := h.Flow(t)
 	high, low := siphash.Hash128(flow.High, flow.Low, token)
 	return FlowID{high, low}
 }
 
-// NewEndpoint returns an endpoint.
+// NewEndpoint returns the endpoint described by c.
 func NewEndpoint(c EndpointConfig) *Endpoint {
 	return &Endpoint{c.ID, c.Service, c.Name, c.Addr, c.Health, c.Domain, c.Slots, c.Connections, c.Leaving}
 }
 
-// ID returns the number that names the endpoint for ever.
+// ID returns the ID of the endpoint, which is never reused.
 func (e *Endpoint) ID() uint32 { return e.id }
 
-// Service returns the id of the service that the endpoint belongs to.
+// Service returns the ID of the endpoint's service.
 func (e *Endpoint) Service() uint32 { return e.service }
 
-// Name returns the operator's name of the endpoint.
+// Name returns the configured name of the endpoint.
 func (e *Endpoint) Name() string { return e.name }
 
-// Addr returns the address that takes Geneve for the endpoint.
+// Addr returns the address to which Geneve datagrams for the endpoint are sent.
 func (e *Endpoint) Addr() netip.AddrPort { return e.addr }
 
-// Health returns where the backend server tells how the endpoint is.
+// Health returns the address of the endpoint's health check.
 func (e *Endpoint) Health() netip.AddrPort { return e.health }
 
 // Domain returns the failure domain of the backend server.
 func (e *Endpoint) Domain() string { return e.domain }
 
-// Slots returns how many requests the endpoint runs at a time.
+// Slots returns how many requests the endpoint runs concurrently.
 func (e *Endpoint) Slots() int { return e.slots }
 
-// Connections returns how many flows the endpoint holds at most.
+// Connections returns the maximum number of flows of the endpoint.
 func (e *Endpoint) Connections() int { return e.connections }
 
-// Leaving reports whether the endpoint must get no new work.
+// Leaving reports whether the endpoint must get no new flows or requests.
 func (e *Endpoint) Leaving() bool { return e.leaving }
 
-// ID returns the number that names the service for ever.
+// ID returns the ID of the service, which is never reused.
 func (s *Service) ID() uint32 { return s.id }
 
-// Name returns the operator's name of the service.
+// Name returns the configured name of the service.
 func (s *Service) Name() string { return s.name }
 
-// Classes returns the classes of traffic of the service; not to be changed.
+// Classes returns the classes of traffic of the service. The slice must not be changed.
 func (s *Service) Classes() []Class { return s.classes }
 
-// Endpoints returns the ids of the endpoints in order; not to be changed.
+// Endpoints returns the sorted IDs of the endpoints. The slice must not be changed.
 func (s *Service) Endpoints() []uint32 { return s.endpoints }
 
-// CreatedAt returns the index at which the service came to be.
+// CreatedAt returns the log index at which the service was created.
 func (s *Service) CreatedAt() uint64 { return s.createdAt }
 
-// Policy returns what the template of the service's team decides.
+// Policy returns the settings from the template of the service's team.
 func (s *Service) Policy() Policy { return s.policy }
 
-// BucketCount returns the number of buckets, a power of two.
+// BucketCount returns the number of buckets, which is a power of two.
 func (s *Service) BucketCount() int { return len(s.buckets) }
 
 // Bucket returns the bucket of a flow.
 func (s *Service) Bucket(id FlowID) uint32 { return uint32(id.High) & uint32(len(s.buckets)-1) }
 
-// Current returns the endpoint that a bucket is meant to be on; 0 is none.
+// Current returns the endpoint to which a bucket is assigned, or 0 if none.
 func (s *Service) Current(bucket uint32) uint32 { return s.buckets[bucket] }
 
-// Transition returns the transition that the bucket is in, if any.
+// Transition returns the transition of a bucket, if it is in one.
 func (s *Service) Transition(bucket uint32) (Transition, bool) {
 	if len(s.transitions) == 0 {
 		return Transition{}, false
@@ -225,11 +224,10 @@
 	return t, ok
 }
 
-// Open returns the buckets in transition. The map must not be changed.
+// Open returns the transitions by bucket. The map must not be changed.
 func (s *Service) Open() map[uint32]Transition { return s.transitions }
 
-// ForNew returns the endpoint for a new flow when changes up to the active
-// index are in use.
+// ForNew returns the endpoint for a new flow, given the active index.
 func (t Transition) ForNew(active uint64) uint32 {
 	if t.MovedAt <= active {
 		return t.Current
@@ -237,40 +235,40 @@
 	return t.Previous
 }
 
-// Flipped reports whether the holders know every flow that is not on Current.
+// Flipped reports whether the holders have a record of every flow that isn't on Current.
 func (t Transition) Flipped() bool { return t.FlippedAt > 0 }
 
-// FlipActive reports whether every entry knows that, so that a new flow on
-// Current needs neither the owner nor a record.
+// FlipActive reports whether every entry has applied the flip, so that a new flow
+// on Current needs neither the owner nor a record.
 func (t Transition) FlipActive(active uint64) bool { return t.Flipped() && t.FlippedAt <= active }
 
-// NewMember returns a live entry.
+// NewMember returns a member of the list of live entries.
 func NewMember(name, domain string, incarnation uint64, leaving bool, joinedAt uint64) Member {
 	return Member{name, domain, incarnation, leaving, joinedAt, siphash.Hash(1, 2, []byte(name))}
 }
 
-// Name returns the name of the instance.
+// Name returns the name of the entry's instance.
 func (m Member) Name() string { return m.name }
 
-// Domain returns its failure domain.
+// Domain returns the failure domain of the entry.
 func (m Member) Domain() string { return m.domain }
 
-// Incarnation returns the number of its present life.
+// Incarnation returns the incarnation of the entry, which differs after each restart.
 func (m Member) Incarnation() uint64 { return m.incarnation }
 
-// Leaving reports a planned stop.
+// Leaving reports whether the entry is shutting down as planned.
 func (m Member) Leaving() bool { return m.leaving }
 
-// JoinedAt returns the index at which this life of the entry was listed.
+// JoinedAt returns the log index at which this incarnation joined.
 func (m Member) JoinedAt() uint64 { return m.joinedAt }
 
-// score orders the members for one bucket: rendezvous hashing.
+// score returns the rendezvous hash of the member for a bucket.
 func (m Member) score(service, bucket uint32) uint64 {
 	return siphash.Hash(m.hashSeed, uint64(service)<<32|uint64(bucket), nil)
 }
 
-// Rank returns the owner and the second holder of a bucket among members
-// that are not leaving; a name is empty where there are too few.
+// Rank returns the owner and the second holder of a bucket by rendezvous hashing.
+// Leaving members are skipped; a name is empty if there are too few members.
 func Rank(members []Member, service, bucket uint32) (owner, second string) {
 	var ownerScore, secondScore uint64
 	for i := range members {
@@ -289,11 +287,11 @@
 	return owner, second
 }
 
-// WorkBucket is the bucket number by which the owner of a service's work is
-// ranked; no placement bucket has it.
+// WorkBucket is the bucket number to pass to Rank for the owner of a service's
+// requests. It is never the number of a placement bucket.
 const WorkBucket = ^uint32(0)
 
-// BucketsFor returns how many buckets a service with n endpoints has: at
+// BucketsFor returns the number of buckets of a service with n endpoints: at
 // least 64 for each, so that one bucket is under 2% of an endpoint's share.
 func BucketsFor(n int) int {
 	count := 64
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -2,18 +2,18 @@
 
 import "net/netip"
 
-// Table is the immutable state that entries route by.
+// Table is an immutable routing table.
 type Table struct {
 	index            uint64
-	services         []*Service // by id - 1; nil where removed
+	services         []*Service // by ID - 1; nil if removed
 	byKey            map[ServiceKey]classRef
 	endpoints        map[uint32]*Endpoint
 	byAddr           map[netip.AddrPort]uint32
 	members          []Member
-	partitioned      []string // domains that may hold flows which the others cannot ask about
-	returned         []string // domains that are back and can be asked
-	returnedWithLoss []string // domains that are back without what their lost entries knew
-	lossIndex        uint64   // of the last command that dropped or replaced an entry
+	partitioned      []string // lost domains, which may have placed flows that others can't ask about
+	returned         []string // domains that are reachable again
+	returnedWithLoss []string // domains that are reachable again without the records of failed entries
+	lossIndex        uint64   // of the last command that removed a failed entry or replaced an incarnation
 }
 
 // Empty returns a table without services.
@@ -25,10 +25,10 @@
 	}
 }
 
-// Index returns the index of the last command that made this table.
+// Index returns the log index of the last command applied to the table.
 func (t *Table) Index() uint64 { return t.index }
 
-// Lookup returns the service and the class that a packet is meant for, or nil.
+// Lookup returns the service and the class for a key, or nil.
 func (t *Table) Lookup(key ServiceKey) (*Service, *Class) {
 	ref, ok := t.byKey[key]
 	if !ok {
@@ -38,7 +38,7 @@
 	return s, &s.classes[ref.classIndex]
 }
 
-// Service returns a service by id, or nil.
+// Service returns a service by ID, or nil.
 func (t *Table) Service(id uint32) *Service {
 	if id == 0 || int(id) > len(t.services) {
 		return nil
@@ -46,7 +46,7 @@
 	return t.services[id-1]
 }
 
-// Services calls f for each service in the order of ids.
+// Services calls f for each service in the order of IDs.
 func (t *Table) Services(f func(*Service)) {
 	for _, s := range t.services {
 		if s != nil {
@@ -55,13 +55,13 @@
 	}
 }
 
-// Endpoint returns an endpoint by id, or nil.
+// Endpoint returns an endpoint by ID, or nil.
 func (t *Table) Endpoint(id uint32) *Endpoint { return t.endpoints[id] }
 
-// EndpointAt returns the endpoint at an address, or nil.
+// EndpointAt returns the endpoint with an address, or nil.
 func (t *Table) EndpointAt(addr netip.AddrPort) *Endpoint { return t.endpoints[t.byAddr[addr]] }
 
-// EndpointsOf returns the endpoints of a service in the order of ids.
+// EndpointsOf returns the endpoints of a service in the order of IDs.
 func (t *Table) EndpointsOf(service uint32) []*Endpoint {
 	s := t.Service(service)
 	if s == nil {
@@ -74,10 +74,10 @@
 	return found
 }
 
-// EndpointCount returns how many endpoints the table knows.
+// EndpointCount returns the number of endpoints.
 func (t *Table) EndpointCount() int { return len(t.endpoints) }
 
-// Members returns the live entries in the order of names; not to be changed.
+// Members returns the live entries sorted by name. The slice must not be changed.
 func (t *Table) Members() []Member { return t.members }
 
 // Member returns a live entry by name.
@@ -90,19 +90,20 @@
 	return Member{}, false
 }
 
-// Cut returns the domains that were lost whole and not seen since.
+// Cut returns the domains that are lost: none of their entries can be reached.
 func (t *Table) Cut() []string { return t.partitioned }
 
-// Returned returns the domains that were cut off and can be asked again.
+// Returned returns the domains that are reachable again but not yet cleared.
 func (t *Table) Returned() []string { return t.returned }
 
-// Bereft returns the domains that are back, but without what those of their
-// entries knew that were lost meanwhile.
+// Bereft returns the domains that are reachable again without the records of the
+// entries that failed while the domain was lost.
 func (t *Table) Bereft() []string { return t.returnedWithLoss }
 
-// LossIndex returns the index at which an entry was last dropped or replaced.
+// LossIndex returns the index at which an entry was last lost or replaced by a new
+// incarnation.
 func (t *Table) LossIndex() uint64 { return t.lossIndex }
 
-// Suspect reports whether flows may exist that the table does not place: the
-// owner then asks its peers before it takes a bucket's endpoint for granted.
+// Suspect reports whether flows may exist on other endpoints than the table says.
+// Owners then ask their peers before they use the default endpoint of a bucket.
 func (t *Table) Suspect() bool { return len(t.partitioned)+len(t.returned)+len(t.returnedWithLoss) > 0 }
