--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller makes the decisions of the leading control instance:
-// leases and membership of the entries, which changes are in use, placement,
-// and when a transition ends. It takes beats and the time, and gives commands
-// for the replicated log. It has no input or output.
+// Package controller makes the decisions of the leading control instance: which
+// entries hold a lease and are listed as members, which log index is active, where
+// buckets are placed, and when transitions end. It takes heartbeats and the
+// current time, returns commands for the replicated log, and does no I/O.
 package controller
 
 import (
@@ -13,51 +13,53 @@
 )
 
 type (
-	// Config sets the times and bounds of the controller.
+	// Config holds the timing and limits of a Controller.
 	Config struct {
-		Lease       time.Duration // an entry may decide this long after its beat
-		Margin      time.Duration // covers the drift of clocks over one lease
-		SettleAfter time.Duration // no flow must be left for so long
-		ReturnWait  time.Duration // an entry of a domain that is back must show itself in this time
-		PlaceEvery  time.Duration // how often placement is looked at
-		MovesAtOnce int           // buckets moved for balance in one look at one service
+		Lease       time.Duration // how long a heartbeat lets an entry decide
+		Margin      time.Duration // maximum clock drift during one lease
+		SettleAfter time.Duration // how long a bucket must have no flows elsewhere before it settles
+		ReturnWait  time.Duration // how long to wait for the entries of a domain that is reachable again
+		PlaceEvery  time.Duration // interval between placement rounds
+		MovesAtOnce int           // maximum number of buckets moved per service and round to balance load
 		Health      health.Config
 	}
 
-	// member is what the controller knows of an entry.
+	// member is the state of one entry.
 	member struct {
 		name, domain string
 		incarnation  uint64
-		leaseUntil   time.Time // by the controller's clock, with margin
+		leaseUntil   time.Time // by the controller's clock, including the margin
 		lastBeat     time.Time
 		appliedIndex uint64
 		countedIndex uint64
-		beatReceived bool // by this controller, in this life
+		beatReceived bool // by this controller, from this incarnation
 		counts       map[bucketKey]flowCount
 	}
 
+	// flowCount is the number of flows of a bucket on other endpoints than its current
+	// one, and how many of them its holders haven't confirmed.
 	flowCount struct {
 		flows, pending uint32
 	}
 
-	// returnedDomain follows a domain that was lost whole and is back.
+	// returnedDomain tracks a lost domain that is reachable again.
 	returnedDomain struct {
 		returnedAt  time.Time
-		returnIndex uint64 // of the state when it came back
-		reopenIndex uint64 // from which its buckets with flows elsewhere are open
+		returnIndex uint64 // of the state when it became reachable
+		reopenIndex uint64 // when active, its buckets with flows elsewhere are in transition
 	}
 
 	bucketKey struct {
 		service, bucket uint32
 	}
 
-	// Grant is the answer to a beat.
+	// Grant is the reply to a heartbeat.
 	Grant struct {
-		Lease  time.Duration // 0 is none
+		Lease  time.Duration // 0 if no lease is granted
 		Active uint64
 	}
 
-	// MemberStatus is what status shows of an entry.
+	// MemberStatus is the reported status of an entry.
 	MemberStatus struct {
 		Name, Domain string
 		Applied      uint64
@@ -65,28 +67,28 @@
 		Leased       bool
 	}
 
-	// Controller decides for one term of leadership.
+	// Controller makes the decisions of one leader during one term.
 	Controller struct {
 		config           Config
 		state            *control.State
 		startIndex       uint64
 		activeIndex      uint64
 		members          map[string]*member
-		joining          map[string]*wire.Member
-		stopped          map[string]bool // entries that have said their last word
+		joining          map[string]*wire.Member // entries to list, or to list as leaving
+		stopped          map[string]bool         // entries that sent their last heartbeat before a planned stop
 		returnedDomains  map[string]*returnedDomain
-		lostIncarnations map[string]map[string]uint64 // the lives of a domain's entries when it was lost
-		lossSince        map[string]time.Time         // since when
+		lostIncarnations map[string]map[string]uint64 // incarnations of the entries of a lost domain, by domain and name
+		lossSince        map[string]time.Time         // since when a domain is known to have lost records
 		tracked          map[bucketKey]*trackedTransition
 		assessor         *health.Assessor
 		lastPlans        map[uint32]lastPlan
 		lastPlacement    time.Time
-		rotation         uint32 // which services are looked at next
+		rotation         uint32 // position in the rotation over all services
 	}
 )
 
-// New returns the controller of a new term. Members that the state names may
-// still hold a lease of the former leader.
+// New returns the controller of a new term. It assumes that each listed member
+// still holds a lease from the previous leader.
 func New(c Config, now time.Time, state *control.State, startIndex uint64) *Controller {
 	k := &Controller{
 		config: c, state: state, startIndex: startIndex,
@@ -103,18 +105,18 @@
 	return k
 }
 
-// SetState replaces the state after a snapshot was taken over.
+// SetState replaces the state, after a snapshot was installed.
 func (k *Controller) SetState(s *control.State) { k.state = s }
 
-// Active returns the index up to which changes are in use.
+// Active returns the active index: entries use changes up to it.
 func (k *Controller) Active() uint64 { return k.activeIndex }
 
-// Assessor returns the weighed reports, for explanations.
+// Assessor returns the assessor of health reports.
 func (k *Controller) Assessor() *health.Assessor { return k.assessor }
 
-// Beat takes the beat of an entry and answers it. The lease counts from when
-// the entry sent the beat, so it ends there before it ends here. Current says
-// that this instance can show its own lease as leader.
+// Beat handles a heartbeat. The entry counts its lease from when it sent the
+// heartbeat, so that the lease ends there before it ends here. The argument
+// current says whether this instance still holds its own lease as leader.
 func (k *Controller) Beat(now time.Time, r *wire.BeatRequest, current bool) Grant {
 	if !current {
 		return Grant{Active: k.activeIndex}
@@ -143,7 +145,7 @@
 	return Grant{Lease: k.config.Lease, Active: k.activeIndex}
 }
 
-// replaceIncarnation begins a new life of an entry. What its former life had seen is lost.
+// replaceIncarnation starts a new incarnation of an entry; the state of the old one is lost.
 func (k *Controller) replaceIncarnation(old *member, r *wire.BeatRequest) *member {
 	m := &member{name: r.Name, domain: r.Domain, incarnation: r.Incarnation, counts: map[bucketKey]flowCount{}}
 	if old != nil {
@@ -154,7 +156,8 @@
 	return m
 }
 
-// recordStop notes the last beat of a planned stop: the entry decides no more.
+// recordStop handles the last heartbeat of a planned stop, after which the entry
+// makes no more decisions.
 func (k *Controller) recordStop(r *wire.BeatRequest) {
 	if m, listed := k.state.Table().Member(r.Name); listed && m.Incarnation() == r.Incarnation {
 		k.stopped[r.Name] = true
@@ -163,8 +166,8 @@
 	}
 }
 
-// admit reports whether the state lists this life of the entry; else it
-// notes the entry to be listed.
+// admit reports whether the state lists this incarnation of the entry. If it
+// doesn't, or not as leaving, the entry is queued to be listed.
 func (k *Controller) admit(r *wire.BeatRequest) bool {
 	m, listed := k.state.Table().Member(r.Name)
 	if listed && m.Incarnation() == r.Incarnation && m.Leaving() == r.Stopping {
@@ -186,8 +189,8 @@
 	}
 }
 
-// Tick does what is due and returns the commands to be agreed on. It must be
-// called only when every command it returned before has been applied.
+// Tick returns the commands to propose. It must be called only when all commands
+// that it returned earlier have been applied.
 func (k *Controller) Tick(now time.Time) []*wire.Command {
 	k.advanceActiveIndex(now)
 	var commands []*wire.Command
@@ -205,7 +208,8 @@
 	return commands
 }
 
-// advanceActiveIndex moves the active index to what every entry with a lease has applied.
+// advanceActiveIndex sets the active index to the lowest index that the entries
+// with a lease have applied.
 func (k *Controller) advanceActiveIndex(now time.Time) {
 	minApplied := k.state.Index()
 	for _, m := range k.members {
@@ -216,7 +220,7 @@
 	k.activeIndex = max(k.activeIndex, minApplied)
 }
 
-// Status returns what is known of the entries.
+// Status returns the status of all listed entries.
 func (k *Controller) Status(now time.Time) []MemberStatus {
 	var all []MemberStatus
 	for _, m := range k.state.Table().Members() {
@@ -229,8 +233,8 @@
 	return all
 }
 
-// FlowsLeft returns how many flows of a bucket are not on its current
-// endpoint: the most that one entry has seen.
+// FlowsLeft returns how many flows of a bucket aren't on its current endpoint: the
+// highest number that any entry reports.
 func (k *Controller) FlowsLeft(service, bucket uint32) uint32 {
 	var maxFlows uint32
 	for _, m := range k.members {
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -2,22 +2,22 @@
 
 import "oxbowsaddle/internal/wire"
 
-// chunkBytes bounds the part of a snapshot, and the log entries, that one
-// answer to a beat carries.
+// chunkBytes bounds the log entries, or the part of a snapshot, in one reply to a
+// heartbeat.
 const chunkBytes = 48 << 10
 
-// Feed brings an entry forward: by the log entries that it lacks or, where
-// the log no longer holds them, by a snapshot in chunks.
+// Feed sends an entry the log entries that it lacks or, if the log has been
+// compacted, a snapshot in chunks.
 type Feed struct {
-	// Entries returns committed entries from an index on, and false where the
-	// log begins after it.
+	// Entries returns committed log entries starting at an index, or false if the
+	// log has been compacted beyond it.
 	Entries func(from uint64, maxBytes int) ([]*wire.LogEntry, bool)
-	// Snapshot returns the whole state and its index; the same bytes as long
-	// as the index is the same.
+	// Snapshot returns the whole state and its index. It must return the same bytes
+	// for the same index, since chunks are taken from several calls.
 	Snapshot func() (uint64, []byte, error)
 }
 
-// Fill adds to a reply what the sender of the request lacks.
+// Fill adds the log entries or the snapshot chunk that r's sender needs to reply.
 func (f Feed) Fill(reply *wire.BeatReply, r *wire.BeatRequest) error {
 	entries, ok := f.Entries(r.Applied+1, chunkBytes)
 	if ok {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -9,9 +9,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// membershipCommands lists entries that have come and drops those whose lease has run
-// out. A domain that is lost whole may only be cut off and serve by itself, so
-// it is marked before its entries are dropped.
+// membershipCommands lists entries that joined and removes those that stopped or
+// whose lease expired. A domain of which all entries expired may be partitioned and
+// still serving by itself, so it is marked before its entries are removed.
 func (k *Controller) membershipCommands(now time.Time) []*wire.Command {
 	var commands []*wire.Command
 	change := &wire.Members{}
@@ -32,7 +32,7 @@
 			continue
 		}
 		if !aliveDomains[m.Domain()] && !m.Leaving() && !slices.Contains(k.state.Table().Cut(), m.Domain()) {
-			aliveDomains[m.Domain()] = true // marked once
+			aliveDomains[m.Domain()] = true // mark the domain only once
 			k.lostIncarnations[m.Domain()] = k.incarnationsIn(m.Domain())
 			delete(k.returnedDomains, m.Domain())
 			commands = append(commands, suspectCommand(&wire.Suspect{Domain: m.Domain()}))
@@ -51,8 +51,8 @@
 	return commands
 }
 
-// listedUntil returns until when an entry stays listed: while it has a lease,
-// and long enough after a beat to apply what it lacks and get its first one.
+// listedUntil returns when an entry is removed: after its lease, or when it had
+// enough time since a heartbeat to catch up with the log and get a lease.
 func (k *Controller) listedUntil(m *member) time.Time {
 	beatDeadline := m.lastBeat.Add(k.config.Lease + k.config.Margin)
 	if beatDeadline.After(m.leaseUntil) {
@@ -76,7 +76,7 @@
 	return slices.ContainsFunc(change.Joined, func(m *wire.Member) bool { return m.Name == name })
 }
 
-// aliveDomains returns the domains of which an entry is heard.
+// aliveDomains returns the domains with at least one entry that hasn't expired.
 func (k *Controller) aliveDomains(now time.Time) map[string]bool {
 	domains := map[string]bool{}
 	for _, m := range k.members {
@@ -91,8 +91,7 @@
 	return &wire.Command{Body: &wire.Command_Suspect{Suspect: s}}
 }
 
-// markReturned marks each domain that was lost whole and of which an entry
-// holds a lease again as one that can be asked.
+// markReturned marks each lost domain that has a live entry as reachable again.
 func (k *Controller) markReturned(now time.Time, aliveDomains map[string]bool) []*wire.Command {
 	var commands []*wire.Command
 	for _, domain := range k.state.Table().Cut() {
@@ -104,9 +103,9 @@
 	return commands
 }
 
-// resolveReturned ends the doubt about domains that are back: once every entry has
-// counted its flows since, the buckets that have flows elsewhere are opened,
-// and when that is in force everywhere the domain is cleared.
+// resolveReturned clears domains that are reachable again. Once every entry has
+// counted its flows since the return, it reopens the buckets with flows on other
+// endpoints; when that is active, it clears the domains.
 func (k *Controller) resolveReturned(now time.Time) []*wire.Command {
 	domains := k.state.Table().Returned()
 	if len(domains) == 0 {
@@ -131,11 +130,11 @@
 	return commands
 }
 
-// domainCounted reports whether all flows of a domain that is back are known.
+// domainCounted reports whether all flows of a returned domain have been counted.
 func (k *Controller) domainCounted(now time.Time, domain string) bool {
 	returned := k.returnedDomains[domain]
 	if returned == nil {
-		returned = &returnedDomain{returnedAt: now, returnIndex: k.state.Index()} // marked under a former leader
+		returned = &returnedDomain{returnedAt: now, returnIndex: k.state.Index()} // marked under an earlier leader
 		k.returnedDomains[domain] = returned
 	}
 	waited := now.Sub(returned.returnedAt)
@@ -143,8 +142,8 @@
 		(k.allMembersReturned(domain) || waited >= k.config.ReturnWait)
 }
 
-// allMembersReturned reports whether every entry that a domain had when it was lost is
-// listed again. Under a leader that did not see the loss it cannot be known.
+// allMembersReturned reports whether every entry that a domain had when it was lost
+// is listed again. It is false if the domain was lost under an earlier leader.
 func (k *Controller) allMembersReturned(domain string) bool {
 	incarnations, known := k.lostIncarnations[domain]
 	for name := range incarnations {
@@ -155,7 +154,7 @@
 	return known
 }
 
-// sameIncarnations reports whether all of them live the life that they had then.
+// sameIncarnations reports whether they are listed with the incarnations that they had.
 func (k *Controller) sameIncarnations(domain string) bool {
 	incarnations, known := k.lostIncarnations[domain]
 	for name, incarnation := range incarnations {
@@ -166,8 +165,8 @@
 	return known
 }
 
-// resolveLosses ends the doubt about what lost entries of a cut domain knew: after
-// one idle limit every flow of theirs has been reset or is over.
+// resolveLosses clears domains that returned without the records of failed
+// entries. After one idle timeout all flows in those records have ended or been reset.
 func (k *Controller) resolveLosses(now time.Time) []*wire.Command {
 	domains := k.state.Table().Bereft()
 	if len(domains) == 0 {
@@ -188,8 +187,8 @@
 	return commands
 }
 
-// reopenCommands returns commands that open the settled buckets of which an entry
-// still sees flows on another endpoint.
+// reopenCommands returns commands that put settled buckets in transition for which
+// an entry reports flows on another endpoint.
 func (k *Controller) reopenCommands() []*wire.Command {
 	buckets := map[uint32][]uint32{}
 	for _, m := range k.members {
@@ -214,7 +213,7 @@
 }
 
 // allMembersCounted reports whether every entry with a lease has counted its flows
-// since an index was applied.
+// since it applied an index.
 func (k *Controller) allMembersCounted(now time.Time, since uint64) bool {
 	for _, m := range k.members {
 		if now.Before(m.leaseUntil) && (!m.beatReceived || m.countedIndex < since) {
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -10,18 +10,18 @@
 )
 
 const (
-	// minServicesPerRound services are looked at each time, and all of them in as many
-	// looks as looksForAll; one that has changed is looked at at once.
+	// Each round looks at services that have changed, at minServicesPerRound others
+	// at least, and at all of them within roundsPerRotation rounds.
 	minServicesPerRound = 64
 	roundsPerRotation   = 16
 )
 
-// lastPlan is the last look at a service, so that one that has not changed costs
-// a comparison.
+// lastPlan is the input and outcome of the last plan of a service. It lets rounds
+// without a change skip the planning.
 type lastPlan struct {
 	service     *route.Service
 	weights     []placement.Weight
-	activeIndex uint64 // a bucket that had to stay may move when this goes on
+	activeIndex uint64 // a bucket that couldn't be moved may be movable once this advances
 	noMoves     bool
 }
 
@@ -36,7 +36,7 @@
 		position++
 		due := (position+total-1-k.rotation%max(total, 1))%max(total, 1) < perRound
 		if !due && k.lastPlans[s.ID()].service == s {
-			return // it has not changed, and its reports are looked at in its turn
+			return // unchanged, and its reports are checked when its turn comes
 		}
 		weights := k.assessor.Weights(now, s, table.EndpointsOf(s.ID()))
 		last := k.lastPlans[s.ID()]
@@ -56,8 +56,8 @@
 	return []*wire.Command{{Body: &wire.Command_Moves{Moves: moves}}}
 }
 
-// moveLimit bounds the moves for balance: with a template that leans to
-// unbroken flows few buckets are in transition at a time.
+// moveLimit bounds the moves to balance load. The lower the balance setting, the
+// fewer buckets may be in transition at a time.
 func (k *Controller) moveLimit(s *route.Service) int {
 	maxInTransition := int(float64(s.BucketCount()) * (0.02 + 0.1*s.Policy().Balance))
 	return max(0, min(k.config.MovesAtOnce, maxInTransition-len(s.Open())))
--- a/internal/controller/transition.go
+++ b/internal/controller/transition.go
@@ -9,15 +9,15 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// trackedTransition is what the controller follows of a bucket in trackedTransition.
+// trackedTransition is the controller's state of a bucket in transition.
 type trackedTransition struct {
 	movedAt      uint64
-	stableSince  time.Time // since when nothing was lost that knew of its flows
-	drainedSince time.Time // since when no entry has seen a flow elsewhere
+	stableSince  time.Time // since when no entry that knew of its flows was lost
+	drainedSince time.Time // since when no entry reports flows on another endpoint
 }
 
-// memberLost notes that an entry is gone: of the buckets that it saw flows of, or
-// had not counted yet, every living flow must show itself once more.
+// memberLost resets the wait of the buckets for which the entry reported flows or
+// hadn't counted them yet: other entries must see a packet of each of these flows.
 func (k *Controller) memberLost(m *member) {
 	for key, t := range k.tracked {
 		if m.counts[key].flows > 0 || m.countedIndex < t.movedAt {
@@ -26,12 +26,13 @@
 	}
 }
 
-// transitionCommands ends what can be ended. A bucket is flipped when its holders
-// know every flow that is elsewhere: after one idle limit each living flow has
-// shown itself. It is settled when every entry knows of the flip and no flow
-// is elsewhere any more, or when the drain deadline of its former endpoint has
-// passed. Without the flip between, one entry would take the old endpoint for
-// the default while another already sends new flows to the new one unrecorded.
+// transitionCommands ends transitions in two steps. A bucket is flipped when its
+// holders have a record of every flow that is on another endpoint, which takes one
+// idle timeout, since each live flow sends a packet in that time. It is settled when
+// the flip is active and no flow is on another endpoint, or when the drain deadline
+// of its former endpoint has passed. Without the flip, one entry could use the old
+// endpoint as the default while another sends new flows to the new endpoint without
+// a record.
 func (k *Controller) transitionCommands(now time.Time) []*wire.Command {
 	var commands []*wire.Command
 	seen := map[bucketKey]bool{}
@@ -71,6 +72,7 @@
 	return []*wire.Command{{Body: &wire.Command_Settle{Settle: &wire.Settle{Service: service, Buckets: buckets, Forced: forced}}}}
 }
 
+// transitionAction is the next step of a bucket in transition.
 type transitionAction int
 
 const (
@@ -80,6 +82,7 @@
 	actionFlip
 )
 
+// nextAction returns the next step of a bucket in transition.
 func (k *Controller) nextAction(now time.Time, s *route.Service, key bucketKey, t route.Transition) transitionAction {
 	if t.MovedAt > k.activeIndex {
 		return actionNone
@@ -95,8 +98,8 @@
 		tracked.drainedSince = now
 	}
 	if k.state.Table().Suspect() {
-		// Packets of flows that nobody knows are withheld, so a living flow may
-		// not show itself: it has an idle limit for it once the doubt has ended.
+		// Packets of unknown flows are dropped, so live flows may go unseen. They get a
+		// full idle timeout when the table is certain again.
 		tracked.stableSince = time.Time{}
 		return actionNone
 	}
@@ -112,7 +115,7 @@
 	return actionNone
 }
 
-// track returns what is followed of a bucket, begun anew when it has moved.
+// track returns the state of a bucket in transition, reset if the bucket has moved again.
 func (k *Controller) track(now time.Time, key bucketKey, t route.Transition) *trackedTransition {
 	tracked := k.tracked[key]
 	if tracked == nil || tracked.movedAt != t.MovedAt {
@@ -125,7 +128,7 @@
 	return tracked
 }
 
-// forcedAction ends a transition whose deadline has passed, in the same two steps.
+// forcedAction returns the next step to end a transition after the drain deadline.
 func (k *Controller) forcedAction(t route.Transition) transitionAction {
 	switch {
 	case !t.Flipped():
@@ -136,7 +139,7 @@
 	return actionNone
 }
 
-// bucketCounts sums up what the entries with a lease have reported of a bucket.
+// bucketCounts combines the flow counts of a bucket that the entries reported.
 func (k *Controller) bucketCounts(now time.Time, key bucketKey, movedAt uint64) (flows, pending uint32, counted bool) {
 	counted = k.allMembersCounted(now, movedAt)
 	for _, m := range k.members {
@@ -146,8 +149,8 @@
 	return flows, pending, counted
 }
 
-// pastDeadline reports whether the former endpoint of a bucket has been
-// leaving for longer than its drain deadline.
+// pastDeadline reports whether a former endpoint of a bucket has been leaving for
+// longer than the drain deadline.
 func (k *Controller) pastDeadline(now time.Time, s *route.Service, t route.Transition) bool {
 	for _, id := range []uint32{t.Default, t.Previous} {
 		since, leaving := k.state.LeavingSince(id)
