--- a/internal/flow/answer.go
+++ b/internal/flow/answer.go
@@ -9,8 +9,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Answer decides on a packet from a backend server at the given address. It
-// passes only for a flow that the endpoint holds, and to the flow's caller.
+// Answer decides on a packet from the backend server at the given address. It is
+// forwarded to the caller only if that endpoint holds the flow.
 func (e *Engine) Answer(now time.Time, from netip.AddrPort, p *packet.Packet) Verdict {
 	endpoint := e.view.Table.EndpointAt(from)
 	if relay, ok := p.Relay(); ok && relay.Kind() == packet.RelayCheck {
@@ -36,9 +36,9 @@
 	return got
 }
 
-// announceAccepted tells the peers which endpoint's SYN-ACK goes to the
-// caller. While domains are cut off, entries may have placed repeated SYNs of
-// one flow differently; the first SYN-ACK that is passed decides.
+// announceAccepted tells the peers from which endpoint a SYN-ACK was forwarded to
+// the caller. While domains are partitioned, entries may have sent repeated SYNs of
+// a flow to different endpoints; the first SYN-ACK that is forwarded decides.
 func (e *Engine) announceAccepted(v Verdict) {
 	if s := e.flows.get(v.id); s != nil && s.endpoint == v.endpoint.ID() && s.state == stateOpening {
 		e.flows.setState(s, stateOpen)
@@ -51,7 +51,8 @@
 	}
 }
 
-// handleAccepted takes a peer's word on a flow that is not known to be open elsewhere.
+// handleAccepted stores the endpoint of a flow that a peer saw accepted, unless
+// the flow is known to be open on another endpoint.
 func (e *Engine) handleAccepted(now time.Time, a *wire.Accepted) {
 	id := route.FlowID{High: a.High, Low: a.Low}
 	endpoint := e.view.Table.Endpoint(a.Endpoint)
@@ -82,15 +83,15 @@
 	return e.answerUnknown(now, v, p)
 }
 
-// provesHandshake reports whether an answer shows that its endpoint holds the flow: a
-// segment that is neither SYN nor RST comes only after a whole handshake.
+// provesHandshake reports whether an answer shows that its endpoint holds the flow.
+// A TCP segment that is neither SYN nor RST is sent only after the handshake.
 func provesHandshake(p *packet.Packet) bool {
 	return p.Tuple().Transport() == packet.TCP && !p.Flags().Accepts() && !p.Flags().Resets()
 }
 
-// correctEndpoint replaces what was noted at a SYN by what the answer proves: a SYN
-// that was sent again may have been placed twice while views differed, and the
-// endpoint whose handshake went through is the flow's.
+// correctEndpoint replaces the endpoint stored at the SYN by the one that completed
+// the handshake. A repeated SYN may have been sent to two endpoints while the views
+// of entries differed.
 func (e *Engine) correctEndpoint(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	e.cacheFlow(now, v, p, v.endpoint.ID(), false)
 	if r, ok := e.records[v.id]; ok {
@@ -122,9 +123,9 @@
 	return e.verdictOnAnswer(true, v, ByCache)
 }
 
-// answerUnknown decides on an answer of a flow that this entry does not know.
-// The entry learns from one that proves where the flow is; the others are
-// checked by the bucket's owner where the bucket is in transition.
+// answerUnknown decides on an answer of a flow that this entry doesn't know. An
+// answer that proves the handshake adds the flow to the cache. Others are checked
+// against the bucket's endpoint, by its owner if the bucket is in transition.
 func (e *Engine) answerUnknown(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	t, open := v.service.Transition(v.bucket)
 	switch {
@@ -150,7 +151,7 @@
 	return e.verdictOnAnswer(id == t.Default || id == t.Current || id == t.Previous, v, ByDefault)
 }
 
-// relayAnswer sends an answer to the bucket's owner to be checked there.
+// relayAnswer relays an answer to the bucket's owner, which checks it.
 func (e *Engine) relayAnswer(v Verdict, p *packet.Packet, owner string) Verdict {
 	previous, _ := p.Relay()
 	if previous.Hops() >= maxHops || owner == "" {
--- a/internal/flow/ask.go
+++ b/internal/flow/ask.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// maxAskedPeers bounds how many peers are asked about one flow. Packets are
-	// sprayed, so a flow of some length is known to nearly every entry.
+	// maxAskedPeers bounds how many peers are asked about one flow. Packets of a flow
+	// are spread over all entries, so most entries know any flow with many packets.
 	maxAskedPeers = 16
-	// maxWaitingPackets bounds the packets of one flow that wait; callers resend.
+	// maxWaitingPackets bounds the waiting packets of one flow; callers retransmit.
 	maxWaitingPackets = 2
 )
 
-// question is a flow that peers have been asked about.
+// question is an unanswered question to the peers about one flow.
 type question struct {
 	verdict    Verdict
 	packets    []*packet.Packet
-	unanswered []string // peers that have not answered
-	askedAll   bool     // every live entry has been asked
-	halfOpen   []uint32 // endpoints that peers have sent a SYN to, and nothing else
+	unanswered []string // peers that haven't answered
+	askedAll   bool     // every member has been asked
+	halfOpen   []uint32 // endpoints to which peers have forwarded only the SYN
 	deadline   time.Time
 }
 
-// ask keeps the packet and asks the peers where they have seen its flow.
+// ask holds the packet back and asks the peers for the endpoint of its flow.
 func (e *Engine) ask(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	if q := e.questions[v.id]; q != nil {
 		if len(q.packets) < maxWaitingPackets {
@@ -66,8 +66,8 @@
 
 func (e *Engine) isOnlyMember() bool { return len(e.view.Table.Members()) <= 1 }
 
-// peersToAsk returns the peers to ask: all that can be reached, or a sample
-// of them that differs by flow.
+// peersToAsk returns the reachable peers, or a sample of them that depends on the
+// flow.
 func (e *Engine) peersToAsk(v Verdict) []string {
 	peers := e.view.Reachable
 	if len(peers) <= maxAskedPeers {
@@ -81,7 +81,7 @@
 	return sample
 }
 
-// Peer takes a message from another entry.
+// Peer handles a message from another entry.
 func (e *Engine) Peer(now time.Time, m *wire.Peer) {
 	switch body := m.Body.(type) {
 	case *wire.Peer_Ask:
@@ -131,8 +131,8 @@
 		return
 	}
 	if len(q.halfOpen) == 1 && len(e.view.Table.Cut()) == 0 {
-		// With a domain that cannot be asked a SYN alone is not enough: its
-		// entries may have placed a repetition elsewhere.
+		// While a domain can't be asked, a SYN isn't enough: its entries may have
+		// sent a repeated SYN to another endpoint.
 		e.resolve(now, q, q.halfOpen[0])
 		return
 	}
@@ -140,7 +140,7 @@
 	e.decideWaiting(q, func(p *packet.Packet) Verdict { return e.decideUnseen(now, q.verdict, p, q.askedAll) })
 }
 
-// resolve releases the packets of a flow whose endpoint is known now.
+// resolve forwards the waiting packets of a flow to the endpoint that a peer reported.
 func (e *Engine) resolve(now time.Time, q *question, endpoint uint32) {
 	delete(e.questions, q.verdict.id)
 	e.storeRecord(now, q.verdict, endpoint)
@@ -148,15 +148,15 @@
 	e.decideWaiting(q, func(p *packet.Packet) Verdict { return e.forward(now, q.verdict, p, endpoint, ByPeer) })
 }
 
-// decideWaiting decides on the packets that had waited.
+// decideWaiting decides on the waiting packets of a question and queues them for sending.
 func (e *Engine) decideWaiting(q *question, decide func(*packet.Packet) Verdict) {
 	for _, p := range q.packets {
 		e.out = append(e.out, Out{Packet: p, Verdict: decide(p)})
 	}
 }
 
-// decideUnseen is the one treatment of a packet of a flow that no entry which
-// could be asked has seen. It never guesses another backend server.
+// decideUnseen decides on a packet of a flow that none of the asked peers knows. It
+// never forwards a packet of an existing flow to an arbitrary endpoint.
 func (e *Engine) decideUnseen(now time.Time, v Verdict, p *packet.Packet, askedAll bool) Verdict {
 	t, inTransition := v.service.Transition(v.bucket)
 	if !inTransition {
@@ -167,11 +167,11 @@
 		_, second := route.Rank(e.view.Table.Members(), v.service.ID(), v.bucket)
 		return e.placeNewFlow(now, v, p, t, second)
 	case askedAll && !e.view.Island && e.onlyLossUnresolved():
-		// Everyone who will ever come back was asked.
+		// Every entry that could still have a record was asked.
 		v.action, v.reason = Reset, NobodyKnows
 		return v
 	case e.view.Island || e.view.Table.Suspect():
-		v.action, v.reason = Drop, WithheldCut // an entry that was not asked may hold the flow
+		v.action, v.reason = Drop, WithheldCut // an entry that wasn't asked may know the flow
 		return v
 	case !askedAll:
 		v.action, v.reason = Drop, AskTimeout
@@ -187,19 +187,19 @@
 	}
 }
 
-// onlyLossUnresolved reports whether the one doubt is about what was lost for good.
+// onlyLossUnresolved reports whether the only uncertainty is about lost records.
 func (e *Engine) onlyLossUnresolved() bool {
 	t := e.view.Table
 	return len(t.Bereft()) > 0 && len(t.Cut())+len(t.Returned()) == 0
 }
 
-// expireQuestions gives up questions that were not answered in time.
+// expireQuestions drops the packets of questions that weren't answered in time.
 func (e *Engine) expireQuestions(now time.Time) {
 	for len(e.questionQueue) > 0 && !now.Before(e.questionQueue[0].deadline) {
 		q := e.questionQueue[0]
 		e.questionQueue = e.questionQueue[1:]
 		if e.questions[q.verdict.id] != q {
-			continue // answered
+			continue // already answered
 		}
 		delete(e.questions, q.verdict.id)
 		e.decideWaiting(q, func(*packet.Packet) Verdict {
--- a/internal/flow/engine.go
+++ b/internal/flow/engine.go
@@ -10,36 +10,36 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// maxHops bounds how often one packet is relayed: to an owner that has just
-// changed, to the new one, and to the second holder.
+// maxHops bounds how often a packet is relayed. A packet may pass a former owner,
+// the new owner and the second holder.
 const maxHops = 4
 
-// dataFlags are those of a segment that neither opens nor ends a flow.
+// dataFlags are the flags of a segment that neither opens nor ends a flow.
 var dataFlags = packet.NewFlags(false, true, false, false)
 
 type (
-	// bucketKey names a bucket of a service.
+	// bucketKey identifies a bucket of a service.
 	bucketKey struct {
 		service, bucket uint32
 	}
 
-	// Out is something that the engine wants sent beside the verdict on the
-	// packet at hand: a message to a peer, or a packet that had waited.
+	// Out is something to send besides the current packet: a message to a peer, or a
+	// packet that waited for answers of peers.
 	Out struct {
-		Peer    string         // for a message
-		Message *wire.Peer     // nil for a packet
-		Packet  *packet.Packet // one that had waited
-		Verdict Verdict        // on it
+		Peer    string         // receiver of the message
+		Message *wire.Peer     // nil if Out is a packet
+		Packet  *packet.Packet // a packet that has waited
+		Verdict Verdict        // on the packet
 	}
 
-	// Stats counts what the engine holds and has done.
+	// Stats holds the engine's gauges and counters.
 	Stats struct {
 		Flows, HalfOpen, Records, Waiting   int
 		TableFull, Asks, Pushes, PushBytes  uint64
 		PushBacklog, Broken, RecordsDropped uint64
 	}
 
-	// Engine decides for one entry.
+	// Engine makes the forwarding decisions of one entry.
 	Engine struct {
 		config        Config
 		view          *View
@@ -47,7 +47,7 @@
 		records       map[route.FlowID]record
 		holdings      map[bucketKey]*holding
 		questions     map[route.FlowID]*question
-		questionQueue []*question // in the order of deadlines, answered ones too
+		questionQueue []*question // in the order of deadlines, including answered ones
 		askLimiter    *rate.Limiter
 		push          pusher
 		sweep         sweeper
@@ -56,7 +56,7 @@
 	}
 )
 
-// New returns an engine that knows nothing and decides nothing.
+// New returns an engine with an empty table and no lease.
 func New(c Config, now time.Time) *Engine {
 	return &Engine{
 		config:     c,
@@ -71,10 +71,10 @@
 	}
 }
 
-// View returns the view that the engine decides by.
+// View returns the current view.
 func (e *Engine) View() *View { return e.view }
 
-// Stats returns counts of what the engine holds and has done.
+// Stats returns the engine's gauges and counters.
 func (e *Engine) Stats() Stats {
 	s := e.stats
 	s.Flows, s.HalfOpen, s.Records, s.Waiting = e.flows.used, e.flows.opening, len(e.records), len(e.questions)
@@ -82,8 +82,8 @@
 	return s
 }
 
-// TakeOut returns what is to be sent and forgets it. The slice is valid until
-// the next call of the engine.
+// TakeOut returns and clears the queued messages and packets. The slice is valid
+// until the next call of a method.
 func (e *Engine) TakeOut() []Out {
 	out := e.out
 	e.out = e.out[:0]
@@ -106,8 +106,8 @@
 	return e.inboundSlowPath(now, service, id, cached, p)
 }
 
-// cachedEndpoint returns the endpoint of an open cached flow for a packet that
-// neither opens nor ends it and was not relayed: nearly every packet.
+// cachedEndpoint is the fast path: it returns the endpoint of an open cached flow
+// for a packet that neither opens nor ends the flow and wasn't relayed.
 func (e *Engine) cachedEndpoint(s *slot, p *packet.Packet) *route.Endpoint {
 	if s == nil || s.state != stateOpen || p.Flags() != dataFlags || e.config.Modulo {
 		return nil
@@ -140,19 +140,18 @@
 	return e.decideUnknown(now, v, p)
 }
 
-// placementUncertain reports whether a domain is cut off, or was and is not settled: a
-// SYN that was forwarded then proves nothing.
+// placementUncertain reports whether the table may be wrong about where flows are,
+// because a domain is or was partitioned. A forwarded SYN then proves nothing.
 func (e *Engine) placementUncertain() bool { return e.view.Island || e.view.Table.Suspect() }
 
-// idleBeyondHalfOpen reports whether a flow has had no packet for longer than a SYN of it
-// can have lain in an entry that was paused and still holds its lease.
+// idleBeyondHalfOpen reports whether a flow has been idle for longer than a paused
+// entry that still holds its lease can have delayed a SYN of it.
 func (e *Engine) idleBeyondHalfOpen(now time.Time, s *slot) bool {
 	return time.Duration(e.flows.ticks(now)-s.lastSeen)*tick > e.config.HalfOpenLife
 }
 
-// opensNewFlow reports whether a SYN on a cached flow opens a new one on the same
-// tuple: the old one has closed, or its endpoint takes no new flow and the SYN
-// is no early repetition.
+// opensNewFlow reports whether a SYN on a cached flow opens a new flow on the same
+// tuple, rather than being a retransmission.
 func (e *Engine) opensNewFlow(now time.Time, s *slot, endpoint *route.Endpoint) bool {
 	switch s.state {
 	case stateClosing:
@@ -164,7 +163,7 @@
 	}
 }
 
-// decideFromCache decides by the cache; false where the flow is a new one.
+// decideFromCache decides by a cached flow. It returns false if the cache can't be used.
 func (e *Engine) decideFromCache(now time.Time, v Verdict, p *packet.Packet, s *slot) (Verdict, bool) {
 	endpoint := e.view.Table.Endpoint(s.endpoint)
 	if endpoint == nil || p.Flags().Opens() && e.opensNewFlow(now, s, endpoint) {
@@ -172,10 +171,10 @@
 		return v, false
 	}
 	if s.state == stateOpening && p.Flags().Opens() {
-		return e.send(v, endpoint, ByCache), true // a repeated SYN does not make the flow younger
+		return e.send(v, endpoint, ByCache), true // a repeated SYN doesn't extend the life of a half-open flow
 	}
 	if s.state == stateOpening && e.placementUncertain() {
-		return v, false // the SYN may have been placed elsewhere too, on another side of a cut
+		return v, false // a repeated SYN may have gone to another endpoint across a partition
 	}
 	s.lastSeen = e.flows.ticks(now)
 	if p.Flags().Ends() {
@@ -186,8 +185,8 @@
 	return e.send(v, endpoint, ByCache), true
 }
 
-// reusesTuple reports whether a SYN opens a new flow on the tuple of an old record
-// whose endpoint takes no new flow.
+// reusesTuple reports whether a SYN opens a new flow on the tuple of a recorded flow
+// whose endpoint takes no new flows.
 func (e *Engine) reusesTuple(now time.Time, p *packet.Packet, r record) bool {
 	if !p.Flags().Opens() || now.Sub(r.storedAt) <= e.config.HalfOpenLife {
 		return false
@@ -196,9 +195,9 @@
 	return endpoint == nil || endpoint.Leaving()
 }
 
-// announceReuse tells the peers that a tuple is a new flow now, so that none
-// of them sends it to the endpoint of the old one. This is rare: a caller's
-// port comes again within the idle limit while its endpoint is leaving.
+// announceReuse tells the peers to forget the former flow of a tuple, so that none
+// of them forwards packets of the new flow to the former endpoint. This is rare: it
+// takes a caller's port to be reused within the idle timeout of a leaving endpoint.
 func (e *Engine) announceReuse(v Verdict) {
 	forget := &wire.Peer{From: e.config.Self, Body: &wire.Peer_Forget{Forget: &wire.Forget{High: v.id.High, Low: v.id.Low}}}
 	for _, peer := range e.view.Reachable {
@@ -207,7 +206,7 @@
 	e.forgetLeaving(v.id)
 }
 
-// forgetLeaving drops what is known of a flow whose endpoint is leaving.
+// forgetLeaving drops the cached flow and record of a flow whose endpoint is leaving.
 func (e *Engine) forgetLeaving(id route.FlowID) {
 	if s := e.flows.get(id); s != nil {
 		if endpoint := e.view.Table.Endpoint(s.endpoint); endpoint == nil || endpoint.Leaving() {
@@ -222,7 +221,7 @@
 	}
 }
 
-// decideUnknown decides on a packet of a flow that this entry does not know.
+// decideUnknown decides on a packet of a flow without a cached flow or record.
 func (e *Engine) decideUnknown(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	if !now.Before(e.view.LeaseUntil) {
 		return e.decideWithoutLease(now, v, p)
@@ -249,7 +248,7 @@
 	return route.Transition{Default: endpoint, Previous: endpoint, Current: endpoint, FlippedAt: 1}
 }
 
-// decideAsOwner decides on a flow without a record, as the owner of its bucket.
+// decideAsOwner decides on a packet of an unknown flow as the owner of its bucket.
 func (e *Engine) decideAsOwner(now time.Time, v Verdict, p *packet.Packet, t route.Transition, second string) Verdict {
 	if p.Flags().Opens() && len(e.view.Table.Returned()) == 0 {
 		return e.placeNewFlow(now, v, p, t, second)
@@ -260,10 +259,10 @@
 	return e.ask(now, v, p)
 }
 
-// isUDP reports whether the packet has no flag that tells a new flow.
+// isUDP reports whether the packet is UDP, whose packets don't show a new flow.
 func isUDP(p *packet.Packet) bool { return p.Tuple().Transport() == packet.UDP }
 
-// relayTo sends a packet to the entry that decides on it.
+// relayTo relays a packet to the entry that decides on it.
 func (e *Engine) relayTo(v Verdict, p *packet.Packet, peer string, reason Reason) Verdict {
 	relay, relayed := p.Relay()
 	if !relayed {
@@ -277,7 +276,7 @@
 	return v
 }
 
-// forward sends a packet to an endpoint and caches the flow.
+// forward forwards a packet to an endpoint and caches the flow.
 func (e *Engine) forward(now time.Time, v Verdict, p *packet.Packet, endpoint uint32, reason Reason) Verdict {
 	target := e.view.Table.Endpoint(endpoint)
 	if target == nil {
@@ -288,8 +287,8 @@
 	return e.send(v, target, reason)
 }
 
-// send is the last step before a packet leaves for a backend server. It
-// asserts that the endpoint belongs to the packet's service.
+// send returns the verdict to forward a packet, provided that the endpoint belongs
+// to the packet's service.
 func (e *Engine) send(v Verdict, endpoint *route.Endpoint, reason Reason) Verdict {
 	if endpoint.Service() != v.service.ID() {
 		e.stats.Broken++
@@ -300,8 +299,8 @@
 	return v
 }
 
-// cacheFlow notes the endpoint of a flow. Known says that the holders of its
-// bucket know of it, so that it need not be pushed to them.
+// cacheFlow caches the endpoint of a flow. The argument reported says that the
+// holders of its bucket know the flow.
 func (e *Engine) cacheFlow(now time.Time, v Verdict, p *packet.Packet, endpoint uint32, reported bool) {
 	state := stateOpen
 	if p.Flags().Opens() {
--- a/internal/flow/engine_test.go
+++ b/internal/flow/engine_test.go
@@ -19,7 +19,8 @@
 	service = netip.MustParseAddrPort("192.0.2.1:443")
 )
 
-// newTable has one service with all buckets on endpoint 1, and three entries.
+// newTable returns a table of three entries and one service that has all buckets on
+// endpoint 1, changed by change.
 func newTable(endpoints int, change func(*route.Builder)) *route.Table {
 	b := route.NewBuilder(route.Empty(), 1)
 	classes := []route.Class{{Name: "feed", Key: route.ServiceKey{Addr: service, Transport: packet.TCP}}}
@@ -78,7 +79,7 @@
 	g.Expect(e.Inbound(start, newPacket(1, syn)).Action()).To(gomega.Equal(flow.Forward))
 	late := start.Add(2 * time.Hour)
 	g.Expect(e.Inbound(late, newPacket(2, syn)).Reason()).To(gomega.Equal(flow.NoLease))
-	g.Expect(e.Inbound(start, newPacket(1, data)).Reason()).To(gomega.Equal(flow.ByCache), "what is known goes on")
+	g.Expect(e.Inbound(start, newPacket(1, data)).Reason()).To(gomega.Equal(flow.ByCache), "a cached flow is forwarded without a lease")
 }
 
 func TestMoveIsNotUsedBeforeItIsActive(t *testing.T) {
@@ -115,7 +116,7 @@
 	for port := range uint16(200) {
 		reasons[e.Inbound(start, newPacket(1+port, syn)).Reason()]++
 	}
-	g.Expect(reasons[flow.ToSecond]).To(gomega.Equal(10), "as many as there may be records")
+	g.Expect(reasons[flow.ToSecond]).To(gomega.Equal(10), "one for each record up to the limit")
 	g.Expect(reasons[flow.RecordLimit]).To(gomega.BeNumerically(">", 0))
 }
 
@@ -129,7 +130,7 @@
 	g.Expect(stats.HalfOpen).To(gomega.BeNumerically("<=", 1000))
 	g.Expect(stats.Records).To(gomega.BeZero())
 	g.Expect(e.Inbound(start, newPacket(30_000, data)).Action()).To(gomega.Equal(flow.Forward))
-	g.Expect(e.Stats().Flows).To(gomega.Equal(stats.Flows+1), "an open flow still finds room")
+	g.Expect(e.Stats().Flows).To(gomega.Equal(stats.Flows+1), "open flows are still cached")
 }
 
 func TestAnswersPassOnlyFromTheEndpointOfTheFlow(t *testing.T) {
@@ -184,8 +185,8 @@
 	g.Expect(out[0].Verdict.Reason()).To(gomega.Equal(flow.NobodyKnows))
 }
 
-// While the former owner of a bucket may not know that it is not, the new one
-// places nothing that only its records would lead to.
+// Guards against a new owner placing flows by records before the former owner
+// knows of the change, which would send these flows to the default endpoint.
 func TestNewOwnerWaitsForFormerOwner(t *testing.T) {
 	opened := newTable(2, func(b *route.Builder) {
 		b.RemoveMember("e0")
@@ -207,7 +208,7 @@
 			v := e.Inbound(start, newPacket(1+port, syn))
 			seen[v.Reason()]++
 			if v.Endpoint() != nil && v.Action() == flow.Forward {
-				g.Expect(v.Endpoint().Name()).To(gomega.Equal("b0"), "the default")
+				g.Expect(v.Endpoint().Name()).To(gomega.Equal("b0"), "the default endpoint")
 			}
 		}
 		g.Expect(seen[flow.ToSecond] > 0).To(gomega.Equal(recorded), "active %d: %v", active, seen)
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -1,13 +1,12 @@
-// Package flow decides to which endpoint a packet of a flow goes. It has no
-// input or output, the present time is an argument, and one goroutine uses an
-// Engine.
+// Package flow decides to which endpoint the packets of a flow are forwarded. It
+// does no I/O, takes the current time as an argument, and its Engine must not be
+// used concurrently.
 //
-// Most packets need nothing but arithmetic: a flow hashes to a bucket and the
-// table gives the bucket's endpoint. A bucket whose endpoint has changed is in
-// transition: packets of a flow that this entry does not know are relayed to
-// the bucket's owner, which keeps a record of every flow that is not on the
-// bucket's default endpoint, together with a second holder. The design and
-// the options weighed are in docs/design/flows.md.
+// A flow hashes to a bucket, and the table assigns the bucket to an endpoint. A
+// bucket whose endpoint has changed is in transition: packets of flows that an
+// entry doesn't know are relayed to the bucket's owner. The owner and a second
+// holder keep a record of every flow that isn't on the bucket's default endpoint.
+// The design is described in docs/design/flows.md.
 package flow
 
 import (
@@ -17,16 +16,16 @@
 	"oxbowsaddle/internal/route"
 )
 
-// What is to be done with a packet.
+// Actions on a packet.
 const (
-	Forward Action = iota // to the endpoint (or to the caller, for an answer)
+	Forward Action = iota // to the endpoint, or to the caller for an answer
 	Relay                 // to another entry
 	Drop
 	Reset  // drop, and reset the caller's TCP flow
-	Waited // kept until peers have answered
+	Waited // held back until peers have answered
 )
 
-// Why a decision was made. The list is closed.
+// Reasons of a verdict.
 const (
 	ByCache Reason = iota
 	ByRecord
@@ -59,10 +58,10 @@
 )
 
 type (
-	// Action says what is to be done with a packet.
+	// Action says what to do with a packet.
 	Action uint8
 
-	// Reason says why.
+	// Reason says why an action was chosen.
 	Reason uint8
 
 	// Verdict is the decision on one packet.
@@ -77,34 +76,34 @@
 		id       route.FlowID
 	}
 
-	// Config is what an Engine is made from.
+	// Config configures an Engine.
 	Config struct {
 		Self         string
 		Domain       string
-		Incarnation  uint64 // of this life of the entry
+		Incarnation  uint64 // of this entry
 		Hasher       route.Hasher
-		Flows        int           // flows cached at most
-		Records      int           // records held at most
-		Waiting      int           // packets that wait for answers of peers at most
-		AsksASecond  int           // questions to peers a second at most
-		PushBytes    int           // bytes of records sent to holders a second at most
-		AskTimeout   time.Duration // how long a packet waits for answers of peers
-		PushRetry    time.Duration // after which an unanswered push is sent again
-		HalfOpenLife time.Duration // how long a flow without a second packet is cached
-		SweepEvery   time.Duration // how long one pass over the cached flows takes
-		Modulo       bool          // the baseline: hash modulo the live endpoints, without state
+		Flows        int           // maximum number of cached flows
+		Records      int           // maximum number of records
+		Waiting      int           // maximum number of flows that wait for answers of peers
+		AsksASecond  int           // maximum rate of questions to peers
+		PushBytes    int           // maximum rate of pushes to holders, in bytes per second
+		AskTimeout   time.Duration // how long packets wait for answers of peers
+		PushRetry    time.Duration // interval at which an unacknowledged push is repeated
+		HalfOpenLife time.Duration // after which a half-open flow expires
+		SweepEvery   time.Duration // duration of one pass over the cached flows
+		Modulo       bool          // hash modulo the live endpoints without state, as a baseline for comparison
 	}
 
-	// View is what the control goroutine tells the engine; it is immutable.
+	// View is an immutable snapshot of the control state that an engine decides by.
 	View struct {
 		Table      *route.Table
-		Steps      []*route.Table // the last tables at which the entries changed, in order
-		Active     uint64         // changes up to this index are in use
-		LeaseUntil time.Time      // until when this entry may decide
-		Island     bool           // this domain is cut off and serves by itself
-		Reachable  []string       // peers heard of lately, in order
-		Leased     []string       // those of them that hold a lease
-		Domains    []string       // failure domains that can be reached
+		Steps      []*route.Table // recent tables at which the members changed, oldest first
+		Active     uint64         // changes up to this index may be used
+		LeaseUntil time.Time      // when this entry's lease ends
+		Island     bool           // this failure domain is partitioned and decides without leases
+		Reachable  []string       // sorted names of the peers heard from recently
+		Leased     []string       // those of them with a lease
+		Domains    []string       // reachable failure domains
 	}
 )
 
@@ -118,13 +117,13 @@
 	}
 )
 
-// String returns the name as logs show it.
+// String returns the name in logs.
 func (a Action) String() string { return actionNames[a] }
 
-// String returns the name as metrics, logs and `why` show it.
+// String returns the name in metrics, logs and the output of `why`.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reasons returns every reason, for metrics made at start.
+// Reasons returns every reason.
 func Reasons() []Reason {
 	all := make([]Reason, reasonCount)
 	for i := range all {
@@ -133,10 +132,10 @@
 	return all
 }
 
-// Action returns what is to be done.
+// Action returns what to do with the packet.
 func (v Verdict) Action() Action { return v.action }
 
-// Reason returns why.
+// Reason returns why the action was chosen.
 func (v Verdict) Reason() Reason { return v.reason }
 
 // Endpoint returns the endpoint the packet goes to or came from, or nil.
@@ -145,25 +144,25 @@
 // Service returns the service of the packet, or nil.
 func (v Verdict) Service() *route.Service { return v.service }
 
-// Peer returns the entry that a relayed packet goes to.
+// Peer returns the entry to which the packet is relayed.
 func (v Verdict) Peer() string { return v.peer }
 
-// Relay returns the option that a relayed packet carries.
+// Relay returns the relay option for the packet.
 func (v Verdict) Relay() packet.Relay { return v.relay }
 
 // Bucket returns the bucket of the flow.
 func (v Verdict) Bucket() uint32 { return v.bucket }
 
-// ID returns the flow.
+// ID returns the ID of the flow.
 func (v Verdict) ID() route.FlowID { return v.id }
 
-// Knowledge is what an engine knows of one flow; 0 is nothing.
+// Knowledge holds the endpoints that an engine has stored for a flow; 0 if none.
 type Knowledge struct {
 	ID               route.FlowID
 	Cached, Recorded uint32
 }
 
-// Known returns what is known of the flow that a caller's tuple names.
+// Known returns what is stored for the flow of a caller's tuple.
 func (e *Engine) Known(t packet.Tuple) Knowledge {
 	k := Knowledge{ID: e.config.Hasher.Flow(t)}
 	if s := e.flows.get(k.ID); s != nil {
--- a/internal/flow/flowtable.go
+++ b/internal/flow/flowtable.go
@@ -9,13 +9,14 @@
 const (
 	// tick is the resolution of the time at which a flow was last seen.
 	tick = 100 * time.Millisecond
-	// maxFillEighths is the share of slots, in eighths, that may be used.
+	// maxFillEighths is how many eighths of the slots may be used.
 	maxFillEighths = 7
-	// maxOpeningEighths is the share of slots, in eighths, that half-open flows may use.
+	// maxOpeningEighths is how many eighths of the slots half-open flows may use, so
+	// that a SYN flood leaves room for open flows.
 	maxOpeningEighths = 2
 )
 
-// The states of a cached flow.
+// States of a cached flow.
 const (
 	stateFree uint8 = iota
 	stateOpening
@@ -24,18 +25,17 @@
 )
 
 type (
-	// slot is one cached flow; 32 bytes.
+	// slot is a cached flow. It takes 32 bytes.
 	slot struct {
 		id       route.FlowID
 		endpoint uint32
-		lastSeen uint32 // ticks since the table began
+		lastSeen uint32 // ticks since the epoch of the table
 		state    uint8
-		reported bool // the holders of its bucket know of it
+		reported bool // to the holders of its bucket
 	}
 
-	// flowTable is a hash table of fixed size with linear probing. It never
-	// grows, allocates or moves to make room: when it is full, flows are not
-	// cached and are decided each time anew.
+	// flowTable is a hash table of fixed size with linear probing. When it is full,
+	// further flows aren't cached, and each of their packets is decided anew.
 	flowTable struct {
 		slots   []slot
 		mask    uint64
@@ -46,7 +46,7 @@
 	}
 )
 
-// newFlowTable returns a table for at least limit flows.
+// newFlowTable returns a table for at least capacity flows.
 func newFlowTable(capacity int, epoch time.Time) *flowTable {
 	size := 64
 	for size*maxFillEighths/8 < capacity {
@@ -67,7 +67,7 @@
 	return nil
 }
 
-// put adds a flow or changes its endpoint; nil when there is no room.
+// put adds a flow or changes its endpoint. It returns nil if the table is full.
 func (t *flowTable) put(id route.FlowID, endpoint uint32, state uint8, now time.Time) *slot {
 	i := id.Low & t.mask
 	for t.slots[i].state != stateFree && t.slots[i].id != id {
@@ -99,7 +99,7 @@
 	s.state = state
 }
 
-// remove frees a flow and moves later ones of its run back.
+// remove deletes a flow and moves later flows of its probe sequence back.
 func (t *flowTable) remove(id route.FlowID) {
 	i := id.Low & t.mask
 	for t.slots[i].id != id || t.slots[i].state == stateFree {
@@ -124,14 +124,14 @@
 	t.slots[i] = slot{}
 }
 
-// scan calls f for up to n slots in use from where it last stopped and
-// reports whether it came round to the start. f returns false to free the slot.
+// scan calls f for the used ones of the next n slots and reports whether it reached
+// the end of the table. A slot is freed if f returns false.
 func (t *flowTable) scan(n int, f func(*slot) bool) (wrapped bool) {
 	for range n {
 		s := &t.slots[t.cursor]
 		if s.state != stateFree && !f(s) {
 			t.remove(s.id)
-			continue // another flow may have moved into the slot
+			continue // another flow may have been moved into this slot
 		}
 		t.cursor = (t.cursor + 1) & t.mask
 		if t.cursor == 0 {
--- a/internal/flow/holder.go
+++ b/internal/flow/holder.go
@@ -9,25 +9,26 @@
 )
 
 type (
-	// record tells on which endpoint a flow of a bucket in transition lives.
+	// record is the endpoint of a flow of a bucket in transition.
 	record struct {
 		endpoint  uint32
 		key       bucketKey
-		storedAt  time.Time // when it was made or told here
-		confirmed bool      // more than its SYN has been seen
+		storedAt  time.Time // when it was stored by this entry
+		confirmed bool      // a packet after the SYN has been seen
 	}
 
-	// holding is what this entry knows as owner or second holder of a bucket.
+	// holding is the state of a bucket of which this entry is owner or second holder.
 	holding struct {
-		complete bool // it has every record that there is
-		// ownedSince is the index at which the bucket came over from an owner
-		// that still lives.
+		complete bool // it includes every record of the bucket
+		// ownedSince is the index at which the bucket was taken over from an owner
+		// that is still alive.
 		ownedSince uint64
 		flows      map[route.FlowID]struct{}
 	}
 )
 
-// storeRecord stores a record; false when there is no room.
+// storeRecord stores the record of a verdict's flow. It returns false if the limit of
+// records is reached.
 func (e *Engine) storeRecord(now time.Time, v Verdict, endpoint uint32) bool {
 	return e.putRecord(now, v.id, bucketKey{v.service.ID(), v.bucket}, endpoint)
 }
@@ -46,7 +47,7 @@
 	return true
 }
 
-// confirmRecord notes that the flow of a record is open where the record says.
+// confirmRecord marks the flow of a record as open on its endpoint.
 func (e *Engine) confirmRecord(id route.FlowID) {
 	if r, ok := e.records[id]; ok {
 		r.confirmed = true
@@ -63,7 +64,7 @@
 	return h
 }
 
-// hasAllRecords reports whether this owner has every record of a bucket.
+// hasAllRecords reports whether this owner has every record of the flow's bucket.
 func (e *Engine) hasAllRecords(v Verdict) bool {
 	if e.view.Table.Suspect() {
 		return false
@@ -72,7 +73,7 @@
 	return h != nil && h.complete
 }
 
-// SetView takes a new view. Views go only forward: an older table is refused.
+// SetView replaces the view, unless the table of next is older than the current one.
 func (e *Engine) SetView(next *View) {
 	if next.Table.Index() < e.view.Table.Index() {
 		return
@@ -92,16 +93,16 @@
 	}
 }
 
-// isListed reports whether a table lists this life of the entry. While it does
-// not, others hold the buckets, and what is held here is not complete.
+// isListed reports whether a table lists this incarnation of the entry. While it
+// isn't listed, others hold the buckets and the holdings here aren't complete.
 func (e *Engine) isListed(t *route.Table) bool {
 	m, ok := t.Member(e.config.Self)
 	return ok && m.Incarnation() == e.config.Incarnation
 }
 
-// updateHoldings walks the buckets in transition: what has settled is dropped,
-// what has just opened is known whole, and where a holder has changed the
-// first of the former holders that still lives hands its records over.
+// updateHoldings drops the holdings of buckets that have settled, marks those of
+// buckets that have just opened as complete, and transfers records where the
+// holders have changed.
 func (e *Engine) updateHoldings(previous, next *View) {
 	for key, h := range e.holdings {
 		h.complete = h.complete && e.isListed(next.Table)
@@ -132,7 +133,7 @@
 	return s.Transition(bucket)
 }
 
-// holder is an entry in one of its lives.
+// holder is an incarnation of an entry.
 type holder struct {
 	name        string
 	incarnation uint64
@@ -156,27 +157,27 @@
 	}
 	oldOwner, oldSecond := holdersOf(previous.Table, key)
 	if owner.name == e.config.Self && oldOwner != owner && firstAlive(next.Table, oldOwner) != "" {
-		// The former owner lives and may not know yet: see newFlow.
+		// The former owner may not know of the change yet: see placeAsNewOwner.
 		e.holdingOf(key).ownedSince = next.Table.Index()
 	}
 	sameHolders := owner == oldOwner && second == oldSecond
 	isHolder := owner.name == e.config.Self || second.name == e.config.Self
 	switch {
 	case !wasInTransition && isHolder:
-		// It was settled until now, so no flow of it can be elsewhere, if
-		// this entry has seen the opening itself and held it then.
+		// The bucket was settled until now, so it has no records. That is known only
+		// if this entry was a holder before and saw the transition begin.
 		e.holdingOf(key).complete = sameHolders && e.isListed(previous.Table) && !previous.Table.Suspect()
 	case wasInTransition && !sameHolders:
 		e.transferRecords(key, next.Table, [2]holder{oldOwner, oldSecond}, [2]holder{owner, second})
 	}
 }
 
-// transferRecords lets the first of the former holders that still lives hand the
-// records of a bucket to each new one.
+// transferRecords makes the first former holder that is still alive send the records
+// of a bucket to each new holder.
 func (e *Engine) transferRecords(key bucketKey, t *route.Table, former, current [2]holder) {
 	sender := firstAlive(t, former[0], former[1])
 	if sender == "" {
-		e.sweep.reportAgain(key) // both are lost: every entry tells what it has seen
+		e.sweep.reportAgain(key) // no records are left: every entry reports its cached flows
 	}
 	if e.config.Self != sender {
 		return
@@ -188,7 +189,7 @@
 	}
 }
 
-// firstAlive returns the first of the holders that still lives the same life.
+// firstAlive returns the first holder whose incarnation is still listed.
 func firstAlive(t *route.Table, holders ...holder) string {
 	for _, h := range holders {
 		if m, ok := t.Member(h.name); ok && m.Incarnation() == h.incarnation {
@@ -198,7 +199,7 @@
 	return ""
 }
 
-// dropSettled forgets the records of a bucket that is in transition no more.
+// dropSettled drops the records of a bucket that is no longer in transition.
 func (e *Engine) dropSettled(key bucketKey, next *View) {
 	s := next.Table.Service(key.service)
 	if s != nil {
@@ -206,7 +207,7 @@
 			return
 		}
 		if next.Table.Suspect() || next.Island {
-			return // records of a domain that served by itself are still needed
+			return // records made by an isolated domain are still needed
 		}
 	}
 	for id := range e.holdings[key].flows {
@@ -215,7 +216,7 @@
 	delete(e.holdings, key)
 }
 
-// dropOnCurrent forgets the records that a flip has made the default.
+// dropOnCurrent drops the records that a flip made redundant.
 func (e *Engine) dropOnCurrent(key bucketKey, current uint32) {
 	h := e.holdings[key]
 	if h == nil {
--- a/internal/flow/lease.go
+++ b/internal/flow/lease.go
@@ -10,11 +10,11 @@
 	"oxbowsaddle/internal/route"
 )
 
-// decideWithoutLease decides on an unknown flow while this entry's lease has run
-// out. What it knows may be old, so it leaves the decision to an entry that
-// holds a lease; a domain that is cut off whole decides by itself. A SYN is
-// dropped: it may have lain here through a pause while its flow was opened by
-// another entry, and a caller that still wants the flow sends it again.
+// decideWithoutLease decides on an unknown flow after this entry's lease has expired.
+// Its view may be stale, so it relays the packet to an entry with a lease, except in
+// an isolated domain, which decides by itself. A SYN is dropped: it may have been
+// delayed here by a pause while another entry opened its flow. The caller repeats
+// a SYN that is still wanted.
 func (e *Engine) decideWithoutLease(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	if e.view.Island {
 		return e.decideIsolated(now, v, p)
@@ -26,8 +26,8 @@
 	return v
 }
 
-// decideIsolated decides in a failure domain that is cut off. Every new flow gets a
-// record, so that it is found again when the domain is back.
+// decideIsolated decides in a failure domain that is partitioned from the others. Each
+// new flow gets a record, so that it is found when the domain is reachable again.
 func (e *Engine) decideIsolated(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	owner, second := route.Rank(e.isolatedMembers(), v.service.ID(), v.bucket)
 	if owner != e.config.Self {
@@ -54,8 +54,8 @@
 	return members
 }
 
-// isolatedEndpoint returns the bucket's endpoint where it can be reached, else
-// one that can, the same on every entry of the domain.
+// isolatedEndpoint returns the bucket's endpoint if it can be reached, otherwise a
+// reachable endpoint that is the same on every entry of the domain.
 func (e *Engine) isolatedEndpoint(v Verdict) uint32 {
 	preferred := v.service.Current(v.bucket)
 	if t, open := v.service.Transition(v.bucket); open {
--- a/internal/flow/modulo.go
+++ b/internal/flow/modulo.go
@@ -1,8 +1,7 @@
 package flow
 
-// modulo is the baseline that the project's placement is compared with: the
-// flow's hash modulo the endpoints that take new flows, and no state at all.
-// It is used by reports only.
+// modulo is the baseline with which placement is compared: the flow's hash modulo
+// the endpoints that take new flows, without state. Only reports use it.
 func (e *Engine) modulo(v Verdict) Verdict {
 	var live []uint32
 	for _, id := range v.service.Endpoints() {
--- a/internal/flow/newflow.go
+++ b/internal/flow/newflow.go
@@ -8,8 +8,8 @@
 	"oxbowsaddle/internal/route"
 )
 
-// placeNewFlow places a new flow of a bucket in transition. On the endpoint that
-// every entry takes for the default it needs no record.
+// placeNewFlow places a new flow of a bucket in transition. The flow needs no record on
+// an endpoint that all entries use as the default.
 func (e *Engine) placeNewFlow(now time.Time, v Verdict, p *packet.Packet, t route.Transition, second string) Verdict {
 	defaultAgreed := !t.Flipped() || t.FlipActive(e.view.Active)
 	endpoint := t.ForNew(e.view.Active)
@@ -22,9 +22,9 @@
 	return e.placeWithRecord(now, v, p, endpoint, second)
 }
 
-// placeAsNewOwner places a new flow while the former owner of its bucket may not
-// know yet that it is not: asked for the flow, it would take the default for
-// granted. So the flow goes there, or waits for its SYN to come again.
+// placeAsNewOwner places a new flow while the former owner of its bucket may not yet
+// know that it has been replaced. Asked about the flow, the former owner would use
+// the default endpoint, so the flow goes there, or its SYN is dropped to be repeated.
 func (e *Engine) placeAsNewOwner(now time.Time, v Verdict, p *packet.Packet, t route.Transition, defaultAgreed bool) Verdict {
 	defaultEndpoint := e.view.Table.Endpoint(t.Default)
 	if defaultAgreed && defaultEndpoint != nil && !defaultEndpoint.Leaving() {
@@ -34,9 +34,9 @@
 	return v
 }
 
-// placeWithRecord places a new flow where only records lead to: both holders have
-// one before its first packet reaches the endpoint, since the packet goes by
-// the second.
+// placeWithRecord places a new flow on an endpoint that is found only by records. The
+// packet is relayed by the second holder, so that both holders have a record
+// before the endpoint gets it.
 func (e *Engine) placeWithRecord(now time.Time, v Verdict, p *packet.Packet, endpoint uint32, second string) Verdict {
 	if e.view.Table.Endpoint(endpoint) == nil {
 		v.action, v.reason = Drop, NoEndpoint
@@ -46,7 +46,7 @@
 		return Verdict{action: Drop, reason: RecordLimit, service: v.service, bucket: v.bucket, id: v.id}
 	}
 	if second == "" || !slices.Contains(e.view.Reachable, second) {
-		// It is silent and will be dropped soon; if it is not, it is told.
+		// The second holder is likely to be removed soon. If not, the report reaches it.
 		e.queueReport(bucketKey{v.service.ID(), v.bucket}, v.id, endpoint, true)
 		return e.forward(now, v, p, endpoint, ByNew)
 	}
@@ -57,8 +57,8 @@
 	return v
 }
 
-// decideFromRecord decides by a record. A SYN that comes again to the owner goes by
-// the second holder again, which may not have got the first one.
+// decideFromRecord decides by a record. A repeated SYN at the owner is relayed by the
+// second holder again, which may have missed the first one.
 func (e *Engine) decideFromRecord(now time.Time, v Verdict, p *packet.Packet, r record) Verdict {
 	owner, second := route.Rank(e.view.Table.Members(), v.service.ID(), v.bucket)
 	if p.Flags().Opens() && owner == e.config.Self && now.Before(e.view.LeaseUntil) {
@@ -73,11 +73,12 @@
 	return e.forward(now, v, p, r.endpoint, ByRecord)
 }
 
-// storeAndForward keeps the decision of a bucket's owner and passes the packet on.
+// storeAndForward stores the owner's decision, as the second holder, and forwards the
+// packet.
 func (e *Engine) storeAndForward(now time.Time, v Verdict, p *packet.Packet, relay packet.Relay) Verdict {
 	if s := e.flows.get(v.id); s != nil && s.endpoint != relay.Endpoint() && e.overridesOwner(now, s) {
-		// This entry has seen the flow elsewhere already; that place is the
-		// truth, and the owner must hear of it.
+		// This entry has already forwarded the flow to another endpoint. Keep that
+		// endpoint and tell the owner.
 		got := e.forward(now, v, p, s.endpoint, ByCache)
 		if got.endpoint != nil {
 			e.announceAccepted(got)
@@ -90,12 +91,11 @@
 	return e.forward(now, v, p, relay.Endpoint(), ByRecord)
 }
 
-// overridesOwner reports whether what this entry has seen of a flow counts more
-// than its owner's decision on a SYN: the flow is open, or its SYN was sent on
-// just now and this one is its double. After a longer time the SYN comes again
-// because no answer came from where it went.
+// overridesOwner reports whether a cached flow takes precedence over the owner's
+// decision on a SYN: the flow is open, or its SYN was forwarded just now and this is
+// a duplicate. A later SYN is a retransmission, since the first got no answer.
 func (e *Engine) overridesOwner(now time.Time, s *slot) bool {
-	const maxDuplicateTicks = 1 // tick
+	const maxDuplicateTicks = 1
 	switch s.state {
 	case stateOpen:
 		return true
--- a/internal/flow/push.go
+++ b/internal/flow/push.go
@@ -13,36 +13,36 @@
 )
 
 const (
-	// maxRecordsPerPush is how many records one push carries, under a packet's size.
+	// maxRecordsPerPush keeps a push within the size of a packet.
 	maxRecordsPerPush = 40
-	// recordBytes and pushBytes are the size of a record and of the rest of a
-	// push in a datagram with its headers.
+	// recordBytes and pushOverheadBytes are the size of a record, and of the rest of
+	// a push including the headers of the datagram.
 	recordBytes       = 26
 	pushOverheadBytes = 80
-	// maxPushAttempts bounds how often a push is sent to a peer that does not answer.
+	// maxPushAttempts bounds how often a push is sent to a peer that doesn't answer.
 	maxPushAttempts = 8
-	// maxQueuedReports bounds the flows that wait to be told to the holders.
+	// maxQueuedReports bounds the flows waiting to be reported to holders.
 	maxQueuedReports = 1 << 16
 )
 
 type (
-	// handover hands all records of a bucket to a new holder.
+	// handover sends all records of a bucket to a new holder.
 	handover struct {
 		key            bucketKey
 		peer           string
 		ids            []route.FlowID
-		unacknowledged int  // pushes that are not answered
-		finalSent      bool // the last push, which says complete, has been sent
+		unacknowledged int  // pushes without an acknowledgement
+		finalSent      bool // the last push, which carries the complete flag, has been sent
 	}
 
-	// flowReport is a flow that the holders of its bucket must be told of.
+	// flowReport is the endpoint of a flow, to be stored by the holders of its bucket.
 	flowReport struct {
 		id       route.FlowID
 		endpoint uint32
 		halfOpen bool
 	}
 
-	// sentPush is a push that is not answered.
+	// sentPush is a push that hasn't been acknowledged.
 	sentPush struct {
 		peer     string
 		push     *wire.Push
@@ -51,9 +51,8 @@
 		handover *handover
 	}
 
-	// pusher sends records under a byte budget. When the budget is short,
-	// handovers go first and what entries have seen waits; a flow that the
-	// holders were not told of is found by asking.
+	// pusher sends records to holders within a byte rate. Handovers have priority over
+	// reports. A flow that hasn't been reported yet is found by asking the peers.
 	pusher struct {
 		limiter       *rate.Limiter
 		retryInterval time.Duration
@@ -62,7 +61,7 @@
 		reports       map[bucketKey][]flowReport
 		reportOrder   []bucketKey
 		reportCount   int
-		sent          []*sentPush // in the order of sequences
+		sent          []*sentPush // in the order of sequence numbers
 	}
 )
 
@@ -82,7 +81,7 @@
 	return n + len(p.sent)
 }
 
-// unconfirmed returns how many flows of a bucket the holders have not confirmed.
+// unconfirmed returns how many reported flows of a bucket the holders haven't acknowledged.
 func (p *pusher) unconfirmed(key bucketKey) int {
 	n := len(p.reports[key])
 	for _, s := range p.sent {
@@ -102,7 +101,8 @@
 	e.push.handovers = append(e.push.handovers, h)
 }
 
-// queueReport queues a flow for the holders of its bucket; false when the queue is full.
+// queueReport queues a flow for the holders of its bucket. It returns false if the
+// queue is full.
 func (e *Engine) queueReport(key bucketKey, id route.FlowID, endpoint uint32, halfOpen bool) bool {
 	if e.push.reportCount >= maxQueuedReports {
 		return false
@@ -115,7 +115,7 @@
 	return true
 }
 
-// runPushes sends what the budget allows.
+// runPushes sends as many pushes as the byte rate allows.
 func (e *Engine) runPushes(now time.Time) {
 	e.resend(now)
 	e.runHandovers(now)
@@ -171,7 +171,8 @@
 	return flows
 }
 
-// sendReports tells flows to both holders; to itself without a message.
+// sendReports sends flows to both holders of their bucket, or stores them if this
+// entry is a holder.
 func (e *Engine) sendReports(now time.Time, key bucketKey, flows []flowReport) {
 	owner, second := route.Rank(e.view.Table.Members(), key.service, key.bucket)
 	for _, peer := range []string{owner, second} {
@@ -209,8 +210,8 @@
 	e.out = append(e.out, Out{Peer: s.peer, Message: &wire.Peer{From: e.config.Self, Body: &wire.Peer_Push{Push: s.push}}})
 }
 
-// resend repeats pushes without an answer, and gives up those to a peer that
-// lives no more or does not answer at all.
+// resend repeats unacknowledged pushes, and abandons those to a peer that was
+// removed or never answers.
 func (e *Engine) resend(now time.Time) {
 	e.push.sent = slices.DeleteFunc(e.push.sent, func(s *sentPush) bool {
 		if now.Before(s.resendAt) {
@@ -227,7 +228,8 @@
 	})
 }
 
-// abandonPush makes flows that could not be told be told again by the next pass.
+// abandonPush marks the flows of a push as not reported, so that the next pass
+// reports them again.
 func (e *Engine) abandonPush(s *sentPush) {
 	if s.handover != nil {
 		s.handover.unacknowledged--
@@ -251,7 +253,7 @@
 	e.push.sent = slices.Delete(e.push.sent, i, i+1)
 }
 
-// handlePush stores what a peer knows of a bucket.
+// handlePush stores the records that a peer sent and acknowledges them.
 func (e *Engine) handlePush(now time.Time, from string, push *wire.Push) {
 	key := bucketKey{push.Service, push.Bucket}
 	for _, r := range push.Records {
@@ -265,8 +267,8 @@
 	}}})
 }
 
-// mergeRecord stores what a peer has seen, unless this entry knows better. A
-// record that finds no room makes the holding incomplete: the owner then asks.
+// mergeRecord stores a record unless the existing one is at least as certain. If the
+// limit of records is reached, the holding becomes incomplete and the owner asks.
 func (e *Engine) mergeRecord(now time.Time, key bucketKey, f flowReport) {
 	endpoint := e.view.Table.Endpoint(f.endpoint)
 	if endpoint == nil || endpoint.Service() != key.service {
--- a/internal/flow/sweep.go
+++ b/internal/flow/sweep.go
@@ -6,12 +6,12 @@
 	"oxbowsaddle/internal/route"
 )
 
-// closingTimeout is how long a closed flow is remembered for its last packets.
+// closingTimeout is how long a closed flow stays cached for its last packets.
 const closingTimeout = 10 * time.Second
 
 type (
-	// Row tells how many flows of a bucket are not on its current endpoint,
-	// and how many of those the holders have not confirmed.
+	// Row is the number of flows of a bucket that aren't on its current endpoint, and
+	// how many of these the holders haven't confirmed.
 	Row struct {
 		Service, Bucket uint32
 		Flows, Pending  uint32
@@ -21,33 +21,33 @@
 	Count struct {
 		Index       uint64 // of the table when the pass began
 		Rows        []Row
-		Connections map[uint32]uint32 // open flows by endpoint
+		Connections map[uint32]uint32 // flows by endpoint, without closing ones
 	}
 
-	// sweeper walks the cached flows a few at a time.
+	// sweeper scans the cached flows incrementally.
 	sweeper struct {
-		startIndex     uint64
-		flowsElsewhere map[bucketKey]uint32
-		connections    map[uint32]uint32
-		rereport       map[bucketKey]bool
-		lastCount      Count
-		lastRun        time.Time
-		remainder      float64
+		startIndex      uint64
+		flowsElsewhere  map[bucketKey]uint32
+		connections     map[uint32]uint32
+		bucketsToReport map[bucketKey]bool
+		lastCount       Count
+		lastRun         time.Time
+		remainder       float64
 	}
 )
 
 func newSweeper() sweeper {
-	return sweeper{flowsElsewhere: map[bucketKey]uint32{}, connections: map[uint32]uint32{}, rereport: map[bucketKey]bool{}}
+	return sweeper{flowsElsewhere: map[bucketKey]uint32{}, connections: map[uint32]uint32{}, bucketsToReport: map[bucketKey]bool{}}
 }
 
-// reportAgain makes the present pass tell the flows of a bucket once more,
-// because both of its holders were lost.
-func (s *sweeper) reportAgain(key bucketKey) { s.rereport[key] = true }
+// reportAgain makes the current pass report the flows of a bucket again, after both
+// of its holders were lost.
+func (s *sweeper) reportAgain(key bucketKey) { s.bucketsToReport[key] = true }
 
-// LastCount returns the result of the last whole pass.
+// LastCount returns the result of the last complete pass.
 func (e *Engine) LastCount() Count { return e.sweep.lastCount }
 
-// Tick does what is due: sweeps, pushes, and questions that got no answer.
+// Tick expires questions, sends pushes and continues the scan of cached flows.
 func (e *Engine) Tick(now time.Time) {
 	e.expireQuestions(now)
 	e.runPushes(now)
@@ -71,7 +71,7 @@
 	}
 }
 
-// finishPass publishes the count and begins the next pass.
+// finishPass publishes the result of a pass and starts the next one.
 func (e *Engine) finishPass() {
 	count := Count{Index: e.sweep.startIndex, Connections: e.sweep.connections}
 	e.countRecords()
@@ -82,13 +82,13 @@
 	e.sweep.startIndex = e.view.Table.Index()
 	e.sweep.flowsElsewhere = map[bucketKey]uint32{}
 	e.sweep.connections = map[uint32]uint32{}
-	clear(e.sweep.rereport)
+	clear(e.sweep.bucketsToReport)
 }
 
-// countRecords adds the flows that this entry holds records of in buckets
-// that are not in transition: only the return of a cut domain brings such, and
-// the row makes the controller open the bucket. In a bucket in transition a
-// record is not counted, since its flow may have ended unseen.
+// countRecords adds the recorded flows of settled buckets that aren't on the current
+// endpoint. These exist only after a partitioned domain is reachable again, and the
+// controller then reopens the buckets. Records of buckets in transition aren't
+// counted, since their flows may have ended unseen.
 func (e *Engine) countRecords() {
 	for key, h := range e.holdings {
 		s := e.view.Table.Service(key.service)
@@ -110,8 +110,8 @@
 	}
 }
 
-// sweepSlot frees a flow that has ended and counts one that is not on its
-// bucket's endpoint; false frees the slot.
+// sweepSlot counts a cached flow and reports it if it isn't on its bucket's current
+// endpoint. It returns false to free the slot of a flow that has expired.
 func (e *Engine) sweepSlot(now time.Time, s *slot) bool {
 	endpoint := e.view.Table.Endpoint(s.endpoint)
 	if endpoint == nil {
@@ -130,7 +130,7 @@
 	}
 	key := bucketKey{service.ID(), bucket}
 	e.sweep.flowsElsewhere[key]++
-	if !s.reported || e.sweep.rereport[key] {
+	if !s.reported || e.sweep.bucketsToReport[key] {
 		s.reported = s.state != stateOpening && e.queueReport(key, s.id, s.endpoint, false)
 	}
 	return true
