--- a/internal/route/builder.go
+++ b/internal/route/builder.go
@@ -203,14 +203,14 @@
 // entries that failed while it was lost.
 func (b *Builder) MarkBereft(domain string) {
 	b.MarkCleared(domain)
-	b.next.returnedWithLoss = withString(b.next.returnedWithLoss, domain)
+	b.next.withLoss = withString(b.next.withLoss, domain)
 }
 
 // MarkCleared removes every mark of a domain.
 func (b *Builder) MarkCleared(domain string) {
 	b.next.partitioned = withoutString(b.next.partitioned, domain)
 	b.next.returned = withoutString(b.next.returned, domain)
-	b.next.returnedWithLoss = withoutString(b.next.returnedWithLoss, domain)
+	b.next.withLoss = withoutString(b.next.withLoss, domain)
 }
 
 func withString(list []string, s string) []string {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -4,16 +4,16 @@
 
 // Table is an immutable routing table.
 type Table struct {
-	index            uint64
-	services         []*Service // by ID - 1; nil if removed
-	byKey            map[ServiceKey]classRef
-	endpoints        map[uint32]*Endpoint
-	byAddr           map[netip.AddrPort]uint32
-	members          []Member
-	partitioned      []string // lost domains, which may have placed flows that others can't ask about
-	returned         []string // domains that are reachable again
-	returnedWithLoss []string // domains that are reachable again without the records of failed entries
-	lossIndex        uint64   // of the last command that removed a failed entry or replaced an incarnation
+	index       uint64
+	services    []*Service // by ID - 1; nil if removed
+	byKey       map[ServiceKey]classRef
+	endpoints   map[uint32]*Endpoint
+	byAddr      map[netip.AddrPort]uint32
+	members     []Member
+	partitioned []string // lost domains, which may have placed flows that others can't ask about
+	returned    []string // domains that are reachable again
+	withLoss    []string // domains that are reachable again without the records of failed entries
+	lossIndex   uint64   // of the last command that removed a failed entry or replaced an incarnation
 }
 
 // Empty returns a table without services.
@@ -98,7 +98,7 @@
 
 // Bereft returns the domains that are reachable again without the records of the
 // entries that failed while the domain was lost.
-func (t *Table) Bereft() []string { return t.returnedWithLoss }
+func (t *Table) Bereft() []string { return t.withLoss }
 
 // LossIndex returns the index at which an entry was last lost or replaced by a new
 // incarnation.
@@ -106,4 +106,4 @@
 
 // Suspect reports whether flows may exist on other endpoints than the table says.
 // Owners then ask their peers before they use the default endpoint of a bucket.
-func (t *Table) Suspect() bool { return len(t.partitioned)+len(t.returned)+len(t.returnedWithLoss) > 0 }
+func (t *Table) Suspect() bool { return len(t.partitioned)+len(t.returned)+len(t.withLoss) > 0 }
