--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -1,7 +1,7 @@
-// Package controller makes the decisions of the leading control instance:
-// leases and membership of the entries, which changes are in use, placement,
-// and when a transition ends. It takes beats and the time, and gives commands
-// for the replicated log. It has no input or output.
+// Package controller makes the decisions of the leading control instance: which
+// entries hold a lease and are listed as members, which log index is active, where
+// buckets are placed, and when transitions end. It takes heartbeats and the
+// current time, returns commands for the replicated log, and does no I/O.
 package controller
 
 import (
@@ -13,51 +13,53 @@
 )
 
 type (
-	// Config sets the times and bounds of the controller.
+	// Config holds the timing and limits of a Controller.
 	Config struct {
-		Lease       time.Duration // an entry may decide this long after its beat
-		Margin      time.Duration // covers the drift of clocks over one lease
-		SettleAfter time.Duration // no flow must be left for so long
-		ReturnWait  time.Duration // an entry of a domain that is back must show itself in this time
-		PlaceEvery  time.Duration // how often placement is looked at
-		MovesAtOnce int           // buckets moved for balance in one look at one service
+		Lease       time.Duration // how long a heartbeat lets an entry decide
+		Margin      time.Duration // maximum clock drift during one lease
+		SettleAfter time.Duration // how long a bucket must have no flows elsewhere before it settles
+		ReturnWait  time.Duration // how long to wait for the entries of a domain that is reachable again
+		PlaceEvery  time.Duration // interval between placement rounds
+		MovesAtOnce int           // maximum number of buckets moved per service and round to balance load
 		Health      health.Config
 	}
 
-	// member is what the controller knows of an entry.
+	// member is the state of one entry.
 	member struct {
 		name, domain string
 		incarnation  uint64
-		leaseUntil   time.Time // by the controller's clock, with margin
+		leaseUntil   time.Time // by the controller's clock, including the margin
 		lastBeat     time.Time
-		applied      uint64
-		counted      uint64
-		heard        bool // by this controller, in this life
-		rows         map[bucketKey]row
+		appliedIndex uint64
+		countedIndex uint64
+		beatReceived bool // by this controller, from this incarnation
+		counts       map[bucketKey]flowCount
 	}
 
-	row struct {
+	// flowCount is the number of flows of a bucket on other endpoints than its current
+	// one, and how many of them its holders haven't confirmed.
+	flowCount struct {
 		flows, pending uint32
 	}
 
-	// comeback follows a domain that was lost whole and is back.
-	comeback struct {
-		since    time.Time
-		index    uint64 // of the state when it came back
-		openedAt uint64 // from which its buckets with flows elsewhere are open
+	// returnedDomain tracks a lost domain that is reachable again.
+	returnedDomain struct {
+		returnedAt  time.Time
+		returnIndex uint64 // of the state when it became reachable
+		reopenIndex uint64 // when active, its buckets with flows elsewhere are in transition
 	}
 
 	bucketKey struct {
 		service, bucket uint32
 	}
 
-	// Grant is the answer to a beat.
+	// Grant is the reply to a heartbeat.
 	Grant struct {
-		Lease  time.Duration // 0 is none
+		Lease  time.Duration // 0 if no lease is granted
 		Active uint64
 	}
 
-	// MemberStatus is what status shows of an entry.
+	// MemberStatus is the reported status of an entry.
 	MemberStatus struct {
 		Name, Domain string
 		Applied      uint64
@@ -65,107 +67,108 @@
 		Leased       bool
 	}
 
-	// Controller decides for one term of leadership.
+	// Controller makes the decisions of one leader during one term.
 	Controller struct {
-		config     Config
-		state      *control.State
-		startIndex uint64
-		active     uint64
-		members    map[string]*member
-		joining    map[string]*wire.Member
-		stopping   map[string]bool // entries that have said their last word
-		returned   map[string]*comeback
-		cutOff     map[string]map[string]uint64 // the lives of a domain's entries when it was lost
-		bereft     map[string]time.Time         // since when
-		open       map[bucketKey]*transition
-		assessor   *health.Assessor
-		planned    map[uint32]plan
-		lastPlace  time.Time
-		turn       uint32 // which services are looked at next
+		config           Config
+		state            *control.State
+		startIndex       uint64
+		activeIndex      uint64
+		members          map[string]*member
+		joining          map[string]*wire.Member // entries to list, or to list as leaving
+		stopped          map[string]bool         // entries that sent their last heartbeat before a planned stop
+		returnedDomains  map[string]*returnedDomain
+		lostIncarnations map[string]map[string]uint64 // incarnations of the entries of a lost domain, by domain and name
+		lossSince        map[string]time.Time         // since when a domain is known to have lost records
+		tracked          map[bucketKey]*trackedTransition
+		assessor         *health.Assessor
+		lastPlans        map[uint32]lastPlan
+		lastPlacement    time.Time
+		rotation         uint32 // position in the rotation over all services
 	}
 )
 
-// New returns the controller of a new term. Members that the state names may
-// still hold a lease of the former leader.
+// New returns the controller of a new term. It assumes that each listed member
+// still holds a lease from the previous leader.
 func New(c Config, now time.Time, state *control.State, startIndex uint64) *Controller {
 	k := &Controller{
 		config: c, state: state, startIndex: startIndex,
-		members: map[string]*member{}, joining: map[string]*wire.Member{}, stopping: map[string]bool{}, returned: map[string]*comeback{}, cutOff: map[string]map[string]uint64{}, bereft: map[string]time.Time{},
-		open: map[bucketKey]*transition{}, planned: map[uint32]plan{},
+		members: map[string]*member{}, joining: map[string]*wire.Member{}, stopped: map[string]bool{}, returnedDomains: map[string]*returnedDomain{}, lostIncarnations: map[string]map[string]uint64{}, lossSince: map[string]time.Time{},
+		tracked: map[bucketKey]*trackedTransition{}, lastPlans: map[uint32]lastPlan{},
 		assessor: health.New(c.Health, now),
 	}
 	for _, m := range state.Table().Members() {
 		k.members[m.Name()] = &member{
 			name: m.Name(), domain: m.Domain(), incarnation: m.Incarnation(),
-			leaseUntil: now.Add(c.Lease + c.Margin), lastBeat: now, rows: map[bucketKey]row{},
+			leaseUntil: now.Add(c.Lease + c.Margin), lastBeat: now, counts: map[bucketKey]flowCount{},
 		}
 	}
 	return k
 }
 
-// SetState replaces the state after a snapshot was taken over.
+// SetState replaces the state, after a snapshot was installed.
 func (k *Controller) SetState(s *control.State) { k.state = s }
 
-// Active returns the index up to which changes are in use.
-func (k *Controller) Active() uint64 { return k.active }
+// Active returns the active index: entries use changes up to it.
+func (k *Controller) Active() uint64 { return k.activeIndex }
 
-// Assessor returns the weighed reports, for explanations.
+// Assessor returns the assessor of health reports.
 func (k *Controller) Assessor() *health.Assessor { return k.assessor }
 
-// Beat takes the beat of an entry and answers it. The lease counts from when
-// the entry sent the beat, so it ends there before it ends here. Current says
-// that this instance can show its own lease as leader.
+// Beat handles a heartbeat. The entry counts its lease from when it sent the
+// heartbeat, so that the lease ends there before it ends here. The argument
+// current says whether this instance still holds its own lease as leader.
 func (k *Controller) Beat(now time.Time, r *wire.BeatRequest, current bool) Grant {
 	if !current {
-		return Grant{Active: k.active}
+		return Grant{Active: k.activeIndex}
 	}
-	k.active = max(k.active, min(r.Active, k.state.Index()))
+	k.activeIndex = max(k.activeIndex, min(r.Active, k.state.Index()))
 	if r.Stopped {
-		k.stopped(r)
-		return Grant{Active: k.active}
+		k.recordStop(r)
+		return Grant{Active: k.activeIndex}
 	}
 	m := k.members[r.Name]
 	if m == nil || m.incarnation != r.Incarnation {
-		m = k.replace(m, r)
+		m = k.replaceIncarnation(m, r)
 	}
-	m.lastBeat, m.applied, m.heard = now, r.Applied, true
-	k.takeCounts(m, r)
+	m.lastBeat, m.appliedIndex, m.beatReceived = now, r.Applied, true
+	k.recordCounts(m, r)
 	for _, l := range r.Loads {
 		k.assessor.AddReport(now, r.Name, health.Report{
 			Endpoint: l.Endpoint, Healthy: l.Healthy, Leaving: l.Leaving, Shedding: l.Shedding,
 			Connections: int(l.Connections), Running: int(l.Running),
 		})
 	}
-	if !k.admitted(r) || r.Applied < max(k.active, k.startIndex) || r.Applied > k.state.Index() {
-		return Grant{Active: k.active}
+	if !k.admit(r) || r.Applied < max(k.activeIndex, k.startIndex) || r.Applied > k.state.Index() {
+		return Grant{Active: k.activeIndex}
 	}
 	m.leaseUntil = now.Add(k.config.Lease + k.config.Margin)
-	return Grant{Lease: k.config.Lease, Active: k.active}
+	return Grant{Lease: k.config.Lease, Active: k.activeIndex}
 }
 
-// replace begins a new life of an entry. What its former life had seen is lost.
-func (k *Controller) replace(old *member, r *wire.BeatRequest) *member {
-	m := &member{name: r.Name, domain: r.Domain, incarnation: r.Incarnation, rows: map[bucketKey]row{}}
+// replaceIncarnation starts a new incarnation of an entry; the state of the old one is lost.
+func (k *Controller) replaceIncarnation(old *member, r *wire.BeatRequest) *member {
+	m := &member{name: r.Name, domain: r.Domain, incarnation: r.Incarnation, counts: map[bucketKey]flowCount{}}
 	if old != nil {
 		m.leaseUntil = old.leaseUntil
-		k.lost(old)
+		k.memberLost(old)
 	}
 	k.members[r.Name] = m
 	return m
 }
 
-// stopped notes the last beat of a planned stop: the entry decides no more.
-func (k *Controller) stopped(r *wire.BeatRequest) {
+// recordStop handles the last heartbeat of a planned stop, after which the entry
+// makes no more decisions.
+func (k *Controller) recordStop(r *wire.BeatRequest) {
 	if m, listed := k.state.Table().Member(r.Name); listed && m.Incarnation() == r.Incarnation {
-		k.stopping[r.Name] = true
+		k.stopped[r.Name] = true
 		delete(k.members, r.Name)
 		delete(k.joining, r.Name)
 	}
 }
 
-// admitted reports whether the state lists this life of the entry; else it
-// notes the entry to be listed.
-func (k *Controller) admitted(r *wire.BeatRequest) bool {
+// admit reports whether the state lists this incarnation of the entry. If it
+// doesn't, or not as leaving, the entry is queued to be listed.
+func (k *Controller) admit(r *wire.BeatRequest) bool {
 	m, listed := k.state.Table().Member(r.Name)
 	if listed && m.Incarnation() == r.Incarnation && m.Leaving() == r.Stopping {
 		delete(k.joining, r.Name)
@@ -175,29 +178,29 @@
 	return listed && m.Incarnation() == r.Incarnation
 }
 
-func (k *Controller) takeCounts(m *member, r *wire.BeatRequest) {
+func (k *Controller) recordCounts(m *member, r *wire.BeatRequest) {
 	if r.CountedIndex == 0 {
 		return
 	}
-	m.counted = r.CountedIndex
-	m.rows = make(map[bucketKey]row, len(r.Counts))
+	m.countedIndex = r.CountedIndex
+	m.counts = make(map[bucketKey]flowCount, len(r.Counts))
 	for _, c := range r.Counts {
-		m.rows[bucketKey{c.Service, c.Bucket}] = row{c.Flows, c.Pending}
+		m.counts[bucketKey{c.Service, c.Bucket}] = flowCount{c.Flows, c.Pending}
 	}
 }
 
-// Tick does what is due and returns the commands to be agreed on. It must be
-// called only when every command it returned before has been applied.
+// Tick returns the commands to propose. It must be called only when all commands
+// that it returned earlier have been applied.
 func (k *Controller) Tick(now time.Time) []*wire.Command {
-	k.advance(now)
+	k.advanceActiveIndex(now)
 	var commands []*wire.Command
-	commands = append(commands, k.membership(now)...)
-	if now.Sub(k.lastPlace) >= k.config.PlaceEvery {
-		k.lastPlace = now
-		commands = append(commands, k.returning(now)...)
-		commands = append(commands, k.mourning(now)...)
-		commands = append(commands, k.transitions(now)...)
-		commands = append(commands, k.place(now)...)
+	commands = append(commands, k.membershipCommands(now)...)
+	if now.Sub(k.lastPlacement) >= k.config.PlaceEvery {
+		k.lastPlacement = now
+		commands = append(commands, k.resolveReturned(now)...)
+		commands = append(commands, k.resolveLosses(now)...)
+		commands = append(commands, k.transitionCommands(now)...)
+		commands = append(commands, k.placementCommands(now)...)
 	}
 	for _, c := range commands {
 		c.UnixNano = now.UnixNano()
@@ -205,36 +208,37 @@
 	return commands
 }
 
-// advance moves the active index to what every entry with a lease has applied.
-func (k *Controller) advance(now time.Time) {
-	least := k.state.Index()
+// advanceActiveIndex sets the active index to the lowest index that the entries
+// with a lease have applied.
+func (k *Controller) advanceActiveIndex(now time.Time) {
+	minApplied := k.state.Index()
 	for _, m := range k.members {
 		if now.Before(m.leaseUntil) {
-			least = min(least, m.applied)
+			minApplied = min(minApplied, m.appliedIndex)
 		}
 	}
-	k.active = max(k.active, least)
+	k.activeIndex = max(k.activeIndex, minApplied)
 }
 
-// Status returns what is known of the entries.
+// Status returns the status of all listed entries.
 func (k *Controller) Status(now time.Time) []MemberStatus {
 	var all []MemberStatus
 	for _, m := range k.state.Table().Members() {
 		s := MemberStatus{Name: m.Name(), Domain: m.Domain()}
-		if have := k.members[m.Name()]; have != nil {
-			s.Applied, s.Silent, s.Leased = have.applied, now.Sub(have.lastBeat), now.Before(have.leaseUntil)
+		if known := k.members[m.Name()]; known != nil {
+			s.Applied, s.Silent, s.Leased = known.appliedIndex, now.Sub(known.lastBeat), now.Before(known.leaseUntil)
 		}
 		all = append(all, s)
 	}
 	return all
 }
 
-// FlowsLeft returns how many flows of a bucket are not on its current
-// endpoint: the most that one entry has seen.
+// FlowsLeft returns how many flows of a bucket aren't on its current endpoint: the
+// highest number that any entry reports.
 func (k *Controller) FlowsLeft(service, bucket uint32) uint32 {
-	var most uint32
+	var maxFlows uint32
 	for _, m := range k.members {
-		most = max(most, m.rows[bucketKey{service, bucket}].flows)
+		maxFlows = max(maxFlows, m.counts[bucketKey{service, bucket}].flows)
 	}
-	return most
+	return maxFlows
 }
--- a/internal/flow/sweep.go
+++ b/internal/flow/sweep.go
@@ -6,12 +6,12 @@
 	"oxbowsaddle/internal/route"
 )
 
-// closingLife is how long a closed flow is remembered for its last packets.
-const closingLife = 10 * time.Second
+// closingTimeout is how long a closed flow stays cached for its last packets.
+const closingTimeout = 10 * time.Second
 
 type (
-	// Row tells how many flows of a bucket are not on its current endpoint,
-	// and how many of those the holders have not confirmed.
+	// Row is the number of flows of a bucket that aren't on its current endpoint, and
+	// how many of these the holders haven't confirmed.
 	Row struct {
 		Service, Bucket uint32
 		Flows, Pending  uint32
@@ -21,33 +21,33 @@
 	Count struct {
 		Index       uint64 // of the table when the pass began
 		Rows        []Row
-		Connections map[uint32]uint32 // open flows by endpoint
+		Connections map[uint32]uint32 // flows by endpoint, without closing ones
 	}
 
-	// sweeper walks the cached flows a few at a time.
+	// sweeper scans the cached flows incrementally.
 	sweeper struct {
-		began   uint64
-		rows    map[bucketKey]uint32
-		conns   map[uint32]uint32
-		again   map[bucketKey]bool
-		last    Count
-		lastRun time.Time
-		carry   float64
+		startIndex      uint64
+		flowsElsewhere  map[bucketKey]uint32
+		connections     map[uint32]uint32
+		bucketsToReport map[bucketKey]bool
+		lastCount       Count
+		lastRun         time.Time
+		remainder       float64
 	}
 )
 
 func newSweeper() sweeper {
-	return sweeper{rows: map[bucketKey]uint32{}, conns: map[uint32]uint32{}, again: map[bucketKey]bool{}}
+	return sweeper{flowsElsewhere: map[bucketKey]uint32{}, connections: map[uint32]uint32{}, bucketsToReport: map[bucketKey]bool{}}
 }
 
-// pushAgain makes the present pass tell the flows of a bucket once more,
-// because both of its holders were lost.
-func (s *sweeper) pushAgain(key bucketKey) { s.again[key] = true }
+// reportAgain makes the current pass report the flows of a bucket again, after both
+// of its holders were lost.
+func (s *sweeper) reportAgain(key bucketKey) { s.bucketsToReport[key] = true }
 
-// LastCount returns the result of the last whole pass.
-func (e *Engine) LastCount() Count { return e.sweep.last }
+// LastCount returns the result of the last complete pass.
+func (e *Engine) LastCount() Count { return e.sweep.lastCount }
 
-// Tick does what is due: sweeps, pushes, and questions that got no answer.
+// Tick expires questions, sends pushes and continues the scan of cached flows.
 func (e *Engine) Tick(now time.Time) {
 	e.expireQuestions(now)
 	e.runPushes(now)
@@ -58,39 +58,39 @@
 	if e.sweep.lastRun.IsZero() {
 		e.sweep.lastRun = now
 	}
-	e.sweep.carry += float64(len(e.flows.slots)) * float64(now.Sub(e.sweep.lastRun)) / float64(e.config.SweepEvery)
+	e.sweep.remainder += float64(len(e.flows.slots)) * float64(now.Sub(e.sweep.lastRun)) / float64(e.config.SweepEvery)
 	e.sweep.lastRun = now
-	n := min(int(e.sweep.carry), 2*len(e.flows.slots))
-	e.sweep.carry -= float64(n)
+	n := min(int(e.sweep.remainder), 2*len(e.flows.slots))
+	e.sweep.remainder -= float64(n)
 	for n > 0 {
 		step := min(n, len(e.flows.slots)-int(e.flows.cursor))
 		n -= step
-		if e.flows.each(step, func(s *slot) bool { return e.sweepSlot(now, s) }) {
+		if e.flows.scan(step, func(s *slot) bool { return e.sweepSlot(now, s) }) {
 			e.finishPass()
 		}
 	}
 }
 
-// finishPass publishes the count and begins the next pass.
+// finishPass publishes the result of a pass and starts the next one.
 func (e *Engine) finishPass() {
-	count := Count{Index: e.sweep.began, Connections: e.sweep.conns}
+	count := Count{Index: e.sweep.startIndex, Connections: e.sweep.connections}
 	e.countRecords()
-	for key, flows := range e.sweep.rows {
-		count.Rows = append(count.Rows, Row{key.service, key.bucket, flows, uint32(e.push.pending(key))})
+	for key, flows := range e.sweep.flowsElsewhere {
+		count.Rows = append(count.Rows, Row{key.service, key.bucket, flows, uint32(e.push.unconfirmed(key))})
 	}
-	e.sweep.last = count
-	e.sweep.began = e.view.Table.Index()
-	e.sweep.rows = map[bucketKey]uint32{}
-	e.sweep.conns = map[uint32]uint32{}
-	clear(e.sweep.again)
+	e.sweep.lastCount = count
+	e.sweep.startIndex = e.view.Table.Index()
+	e.sweep.flowsElsewhere = map[bucketKey]uint32{}
+	e.sweep.connections = map[uint32]uint32{}
+	clear(e.sweep.bucketsToReport)
 }
 
-// countRecords adds the flows that this entry holds records of in buckets
-// that are not in transition: only the return of a cut domain brings such, and
-// the row makes the controller open the bucket. In a bucket in transition a
-// record is not counted, since its flow may have ended unseen.
+// countRecords adds the recorded flows of settled buckets that aren't on the current
+// endpoint. These exist only after a partitioned domain is reachable again, and the
+// controller then reopens the buckets. Records of buckets in transition aren't
+// counted, since their flows may have ended unseen.
 func (e *Engine) countRecords() {
-	for key, h := range e.byHeld {
+	for key, h := range e.holdings {
 		s := e.view.Table.Service(key.service)
 		if s == nil || len(h.flows) == 0 {
 			continue
@@ -105,43 +105,43 @@
 			}
 		}
 		if elsewhere > 0 {
-			e.sweep.rows[key] = max(e.sweep.rows[key], elsewhere)
+			e.sweep.flowsElsewhere[key] = max(e.sweep.flowsElsewhere[key], elsewhere)
 		}
 	}
 }
 
-// sweepSlot frees a flow that has ended and counts one that is not on its
-// bucket's endpoint; false frees the slot.
+// sweepSlot counts a cached flow and reports it if it isn't on its bucket's current
+// endpoint. It returns false to free the slot of a flow that has expired.
 func (e *Engine) sweepSlot(now time.Time, s *slot) bool {
 	endpoint := e.view.Table.Endpoint(s.endpoint)
 	if endpoint == nil {
 		return false
 	}
 	service := e.view.Table.Service(endpoint.Service())
-	if time.Duration(e.flows.ticks(now)-s.seen)*tick > e.lifeOf(s, service) {
+	if time.Duration(e.flows.ticks(now)-s.lastSeen)*tick > e.idleTimeout(s, service) {
 		return false
 	}
 	if s.state != stateClosing {
-		e.sweep.conns[s.endpoint]++
+		e.sweep.connections[s.endpoint]++
 	}
 	bucket := service.Bucket(s.id)
 	if service.Current(bucket) == s.endpoint {
 		return true
 	}
 	key := bucketKey{service.ID(), bucket}
-	e.sweep.rows[key]++
-	if !s.pushed || e.sweep.again[key] {
-		s.pushed = s.state != stateOpening && e.tell(key, s.id, s.endpoint, false)
+	e.sweep.flowsElsewhere[key]++
+	if !s.reported || e.sweep.bucketsToReport[key] {
+		s.reported = s.state != stateOpening && e.queueReport(key, s.id, s.endpoint, false)
 	}
 	return true
 }
 
-func (e *Engine) lifeOf(s *slot, service *route.Service) time.Duration {
+func (e *Engine) idleTimeout(s *slot, service *route.Service) time.Duration {
 	switch s.state {
 	case stateOpening:
 		return e.config.HalfOpenLife
 	case stateClosing:
-		return min(closingLife, service.Policy().Idle)
+		return min(closingTimeout, service.Policy().Idle)
 	default:
 		return service.Policy().Idle
 	}
--- a/internal/packet/packet.go
+++ b/internal/packet/packet.go
@@ -1,7 +1,6 @@
-// Package packet reads and writes what travels between the fabric, the
-// entries and the backend servers: whole IP packets in Geneve over UDP
-// (RFC 8926). It decides nothing. A Decoder reuses its layers, so that a
-// packet in steady state costs no allocation.
+// Package packet encodes and decodes the datagrams between the fabric, the
+// entries and the backend servers: whole IP packets in Geneve over UDP (RFC
+// 8926). A Decoder reuses its layers, so that decoding a packet doesn't allocate.
 package packet
 
 import (
@@ -12,7 +11,7 @@
 	"github.com/gopacket/gopacket/layers"
 )
 
-// Reasons for which a packet is not decoded. The list is closed.
+// Results of decoding: Decoded, or the reason why a packet was rejected.
 const (
 	Decoded Reason = iota
 	TooShort
@@ -28,8 +27,8 @@
 )
 
 const (
-	// PeerProtocol is the Geneve protocol type of datagrams between entries:
-	// the second of the two types that IEEE 802 leaves for local experiments.
+	// PeerProtocol is the Geneve protocol type of datagrams between entries: the
+	// second EtherType that IEEE 802 reserves for local experiments.
 	PeerProtocol layers.EthernetType = 0x88B6
 	// HeaderLen is the length in bytes of a Geneve header without options.
 	HeaderLen = 8
@@ -39,54 +38,54 @@
 	optionHeaderLen  = 4
 	relayDataLen     = 24
 	maxOptionsLength = 128
-	optionClass      = 0xFF0B // experimental range of RFC 8926
-	optionRelay      = 1
+	relayOptionClass = 0xFF0B // in the experimental range of RFC 8926
+	relayOptionType  = 1
 	protocolTCP      = 6
 	protocolUDP      = 17
 )
 
 type (
-	// Reason says why a packet was not decoded.
+	// Reason is the result of decoding a packet.
 	Reason uint8
 
 	// Transport is the IP protocol number of the inner packet: TCP or UDP.
 	Transport uint8
 
-	// Tuple names one direction of a flow.
+	// Tuple is the addresses, ports and transport of one direction of a flow.
 	Tuple struct {
 		src, dst  netip.AddrPort
 		transport Transport
 	}
 
-	// Flags are the TCP flags that decisions depend on; zero for UDP.
+	// Flags are the TCP flags that affect forwarding; all false for UDP.
 	Flags struct {
 		syn, ack, fin, rst bool
 	}
 
-	// Packet is a decoded packet. Its slices point into the received buffer
-	// and are valid until the next call of Decode.
+	// Packet is a decoded packet. Its slices point into the received buffer and
+	// are valid until the buffer is reused.
 	Packet struct {
-		tuple    Tuple
-		flags    Flags
-		inner    []byte
-		payload  []byte
-		relay    Relay
-		relayed  bool
-		peer     bool
-		innerIP6 bool
+		tuple     Tuple
+		flags     Flags
+		inner     []byte
+		payload   []byte
+		relay     Relay
+		relayed   bool
+		peer      bool
+		innerIPv6 bool
 	}
 
-	// Decoder decodes packets with reused layers; one goroutine uses it.
+	// Decoder decodes packets into reused layers. It must not be used concurrently.
 	Decoder struct {
 		geneve layers.Geneve
-		ip4    layers.IPv4
-		ip6    layers.IPv6
+		ipv4   layers.IPv4
+		ipv6   layers.IPv6
 		tcp    layers.TCP
 		udp    layers.UDP
 	}
 )
 
-// The transports that flows may use.
+// The supported transports.
 const (
 	TCP Transport = protocolTCP
 	UDP Transport = protocolUDP
@@ -97,10 +96,10 @@
 	"fragment", "bad_transport", "unknown_transport", "bad_relay",
 }
 
-// String returns the name of the reason as metrics and logs show it.
+// String returns the name of the reason in metrics and logs.
 func (r Reason) String() string { return reasonNames[r] }
 
-// Reasons returns every reason, for metrics made at start.
+// Reasons returns every reason.
 func Reasons() []Reason {
 	all := make([]Reason, reasonCount)
 	for i := range all {
@@ -122,10 +121,10 @@
 	return Tuple{src: src, dst: dst, transport: t}
 }
 
-// Src returns the sender's address and port.
+// Src returns the source address and port.
 func (t Tuple) Src() netip.AddrPort { return t.src }
 
-// Dst returns the receiver's address and port.
+// Dst returns the destination address and port.
 func (t Tuple) Dst() netip.AddrPort { return t.dst }
 
 // Transport returns the transport of the flow.
@@ -137,37 +136,37 @@
 // NewFlags returns TCP flags.
 func NewFlags(syn, ack, fin, rst bool) Flags { return Flags{syn, ack, fin, rst} }
 
-// Opens reports whether the packet asks for a new TCP flow.
+// Opens reports whether the packet is a SYN without ACK, which opens a TCP flow.
 func (f Flags) Opens() bool { return f.syn && !f.ack }
 
-// Accepts reports whether the packet is the answer to a SYN.
+// Accepts reports whether the packet is a SYN-ACK, which accepts a TCP flow.
 func (f Flags) Accepts() bool { return f.syn && f.ack }
 
-// Ends reports whether the packet closes a direction or resets the flow.
+// Ends reports whether the packet has FIN or RST set.
 func (f Flags) Ends() bool { return f.fin || f.rst }
 
-// Resets reports whether the packet resets the flow.
+// Resets reports whether the packet has RST set.
 func (f Flags) Resets() bool { return f.rst }
 
-// Tuple returns the inner addresses as sent.
+// Tuple returns the tuple of the inner packet.
 func (p *Packet) Tuple() Tuple { return p.tuple }
 
 // Flags returns the TCP flags.
 func (p *Packet) Flags() Flags { return p.flags }
 
-// Inner returns the inner IP packet, or the protobuf bytes of a peer datagram.
+// Inner returns the inner IP packet, or the encoded message of a peer datagram.
 func (p *Packet) Inner() []byte { return p.inner }
 
-// Payload returns the payload of the inner transport.
+// Payload returns the transport payload of the inner packet.
 func (p *Packet) Payload() []byte { return p.payload }
 
-// Relay returns the relay option and whether the packet carries one.
+// Relay returns the relay option and whether the packet has one.
 func (p *Packet) Relay() (Relay, bool) { return p.relay, p.relayed }
 
-// IsPeer reports whether this is a datagram between entries, not a packet.
+// IsPeer reports whether the datagram is a message between entries rather than a packet.
 func (p *Packet) IsPeer() bool { return p.peer }
 
-// Clone returns a copy that stays valid when the buffer is used again.
+// Clone returns a copy that doesn't refer to the received buffer.
 func (p *Packet) Clone() *Packet {
 	c := *p
 	c.inner = append([]byte(nil), p.inner...)
@@ -175,7 +174,7 @@
 	return &c
 }
 
-// Decode reads one Geneve datagram into p and returns why it could not.
+// Decode decodes one Geneve datagram into p.
 func (d *Decoder) Decode(data []byte, p *Packet) Reason {
 	if len(data) < HeaderLen {
 		return TooShort
@@ -195,63 +194,63 @@
 		p.peer = true
 		return Decoded
 	case layers.EthernetTypeIPv4:
-		return d.decode4(p)
+		return d.decodeIPv4(p)
 	case layers.EthernetTypeIPv6:
-		return d.decode6(p)
+		return d.decodeIPv6(p)
 	default:
 		return UnknownInner
 	}
 }
 
-// DecodeInner reads a bare inner IP packet, as the stand-ins hold it.
+// DecodeInner decodes an IP packet without a Geneve header into p.
 func (d *Decoder) DecodeInner(inner []byte, p *Packet) Reason {
 	*p = Packet{inner: inner}
 	if len(inner) == 0 {
 		return TooShort
 	}
 	if inner[0]>>4 == 6 {
-		return d.decode6(p)
+		return d.decodeIPv6(p)
 	}
-	return d.decode4(p)
+	return d.decodeIPv4(p)
 }
 
 func (d *Decoder) decodeOptions(p *Packet) Reason {
 	for _, o := range d.geneve.Options {
-		if o.Class != optionClass || o.Type != optionRelay {
+		if o.Class != relayOptionClass || o.Type != relayOptionType {
 			if o.Type&0x80 != 0 {
-				return BadGeneve // an unknown critical option must not be ignored
+				return BadGeneve // RFC 8926: a packet with an unknown critical option must be dropped
 			}
 			continue
 		}
 		if len(o.Data) != relayDataLen {
 			return BadRelay
 		}
-		p.relay = readRelay(o.Data)
+		p.relay = decodeRelay(o.Data)
 		p.relayed = true
 	}
 	return Decoded
 }
 
-func (d *Decoder) decode4(p *Packet) Reason {
-	if err := d.ip4.DecodeFromBytes(p.inner, gopacket.NilDecodeFeedback); err != nil || d.ip4.Version != 4 {
+func (d *Decoder) decodeIPv4(p *Packet) Reason {
+	if err := d.ipv4.DecodeFromBytes(p.inner, gopacket.NilDecodeFeedback); err != nil || d.ipv4.Version != 4 {
 		return BadIP
 	}
-	if d.ip4.FragOffset != 0 || d.ip4.Flags&layers.IPv4MoreFragments != 0 {
+	if d.ipv4.FragOffset != 0 || d.ipv4.Flags&layers.IPv4MoreFragments != 0 {
 		return Fragment
 	}
-	src, _ := netip.AddrFromSlice(d.ip4.SrcIP)
-	dst, _ := netip.AddrFromSlice(d.ip4.DstIP)
-	return d.decodeTransport(p, src, dst, d.ip4.Protocol, d.ip4.Payload)
+	src, _ := netip.AddrFromSlice(d.ipv4.SrcIP)
+	dst, _ := netip.AddrFromSlice(d.ipv4.DstIP)
+	return d.decodeTransport(p, src, dst, d.ipv4.Protocol, d.ipv4.Payload)
 }
 
-func (d *Decoder) decode6(p *Packet) Reason {
-	p.innerIP6 = true
-	if err := d.ip6.DecodeFromBytes(p.inner, gopacket.NilDecodeFeedback); err != nil || d.ip6.Version != 6 {
+func (d *Decoder) decodeIPv6(p *Packet) Reason {
+	p.innerIPv6 = true
+	if err := d.ipv6.DecodeFromBytes(p.inner, gopacket.NilDecodeFeedback); err != nil || d.ipv6.Version != 6 {
 		return BadIP
 	}
-	src, _ := netip.AddrFromSlice(d.ip6.SrcIP)
-	dst, _ := netip.AddrFromSlice(d.ip6.DstIP)
-	return d.decodeTransport(p, src, dst, d.ip6.NextHeader, d.ip6.Payload)
+	src, _ := netip.AddrFromSlice(d.ipv6.SrcIP)
+	dst, _ := netip.AddrFromSlice(d.ipv6.DstIP)
+	return d.decodeTransport(p, src, dst, d.ipv6.NextHeader, d.ipv6.Payload)
 }
 
 func (d *Decoder) decodeTransport(p *Packet, src, dst netip.Addr, proto layers.IPProtocol, data []byte) Reason {
@@ -277,11 +276,11 @@
 	return Decoded
 }
 
-// TCPSequence returns the sequence and acknowledgement numbers of the last
-// TCP packet that this decoder has read.
+// TCPSequence returns the sequence and acknowledgement numbers of the last TCP
+// packet that d decoded.
 func (d *Decoder) TCPSequence() (seq, ack uint32) { return d.tcp.Seq, d.tcp.Ack }
 
-// Relay travels with a packet from one entry to another.
+// Relay is the Geneve option of a packet that one entry relays to another.
 type Relay struct {
 	kind     RelayKind
 	hops     uint8
@@ -291,62 +290,62 @@
 	trace    uint64
 }
 
-// RelayKind says what the receiver of a relayed packet is asked to do.
+// RelayKind says what the receiver of a relayed packet must do.
 type RelayKind uint8
 
-// The kinds of relay.
+// Kinds of relayed packets.
 const (
-	// RelayDecide asks the bucket's owner to decide.
+	// RelayDecide asks the owner of the bucket to choose the endpoint.
 	RelayDecide RelayKind = iota + 1
-	// RelayStore tells the second holder to keep the owner's decision and
-	// to pass the packet on to the endpoint.
+	// RelayStore tells the second holder to store the owner's decision and to
+	// forward the packet to the endpoint.
 	RelayStore
-	// RelayCheck asks the owner whether an answer may pass.
+	// RelayCheck asks the owner of the bucket whether an answer may be forwarded.
 	RelayCheck
-	// RelayWork hands a request or an answer of work to the service's owner.
+	// RelayWork passes a request, or the answer to one, to the owner of the service.
 	RelayWork
 )
 
-// NewRelay returns a relay option. Trace 0 means that the packet is not sampled.
+// NewRelay returns a relay option. A trace of 0 means that the packet isn't sampled.
 func NewRelay(kind RelayKind, endpoint uint32, index, trace uint64) Relay {
 	return Relay{kind: kind, endpoint: endpoint, index: index, trace: trace}
 }
 
-// Kind returns what is asked.
+// Kind returns what the receiver must do.
 func (r Relay) Kind() RelayKind { return r.kind }
 
-// Hops returns how many entries have relayed the packet.
+// Hops returns how often the packet has been relayed.
 func (r Relay) Hops() uint8 { return r.hops }
 
-// Endpoint returns the endpoint that was decided or that sent the answer.
+// Endpoint returns the endpoint that was chosen or that sent the answer.
 func (r Relay) Endpoint() uint32 { return r.endpoint }
 
-// Index returns the index of the state that the sender decided by.
+// Index returns the index of the table that the sender decided with.
 func (r Relay) Index() uint64 { return r.index }
 
-// Trace returns the trace id of a sampled packet, or 0.
+// Trace returns the trace ID of a sampled packet, or 0.
 func (r Relay) Trace() uint64 { return r.trace }
 
-// WithTrace returns the option with the trace id of a sampled packet.
+// WithTrace returns the option with a trace ID.
 func (r Relay) WithTrace(trace uint64) Relay {
 	r.trace = trace
 	return r
 }
 
-// After returns the option as one hop after another one, whose trace it keeps.
+// After returns the option for the hop after previous, with the same trace ID.
 func (r Relay) After(previous Relay) Relay {
 	r.hops = previous.hops + 1
 	r.trace = previous.trace
 	return r
 }
 
-// WithHop returns the option with one more hop counted.
+// WithHop returns the option with the hop count incremented.
 func (r Relay) WithHop() Relay {
 	r.hops++
 	return r
 }
 
-func readRelay(data []byte) Relay {
+func decodeRelay(data []byte) Relay {
 	return Relay{
 		kind:     RelayKind(data[0]),
 		hops:     data[1],
@@ -357,7 +356,7 @@
 	}
 }
 
-func (r Relay) put(data []byte) {
+func (r Relay) encode(data []byte) {
 	data[0] = byte(r.kind)
 	data[1] = r.hops
 	binary.BigEndian.PutUint16(data[2:], r.origin)
--- a/internal/route/builder.go
+++ b/internal/route/builder.go
@@ -6,40 +6,41 @@
 	"strings"
 )
 
-// Builder makes the next table from the last one. Only what is touched is
-// copied; the old table stays as it was.
+// Builder derives a table from an existing one by copy on write. The existing
+// table isn't changed.
 type Builder struct {
-	next     *Table
-	touched  map[uint32]bool
-	ownMaps  bool
-	ownSlice bool
+	next           *Table
+	copied         map[uint32]bool
+	mapsCopied     bool
+	servicesCopied bool
 }
 
-// NewBuilder starts from a table.
+// NewBuilder returns a builder of the table at index that starts as a copy of from.
 func NewBuilder(from *Table, index uint64) *Builder {
 	next := *from
 	next.index = index
-	return &Builder{next: &next, touched: map[uint32]bool{}}
+	return &Builder{next: &next, copied: map[uint32]bool{}}
 }
 
-// Table returns the new table; the builder must not be used afterwards.
+// Table returns the new table. The builder must not be used afterwards.
 func (b *Builder) Table() *Table { return b.next }
 
-// NextServiceID returns the id that a new service gets.
+// NextServiceID returns the ID for the next new service.
 func (b *Builder) NextServiceID() uint32 { return uint32(len(b.next.services)) + 1 }
 
-// PutService adds a service or changes its classes and policy; buckets stay.
+// PutService adds a service, or replaces its name, classes and policy but not its
+// buckets.
 func (b *Builder) PutService(id uint32, name string, classes []Class, policy Policy, buckets int) {
 	b.copyMaps()
 	b.copyServices()
 	for int(id) > len(b.next.services) {
 		b.next.services = append(b.next.services, nil)
 	}
-	s := b.service(id)
+	s := b.mutableService(id)
 	if s == nil {
-		s = &Service{id: id, buckets: make([]uint32, buckets), open: map[uint32]Transition{}, createdAt: b.next.index}
+		s = &Service{id: id, buckets: make([]uint32, buckets), transitions: map[uint32]Transition{}, createdAt: b.next.index}
 		b.next.services[id-1] = s
-		b.touched[id] = true
+		b.copied[id] = true
 	}
 	for _, c := range s.classes {
 		delete(b.next.byKey, c.Key)
@@ -50,11 +51,11 @@
 	}
 }
 
-// RemoveService drops a service and its endpoints.
+// RemoveService removes a service and its endpoints.
 func (b *Builder) RemoveService(id uint32) {
 	b.copyMaps()
 	b.copyServices()
-	s := b.service(id)
+	s := b.mutableService(id)
 	if s == nil {
 		return
 	}
@@ -67,14 +68,14 @@
 	b.next.services[id-1] = nil
 }
 
-// PutEndpoint adds or replaces an endpoint of a known service.
+// PutEndpoint adds or replaces an endpoint of an existing service.
 func (b *Builder) PutEndpoint(e *Endpoint) {
 	b.copyMaps()
 	b.copyServices()
 	old := b.next.endpoints[e.id]
 	if old != nil {
 		delete(b.next.byAddr, old.addr)
-	} else if s := b.service(e.service); s != nil {
+	} else if s := b.mutableService(e.service); s != nil {
 		s.endpoints = append(slices.Clone(s.endpoints), e.id)
 		slices.Sort(s.endpoints)
 	}
@@ -82,7 +83,7 @@
 	b.next.byAddr[e.addr] = e.id
 }
 
-// RemoveEndpoint drops an endpoint that no bucket is on.
+// RemoveEndpoint removes an endpoint. No bucket may be assigned to it.
 func (b *Builder) RemoveEndpoint(id uint32) {
 	b.copyMaps()
 	b.copyServices()
@@ -93,23 +94,23 @@
 	if b.next.byAddr[old.addr] == id {
 		delete(b.next.byAddr, old.addr)
 	}
-	if s := b.service(old.service); s != nil {
+	if s := b.mutableService(old.service); s != nil {
 		s.endpoints = slices.DeleteFunc(slices.Clone(s.endpoints), func(o uint32) bool { return o == id })
 	}
 	delete(b.next.endpoints, id)
 }
 
-// Move gives a bucket a new endpoint. The first endpoint of an empty bucket
-// needs no transition, since no flow can be on it yet.
+// Move assigns a bucket to another endpoint and reports whether that changed the
+// table. A bucket without an endpoint has no flows and needs no transition.
 func (b *Builder) Move(service, bucket, endpoint uint32) bool {
 	b.copyServices()
-	s := b.service(service)
+	s := b.mutableService(service)
 	if s == nil || int(bucket) >= len(s.buckets) {
 		return false
 	}
 	e := b.next.endpoints[endpoint]
 	if e == nil || e.service != service {
-		return false // never across services
+		return false // an endpoint of another service
 	}
 	old := s.buckets[bucket]
 	if old == endpoint {
@@ -119,50 +120,50 @@
 	if old == 0 {
 		return true
 	}
-	t, open := s.open[bucket]
-	if !open {
+	t, inTransition := s.transitions[bucket]
+	if !inTransition {
 		t.Default = old
 	}
 	t.Previous, t.Current, t.MovedAt, t.FlippedAt = old, endpoint, b.next.index, 0
-	s.open[bucket] = t
+	s.transitions[bucket] = t
 	return true
 }
 
-// Flip makes the current endpoint of a bucket in transition its default.
+// Flip makes the current endpoint of a bucket in transition its default endpoint.
 func (b *Builder) Flip(service, bucket uint32) {
 	b.copyServices()
-	s := b.service(service)
+	s := b.mutableService(service)
 	if s == nil {
 		return
 	}
-	if t, open := s.open[bucket]; open {
+	if t, inTransition := s.transitions[bucket]; inTransition {
 		t.Default, t.FlippedAt = t.Current, b.next.index
-		s.open[bucket] = t
+		s.transitions[bucket] = t
 	}
 }
 
-// Reopen puts a settled bucket in transition without moving it.
+// Reopen starts a transition of a settled bucket without moving it.
 func (b *Builder) Reopen(service, bucket uint32) {
 	b.copyServices()
-	s := b.service(service)
+	s := b.mutableService(service)
 	if s == nil || int(bucket) >= len(s.buckets) || s.buckets[bucket] == 0 {
 		return
 	}
-	if _, open := s.open[bucket]; !open {
+	if _, inTransition := s.transitions[bucket]; !inTransition {
 		e := s.buckets[bucket]
-		s.open[bucket] = Transition{Default: e, Previous: e, Current: e, MovedAt: b.next.index, FlippedAt: b.next.index}
+		s.transitions[bucket] = Transition{Default: e, Previous: e, Current: e, MovedAt: b.next.index, FlippedAt: b.next.index}
 	}
 }
 
 // Settle ends the transition of a bucket.
 func (b *Builder) Settle(service, bucket uint32) {
 	b.copyServices()
-	if s := b.service(service); s != nil {
-		delete(s.open, bucket)
+	if s := b.mutableService(service); s != nil {
+		delete(s.transitions, bucket)
 	}
 }
 
-// PutMember adds or replaces a live entry.
+// PutMember adds or replaces a member.
 func (b *Builder) PutMember(m Member) {
 	if old, listed := b.next.Member(m.name); listed && old.incarnation != m.incarnation {
 		b.next.lossIndex = b.next.index
@@ -173,7 +174,7 @@
 	b.next.members = members
 }
 
-// LoseMember drops an entry that is gone without a word.
+// LoseMember removes an entry that failed, so that its records are lost.
 func (b *Builder) LoseMember(name string) {
 	if _, listed := b.next.Member(name); listed {
 		b.next.lossIndex = b.next.index
@@ -181,85 +182,86 @@
 	b.RemoveMember(name)
 }
 
-// RemoveMember drops an entry that has handed everything over.
+// RemoveMember removes an entry that handed over its records.
 func (b *Builder) RemoveMember(name string) {
 	b.next.members = slices.DeleteFunc(slices.Clone(b.next.members), func(o Member) bool { return o.name == name })
 }
 
-// MarkCut notes that a domain was lost whole.
+// MarkCut marks a domain as lost: none of its entries can be reached.
 func (b *Builder) MarkCut(domain string) {
 	b.MarkCleared(domain)
-	b.next.cut = with(b.next.cut, domain)
+	b.next.partitioned = withString(b.next.partitioned, domain)
 }
 
-// MarkReturned notes that a cut domain can be asked again.
+// MarkReturned marks a lost domain as reachable again.
 func (b *Builder) MarkReturned(domain string) {
 	b.MarkCleared(domain)
-	b.next.returned = with(b.next.returned, domain)
+	b.next.returned = withString(b.next.returned, domain)
 }
 
-// MarkBereft notes that all can be asked who will ever come back.
+// MarkBereft marks a domain as reachable again, without the records of the
+// entries that failed while it was lost.
 func (b *Builder) MarkBereft(domain string) {
 	b.MarkCleared(domain)
-	b.next.bereft = with(b.next.bereft, domain)
+	b.next.withLoss = withString(b.next.withLoss, domain)
 }
 
-// MarkCleared notes that nothing of a domain is in doubt any more.
+// MarkCleared removes every mark of a domain.
 func (b *Builder) MarkCleared(domain string) {
-	b.next.cut = without(b.next.cut, domain)
-	b.next.returned = without(b.next.returned, domain)
-	b.next.bereft = without(b.next.bereft, domain)
+	b.next.partitioned = withoutString(b.next.partitioned, domain)
+	b.next.returned = withoutString(b.next.returned, domain)
+	b.next.withLoss = withoutString(b.next.withLoss, domain)
 }
 
-func with(list []string, s string) []string {
-	list = without(list, s)
+func withString(list []string, s string) []string {
+	list = withoutString(list, s)
 	list = append(list, s)
 	slices.Sort(list)
 	return list
 }
 
-func without(list []string, s string) []string {
+func withoutString(list []string, s string) []string {
 	return slices.DeleteFunc(slices.Clone(list), func(o string) bool { return o == s })
 }
 
-// service returns a service that this builder may change.
-func (b *Builder) service(id uint32) *Service {
+// mutableService returns a copy of a service that this builder may change.
+func (b *Builder) mutableService(id uint32) *Service {
 	s := b.next.Service(id)
-	if s == nil || b.touched[id] {
+	if s == nil || b.copied[id] {
 		return s
 	}
 	c := *s
 	c.buckets = slices.Clone(s.buckets)
-	c.open = maps.Clone(s.open)
+	c.transitions = maps.Clone(s.transitions)
 	b.next.services[id-1] = &c
-	b.touched[id] = true
+	b.copied[id] = true
 	return &c
 }
 
 func (b *Builder) copyServices() {
-	if !b.ownSlice {
+	if !b.servicesCopied {
 		b.next.services = slices.Clone(b.next.services)
-		b.ownSlice = true
+		b.servicesCopied = true
 	}
 }
 
 func (b *Builder) copyMaps() {
-	if b.ownMaps {
+	if b.mapsCopied {
 		return
 	}
 	b.next.byKey = maps.Clone(b.next.byKey)
 	b.next.endpoints = maps.Clone(b.next.endpoints)
 	b.next.byAddr = maps.Clone(b.next.byAddr)
-	b.ownMaps = true
+	b.mapsCopied = true
 }
 
-// Restore sets the whole placement of a service, as a snapshot holds it.
-func (b *Builder) Restore(service uint32, buckets []uint32, open map[uint32]Transition, createdAt uint64) {
+// Restore replaces the placement of a service, from a snapshot.
+func (b *Builder) Restore(service uint32, buckets []uint32, transitions map[uint32]Transition, createdAt uint64) {
 	b.copyServices()
-	if s := b.service(service); s != nil {
-		s.buckets, s.open, s.createdAt = buckets, open, createdAt
+	if s := b.mutableService(service); s != nil {
+		s.buckets, s.transitions, s.createdAt = buckets, transitions, createdAt
 	}
 }
 
-// RestoreLoss sets the index of the last loss of an entry.
+// RestoreLoss sets the loss index, from a snapshot.
 func (b *Builder) RestoreLoss(index uint64) { b.next.lossIndex = index }
