--- a/internal/control/compile.go
+++ b/internal/control/compile.go
@@ -177,7 +177,7 @@
 			return true
 		}
 	}
-	for _, tr := range s.Open() {
+	for _, tr := range s.Transitions() {
 		if tr.Default == endpoint || tr.Previous == endpoint {
 			return true
 		}
--- a/internal/control/snapshot.go
+++ b/internal/control/snapshot.go
@@ -20,7 +20,7 @@
 	w := &wire.State{
 		Index: s.index, Revision: s.revision, Checksum: s.checksum,
 		NextEndpoint: s.nextEndpointID, NextService: s.nextServiceID,
-		History: s.history, LossIndex: s.table.LossIndex(), Cut: s.table.Cut(), Returned: s.table.Returned(), Bereft: s.table.Bereft(),
+		History: s.history, LossIndex: s.table.LossIndex(), Cut: s.table.Partitioned(), Returned: s.table.Returned(), Bereft: s.table.ReturnedWithLoss(),
 	}
 	for _, key := range sortedObjects(s.objects) {
 		w.Objects = append(w.Objects, s.objects[key])
@@ -55,8 +55,8 @@
 	for b := range w.Buckets {
 		w.Buckets[b] = s.Current(uint32(b))
 	}
-	for _, b := range slices.Sorted(maps.Keys(s.Open())) {
-		t := s.Open()[b]
+	for _, b := range slices.Sorted(maps.Keys(s.Transitions())) {
+		t := s.Transitions()[b]
 		w.Open = append(w.Open, &wire.StoredTransition{
 			Bucket: b, Default: t.Default, Previous: t.Previous, Current: t.Current, MovedAt: t.MovedAt, FlippedAt: t.FlippedAt,
 		})
@@ -120,15 +120,15 @@
 		b.PutMember(route.NewMember(m.Name, m.Domain, m.Incarnation, m.Leaving, m.JoinedAt))
 	}
 	for _, d := range w.Cut {
-		b.MarkCut(d)
+		b.MarkPartitioned(d)
 	}
 	for _, d := range w.Returned {
 		b.MarkReturned(d)
 	}
 	for _, d := range w.Bereft {
-		b.MarkBereft(d)
+		b.MarkReturnedWithLoss(d)
 	}
-	b.RestoreLoss(w.LossIndex)
+	b.RestoreLossIndex(w.LossIndex)
 	s.table = b.Table()
 	return nil
 }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -184,7 +184,7 @@
 		b.PutMember(route.NewMember(m.Name, m.Domain, m.Incarnation, m.Leaving, joined))
 	}
 	for _, name := range change.Left {
-		b.LoseMember(name)
+		b.RemoveFailedMember(name)
 	}
 	for _, name := range change.Stopped {
 		b.RemoveMember(name)
@@ -194,13 +194,13 @@
 func markSuspect(b *route.Builder, m *wire.Suspect) {
 	switch {
 	case m.Cleared:
-		b.MarkCleared(m.Domain)
+		b.ClearMarks(m.Domain)
 	case m.Lost:
-		b.MarkBereft(m.Domain)
+		b.MarkReturnedWithLoss(m.Domain)
 	case m.Returned:
 		b.MarkReturned(m.Domain)
 	default:
-		b.MarkCut(m.Domain)
+		b.MarkPartitioned(m.Domain)
 	}
 }
 
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -15,13 +15,13 @@
 type (
 	// Config holds the timing and limits of a Controller.
 	Config struct {
-		Lease       time.Duration // how long a heartbeat lets an entry decide
-		Margin      time.Duration // maximum clock drift during one lease
-		SettleAfter time.Duration // how long a bucket must have no flows elsewhere before it settles
-		ReturnWait  time.Duration // how long to wait for the entries of a domain that is reachable again
-		PlaceEvery  time.Duration // interval between placement rounds
-		MovesAtOnce int           // maximum number of buckets moved per service and round to balance load
-		Health      health.Config
+		Lease             time.Duration // how long a heartbeat lets an entry decide
+		ClockMargin       time.Duration // maximum clock drift during one lease
+		SettleAfter       time.Duration // how long a bucket must have no flows elsewhere before it settles
+		ReturnTimeout     time.Duration // how long to wait for the entries of a domain that is reachable again
+		PlacementInterval time.Duration // interval between placement rounds
+		MaxMovesPerRound  int           // maximum number of buckets moved per service and round to balance load
+		Health            health.Config
 	}
 
 	// member is the state of one entry.
@@ -61,10 +61,10 @@
 
 	// MemberStatus is the reported status of an entry.
 	MemberStatus struct {
-		Name, Domain string
-		Applied      uint64
-		Silent       time.Duration
-		Leased       bool
+		Name, Domain   string
+		Applied        uint64
+		SinceHeartbeat time.Duration
+		Leased         bool
 	}
 
 	// Controller makes the decisions of one leader during one term.
@@ -99,7 +99,7 @@
 	for _, m := range state.Table().Members() {
 		k.members[m.Name()] = &member{
 			name: m.Name(), domain: m.Domain(), incarnation: m.Incarnation(),
-			leaseUntil: now.Add(c.Lease + c.Margin), lastBeat: now, counts: map[bucketKey]flowCount{},
+			leaseUntil: now.Add(c.Lease + c.ClockMargin), lastBeat: now, counts: map[bucketKey]flowCount{},
 		}
 	}
 	return k
@@ -141,7 +141,7 @@
 	if !k.admit(r) || r.Applied < max(k.activeIndex, k.startIndex) || r.Applied > k.state.Index() {
 		return Grant{Active: k.activeIndex}
 	}
-	m.leaseUntil = now.Add(k.config.Lease + k.config.Margin)
+	m.leaseUntil = now.Add(k.config.Lease + k.config.ClockMargin)
 	return Grant{Lease: k.config.Lease, Active: k.activeIndex}
 }
 
@@ -195,7 +195,7 @@
 	k.advanceActiveIndex(now)
 	var commands []*wire.Command
 	commands = append(commands, k.membershipCommands(now)...)
-	if now.Sub(k.lastPlacement) >= k.config.PlaceEvery {
+	if now.Sub(k.lastPlacement) >= k.config.PlacementInterval {
 		k.lastPlacement = now
 		commands = append(commands, k.resolveReturned(now)...)
 		commands = append(commands, k.resolveLosses(now)...)
@@ -226,16 +226,16 @@
 	for _, m := range k.state.Table().Members() {
 		s := MemberStatus{Name: m.Name(), Domain: m.Domain()}
 		if known := k.members[m.Name()]; known != nil {
-			s.Applied, s.Silent, s.Leased = known.appliedIndex, now.Sub(known.lastBeat), now.Before(known.leaseUntil)
+			s.Applied, s.SinceHeartbeat, s.Leased = known.appliedIndex, now.Sub(known.lastBeat), now.Before(known.leaseUntil)
 		}
 		all = append(all, s)
 	}
 	return all
 }
 
-// FlowsLeft returns how many flows of a bucket aren't on its current endpoint: the
+// FlowsElsewhere returns how many flows of a bucket aren't on its current endpoint: the
 // highest number that any entry reports.
-func (k *Controller) FlowsLeft(service, bucket uint32) uint32 {
+func (k *Controller) FlowsElsewhere(service, bucket uint32) uint32 {
 	var maxFlows uint32
 	for _, m := range k.members {
 		maxFlows = max(maxFlows, m.counts[bucketKey{service, bucket}].flows)
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -31,7 +31,7 @@
 		if known != nil && now.Before(k.listedUntil(known)) || isJoining(change, m.Name()) {
 			continue
 		}
-		if !aliveDomains[m.Domain()] && !m.Leaving() && !slices.Contains(k.state.Table().Cut(), m.Domain()) {
+		if !aliveDomains[m.Domain()] && !m.Leaving() && !slices.Contains(k.state.Table().Partitioned(), m.Domain()) {
 			aliveDomains[m.Domain()] = true // mark the domain only once
 			k.lostIncarnations[m.Domain()] = k.incarnationsIn(m.Domain())
 			delete(k.returnedDomains, m.Domain())
@@ -54,7 +54,7 @@
 // listedUntil returns when an entry is removed: after its lease, or when it had
 // enough time since a heartbeat to catch up with the log and get a lease.
 func (k *Controller) listedUntil(m *member) time.Time {
-	beatDeadline := m.lastBeat.Add(k.config.Lease + k.config.Margin)
+	beatDeadline := m.lastBeat.Add(k.config.Lease + k.config.ClockMargin)
 	if beatDeadline.After(m.leaseUntil) {
 		return beatDeadline
 	}
@@ -94,7 +94,7 @@
 // markReturned marks each lost domain that has a live entry as reachable again.
 func (k *Controller) markReturned(now time.Time, aliveDomains map[string]bool) []*wire.Command {
 	var commands []*wire.Command
-	for _, domain := range k.state.Table().Cut() {
+	for _, domain := range k.state.Table().Partitioned() {
 		if aliveDomains[domain] {
 			k.returnedDomains[domain] = &returnedDomain{returnedAt: now, returnIndex: k.state.Index()}
 			commands = append(commands, suspectCommand(&wire.Suspect{Domain: domain, Returned: true}))
@@ -139,7 +139,7 @@
 	}
 	waited := now.Sub(returned.returnedAt)
 	return waited >= k.config.SettleAfter && k.allMembersCounted(now, returned.returnIndex) &&
-		(k.allMembersReturned(domain) || waited >= k.config.ReturnWait)
+		(k.allMembersReturned(domain) || waited >= k.config.ReturnTimeout)
 }
 
 // allMembersReturned reports whether every entry that a domain had when it was lost
@@ -168,7 +168,7 @@
 // resolveLosses clears domains that returned without the records of failed
 // entries. After one idle timeout all flows in those records have ended or been reset.
 func (k *Controller) resolveLosses(now time.Time) []*wire.Command {
-	domains := k.state.Table().Bereft()
+	domains := k.state.Table().ReturnedWithLoss()
 	if len(domains) == 0 {
 		clear(k.lossSince)
 		return nil
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -60,5 +60,5 @@
 // fewer buckets may be in transition at a time.
 func (k *Controller) moveLimit(s *route.Service) int {
 	maxInTransition := int(float64(s.BucketCount()) * (0.02 + 0.1*s.Policy().Balance))
-	return max(0, min(k.config.MovesAtOnce, maxInTransition-len(s.Open())))
+	return max(0, min(k.config.MaxMovesPerRound, maxInTransition-len(s.Transitions())))
 }
--- a/internal/controller/transition.go
+++ b/internal/controller/transition.go
@@ -37,12 +37,12 @@
 	var commands []*wire.Command
 	seen := map[bucketKey]bool{}
 	k.state.Table().Services(func(s *route.Service) {
-		if len(s.Open()) == 0 {
+		if len(s.Transitions()) == 0 {
 			return
 		}
 		var settle, forced, flip []uint32
-		for _, bucket := range slices.Sorted(maps.Keys(s.Open())) {
-			t := s.Open()[bucket]
+		for _, bucket := range slices.Sorted(maps.Keys(s.Transitions())) {
+			t := s.Transitions()[bucket]
 			key := bucketKey{s.ID(), bucket}
 			seen[key] = true
 			switch k.nextAction(now, s, key, t) {
@@ -97,7 +97,7 @@
 	} else if tracked.drainedSince.IsZero() {
 		tracked.drainedSince = now
 	}
-	if k.state.Table().Suspect() {
+	if k.state.Table().Uncertain() {
 		// Packets of unknown flows are dropped, so live flows may go unseen. They get a
 		// full idle timeout when the table is certain again.
 		tracked.stableSince = time.Time{}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -82,8 +82,8 @@
 	c.view = v
 	c.flow.SetView(v)
 	c.work.SetView(now, &work.View{
-		Table: v.Table, Steps: v.Steps, LeaseUntil: v.LeaseUntil,
-		Island: v.Island, Reachable: v.Reachable, Domains: v.Domains,
+		Table: v.Table, Steps: v.MembershipTables, LeaseUntil: v.LeaseUntil,
+		Island: v.Isolated, Reachable: v.Reachable, Domains: v.ReachableDomains,
 	})
 }
 
@@ -103,7 +103,7 @@
 
 // TakePeer takes a message from another entry.
 func (c *Core) TakePeer(now time.Time, m *wire.Peer) {
-	c.flow.Peer(now, m)
+	c.flow.HandlePeer(now, m)
 	c.work.Peer(now, m)
 }
 
@@ -165,7 +165,7 @@
 
 // collect adds what the engines want sent beside the packet at hand.
 func (c *Core) collect(now time.Time) {
-	for _, o := range c.flow.TakeOut() {
+	for _, o := range c.flow.TakeOutput() {
 		if o.Message != nil {
 			c.sends = append(c.sends, Send{Target: ToPeer, Peer: o.Peer, Message: o.Message})
 			continue
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -32,10 +32,10 @@
 	}
 	b.PutMember(route.NewMember("e0", "d", 1, false, 1))
 	c := New(Config{
-		Flow: flow.Config{Self: "e0", Domain: "d", Incarnation: 1, Flows: 100, Records: 10, HalfOpenLife: time.Second, SweepEvery: time.Second},
+		Flow: flow.Config{Self: "e0", Domain: "d", Incarnation: 1, MaxFlows: 100, MaxRecords: 10, HalfOpenTimeout: time.Second, SweepInterval: time.Second},
 		Work: work.Config{Self: "e0", Domain: "d", Incarnation: 1},
 	}, start)
-	c.SetView(start, &flow.View{Table: b.Table(), Active: 1, LeaseUntil: start.Add(time.Hour), Domains: []string{"d"}})
+	c.SetView(start, &flow.View{Table: b.Table(), Active: 1, LeaseUntil: start.Add(time.Hour), ReachableDomains: []string{"d"}})
 	return c
 }
 
--- a/internal/explain/recompute.go
+++ b/internal/explain/recompute.go
@@ -34,7 +34,7 @@
 		d.Action, d.Reason, d.NextStep = "drop", flow.UnknownService.String(), FlowNextStep(flow.UnknownService)
 		return d
 	}
-	known := e.Known(packet.NewTuple(source, target, transport))
+	known := e.StoredFlow(packet.NewTuple(source, target, transport))
 	bucket := service.Bucket(known.ID)
 	t, open := service.Transition(bucket)
 	owner, second := route.Rank(view.Table.Members(), service.ID(), bucket)
@@ -52,7 +52,7 @@
 	}
 	if open {
 		d.Hops = append(d.Hops, fmt.Sprintf("in transition since index %d: new flows to %s, unknown ones to %s; owner %s, second holder %s",
-			t.MovedAt, name(view.Table, t.ForNew(view.Active)), name(view.Table, t.Default), owner, second))
+			t.MovedAt, name(view.Table, t.NewFlowEndpoint(view.Active)), name(view.Table, t.Default), owner, second))
 	}
 	if !now.Before(view.LeaseUntil) {
 		d.Hops = append(d.Hops, "this entry holds no lease and decides nothing new")
--- a/internal/flow/answer.go
+++ b/internal/flow/answer.go
@@ -47,7 +47,7 @@
 		High: v.id.High, Low: v.id.Low, Endpoint: v.endpoint.ID(),
 	}}}
 	for _, peer := range e.view.Reachable {
-		e.out = append(e.out, Out{Peer: peer, Message: m})
+		e.out = append(e.out, Output{Peer: peer, Message: m})
 	}
 }
 
@@ -132,7 +132,7 @@
 	case provesHandshake(p):
 		e.cacheFlow(now, v, p, v.endpoint.ID(), false)
 		return e.verdictOnAnswer(true, v, ByAnswer)
-	case !open && !e.view.Table.Suspect() && now.Before(e.view.LeaseUntil):
+	case !open && !e.view.Table.Uncertain() && now.Before(e.view.LeaseUntil):
 		return e.verdictOnAnswer(v.service.Current(v.bucket) == v.endpoint.ID(), v, BySettled)
 	case !now.Before(e.view.LeaseUntil):
 		return e.verdictOnAnswer(p.Flags().Accepts(), v, ByAnswer)
--- a/internal/flow/ask.go
+++ b/internal/flow/ask.go
@@ -40,7 +40,7 @@
 	if len(peers) == 0 {
 		return e.decideUnseen(now, v, p, e.isOnlyMember())
 	}
-	if len(e.questions) >= e.config.Waiting || !e.askLimiter.AllowN(now, 1) {
+	if len(e.questions) >= e.config.MaxWaiting || !e.askLimiter.AllowN(now, 1) {
 		if p.Flags().Opens() {
 			return e.decideUnseen(now, v, p, false)
 		}
@@ -58,7 +58,7 @@
 		High: v.id.High, Low: v.id.Low, Service: v.service.ID(),
 	}}}
 	for _, peer := range peers {
-		e.out = append(e.out, Out{Peer: peer, Message: message})
+		e.out = append(e.out, Output{Peer: peer, Message: message})
 	}
 	v.action, v.reason = Waited, AskedPeers
 	return v
@@ -81,8 +81,8 @@
 	return sample
 }
 
-// Peer handles a message from another entry.
-func (e *Engine) Peer(now time.Time, m *wire.Peer) {
+// HandlePeer handles a message from another entry.
+func (e *Engine) HandlePeer(now time.Time, m *wire.Peer) {
 	switch body := m.Body.(type) {
 	case *wire.Peer_Ask:
 		e.handleAsk(m.From, body.Ask)
@@ -108,7 +108,7 @@
 	if r, ok := e.records[id]; ok && (told.Endpoint == 0 || told.Opening) {
 		told.Endpoint, told.Opening = r.endpoint, !r.confirmed
 	}
-	e.out = append(e.out, Out{Peer: from, Message: &wire.Peer{From: e.config.Self, Body: &wire.Peer_Told{Told: told}}})
+	e.out = append(e.out, Output{Peer: from, Message: &wire.Peer{From: e.config.Self, Body: &wire.Peer_Told{Told: told}}})
 }
 
 func (e *Engine) handleTold(now time.Time, from string, told *wire.Told) {
@@ -130,7 +130,7 @@
 	if len(q.unanswered) > 0 {
 		return
 	}
-	if len(q.halfOpen) == 1 && len(e.view.Table.Cut()) == 0 {
+	if len(q.halfOpen) == 1 && len(e.view.Table.Partitioned()) == 0 {
 		// While a domain can't be asked, a SYN isn't enough: its entries may have
 		// sent a repeated SYN to another endpoint.
 		e.resolve(now, q, q.halfOpen[0])
@@ -151,7 +151,7 @@
 // decideWaiting decides on the waiting packets of a question and queues them for sending.
 func (e *Engine) decideWaiting(q *question, decide func(*packet.Packet) Verdict) {
 	for _, p := range q.packets {
-		e.out = append(e.out, Out{Packet: p, Verdict: decide(p)})
+		e.out = append(e.out, Output{Packet: p, Verdict: decide(p)})
 	}
 }
 
@@ -166,11 +166,11 @@
 	case p.Flags().Opens():
 		_, second := route.Rank(e.view.Table.Members(), v.service.ID(), v.bucket)
 		return e.placeNewFlow(now, v, p, t, second)
-	case askedAll && !e.view.Island && e.onlyLossUnresolved():
+	case askedAll && !e.view.Isolated && e.onlyLossUnresolved():
 		// Every entry that could still have a record was asked.
 		v.action, v.reason = Reset, NobodyKnows
 		return v
-	case e.view.Island || e.view.Table.Suspect():
+	case e.view.Isolated || e.view.Table.Uncertain():
 		v.action, v.reason = Drop, WithheldCut // an entry that wasn't asked may know the flow
 		return v
 	case !askedAll:
@@ -190,7 +190,7 @@
 // onlyLossUnresolved reports whether the only uncertainty is about lost records.
 func (e *Engine) onlyLossUnresolved() bool {
 	t := e.view.Table
-	return len(t.Bereft()) > 0 && len(t.Cut())+len(t.Returned()) == 0
+	return len(t.ReturnedWithLoss()) > 0 && len(t.Partitioned())+len(t.Returned()) == 0
 }
 
 // expireQuestions drops the packets of questions that weren't answered in time.
--- a/internal/flow/engine.go
+++ b/internal/flow/engine.go
@@ -23,9 +23,9 @@
 		service, bucket uint32
 	}
 
-	// Out is something to send besides the current packet: a message to a peer, or a
+	// Output is something to send besides the current packet: a message to a peer, or a
 	// packet that waited for answers of peers.
-	Out struct {
+	Output struct {
 		Peer    string         // receiver of the message
 		Message *wire.Peer     // nil if Out is a packet
 		Packet  *packet.Packet // a packet that has waited
@@ -34,9 +34,9 @@
 
 	// Stats holds the engine's gauges and counters.
 	Stats struct {
-		Flows, HalfOpen, Records, Waiting   int
-		TableFull, Asks, Pushes, PushBytes  uint64
-		PushBacklog, Broken, RecordsDropped uint64
+		Flows, HalfOpen, Records, Waiting                int
+		TableFull, Asks, Pushes, PushBytes               uint64
+		PushBacklog, InvariantViolations, RecordsDropped uint64
 	}
 
 	// Engine makes the forwarding decisions of one entry.
@@ -51,7 +51,7 @@
 		askLimiter    *rate.Limiter
 		push          pusher
 		sweep         sweeper
-		out           []Out
+		out           []Output
 		stats         Stats
 	}
 )
@@ -61,11 +61,11 @@
 	return &Engine{
 		config:     c,
 		view:       &View{Table: route.Empty()},
-		flows:      newFlowTable(c.Flows, now),
+		flows:      newFlowTable(c.MaxFlows, now),
 		records:    map[route.FlowID]record{},
 		holdings:   map[bucketKey]*holding{},
 		questions:  map[route.FlowID]*question{},
-		askLimiter: rate.NewLimiter(rate.Limit(c.AsksASecond), c.AsksASecond),
+		askLimiter: rate.NewLimiter(rate.Limit(c.AsksPerSecond), c.AsksPerSecond),
 		push:       newPusher(c),
 		sweep:      newSweeper(),
 	}
@@ -82,9 +82,9 @@
 	return s
 }
 
-// TakeOut returns and clears the queued messages and packets. The slice is valid
+// TakeOutput returns and clears the queued messages and packets. The slice is valid
 // until the next call of a method.
-func (e *Engine) TakeOut() []Out {
+func (e *Engine) TakeOutput() []Output {
 	out := e.out
 	e.out = e.out[:0]
 	return out
@@ -142,12 +142,12 @@
 
 // placementUncertain reports whether the table may be wrong about where flows are,
 // because a domain is or was partitioned. A forwarded SYN then proves nothing.
-func (e *Engine) placementUncertain() bool { return e.view.Island || e.view.Table.Suspect() }
+func (e *Engine) placementUncertain() bool { return e.view.Isolated || e.view.Table.Uncertain() }
 
 // idleBeyondHalfOpen reports whether a flow has been idle for longer than a paused
 // entry that still holds its lease can have delayed a SYN of it.
 func (e *Engine) idleBeyondHalfOpen(now time.Time, s *slot) bool {
-	return time.Duration(e.flows.ticks(now)-s.lastSeen)*tick > e.config.HalfOpenLife
+	return time.Duration(e.flows.ticks(now)-s.lastSeen)*tick > e.config.HalfOpenTimeout
 }
 
 // opensNewFlow reports whether a SYN on a cached flow opens a new flow on the same
@@ -188,7 +188,7 @@
 // reusesTuple reports whether a SYN opens a new flow on the tuple of a recorded flow
 // whose endpoint takes no new flows.
 func (e *Engine) reusesTuple(now time.Time, p *packet.Packet, r record) bool {
-	if !p.Flags().Opens() || now.Sub(r.storedAt) <= e.config.HalfOpenLife {
+	if !p.Flags().Opens() || now.Sub(r.storedAt) <= e.config.HalfOpenTimeout {
 		return false
 	}
 	endpoint := e.view.Table.Endpoint(r.endpoint)
@@ -201,7 +201,7 @@
 func (e *Engine) announceReuse(v Verdict) {
 	forget := &wire.Peer{From: e.config.Self, Body: &wire.Peer_Forget{Forget: &wire.Forget{High: v.id.High, Low: v.id.Low}}}
 	for _, peer := range e.view.Reachable {
-		e.out = append(e.out, Out{Peer: peer, Message: forget})
+		e.out = append(e.out, Output{Peer: peer, Message: forget})
 	}
 	e.forgetLeaving(v.id)
 }
@@ -227,7 +227,7 @@
 		return e.decideWithoutLease(now, v, p)
 	}
 	t, inTransition := v.service.Transition(v.bucket)
-	mustAsk := e.view.Table.Suspect() && !p.Flags().Opens() || len(e.view.Table.Returned()) > 0
+	mustAsk := e.view.Table.Uncertain() && !p.Flags().Opens() || len(e.view.Table.Returned()) > 0
 	if !inTransition && !mustAsk {
 		return e.forward(now, v, p, v.service.Current(v.bucket), BySettled)
 	}
@@ -291,7 +291,7 @@
 // to the packet's service.
 func (e *Engine) send(v Verdict, endpoint *route.Endpoint, reason Reason) Verdict {
 	if endpoint.Service() != v.service.ID() {
-		e.stats.Broken++
+		e.stats.InvariantViolations++
 		v.action, v.reason = Drop, CrossService
 		return v
 	}
--- a/internal/flow/engine_test.go
+++ b/internal/flow/engine_test.go
@@ -46,8 +46,8 @@
 
 func newEngine(t *route.Table, active uint64) *flow.Engine {
 	e := flow.New(flow.Config{
-		Self: "e0", Domain: "d", Incarnation: 1, Flows: 1000, Records: 10, Waiting: 4, AsksASecond: 10, PushBytes: 1000,
-		AskTimeout: 50 * time.Millisecond, PushRetry: time.Second, HalfOpenLife: time.Second, SweepEvery: time.Second,
+		Self: "e0", Domain: "d", Incarnation: 1, MaxFlows: 1000, MaxRecords: 10, MaxWaiting: 4, AsksPerSecond: 10, PushBytesPerSecond: 1000,
+		AskTimeout: 50 * time.Millisecond, PushRetryInterval: time.Second, HalfOpenTimeout: time.Second, SweepInterval: time.Second,
 	}, start)
 	e.SetView(&flow.View{Table: newTable(2, nil), Active: 1, LeaseUntil: start.Add(time.Hour), Reachable: []string{"e1", "e2"}})
 	e.SetView(&flow.View{Table: t, Active: active, LeaseUntil: start.Add(time.Hour), Reachable: []string{"e1", "e2"}})
@@ -164,8 +164,8 @@
 	})
 	// An entry that starts while buckets are in transition has no records.
 	e := flow.New(flow.Config{
-		Self: "e0", Domain: "d", Incarnation: 1, Flows: 1000, Records: 10, Waiting: 4, AsksASecond: 10, PushBytes: 1000,
-		AskTimeout: 50 * time.Millisecond, PushRetry: time.Second, HalfOpenLife: time.Second, SweepEvery: time.Second,
+		Self: "e0", Domain: "d", Incarnation: 1, MaxFlows: 1000, MaxRecords: 10, MaxWaiting: 4, AsksPerSecond: 10, PushBytesPerSecond: 1000,
+		AskTimeout: 50 * time.Millisecond, PushRetryInterval: time.Second, HalfOpenTimeout: time.Second, SweepInterval: time.Second,
 	}, start)
 	e.SetView(&flow.View{Table: moved, Active: 2, LeaseUntil: start.Add(time.Hour), Reachable: []string{"e1", "e2"}})
 	var verdict flow.Verdict
@@ -175,11 +175,11 @@
 		}
 	}
 	g.Expect(verdict.Action()).To(gomega.Equal(flow.Waited))
-	for _, o := range e.TakeOut() {
+	for _, o := range e.TakeOutput() {
 		ask := o.Message.GetAsk()
-		e.Peer(start, &wire.Peer{From: o.Peer, Body: &wire.Peer_Told{Told: &wire.Told{High: ask.High, Low: ask.Low, Service: 1}}})
+		e.HandlePeer(start, &wire.Peer{From: o.Peer, Body: &wire.Peer_Told{Told: &wire.Told{High: ask.High, Low: ask.Low, Service: 1}}})
 	}
-	out := e.TakeOut()
+	out := e.TakeOutput()
 	g.Expect(out).To(gomega.HaveLen(1))
 	g.Expect(out[0].Verdict.Action()).To(gomega.Equal(flow.Reset))
 	g.Expect(out[0].Verdict.Reason()).To(gomega.Equal(flow.NobodyKnows))
@@ -199,7 +199,7 @@
 	joined := b.Table()
 	for active, recorded := range map[uint64]bool{2: false, 3: true} {
 		g := gomega.NewWithT(t)
-		e := flow.New(flow.Config{Self: "e0", Domain: "d", Incarnation: 1, Flows: 1000, Records: 1000, HalfOpenLife: time.Second, SweepEvery: time.Second}, start)
+		e := flow.New(flow.Config{Self: "e0", Domain: "d", Incarnation: 1, MaxFlows: 1000, MaxRecords: 1000, HalfOpenTimeout: time.Second, SweepInterval: time.Second}, start)
 		reachable := []string{"e1", "e2"}
 		e.SetView(&flow.View{Table: opened, Active: 2, LeaseUntil: start.Add(time.Hour), Reachable: reachable})
 		e.SetView(&flow.View{Table: joined, Active: active, LeaseUntil: start.Add(time.Hour), Reachable: reachable})
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -78,32 +78,32 @@
 
 	// Config configures an Engine.
 	Config struct {
-		Self         string
-		Domain       string
-		Incarnation  uint64 // of this entry
-		Hasher       route.Hasher
-		Flows        int           // maximum number of cached flows
-		Records      int           // maximum number of records
-		Waiting      int           // maximum number of flows that wait for answers of peers
-		AsksASecond  int           // maximum rate of questions to peers
-		PushBytes    int           // maximum rate of pushes to holders, in bytes per second
-		AskTimeout   time.Duration // how long packets wait for answers of peers
-		PushRetry    time.Duration // interval at which an unacknowledged push is repeated
-		HalfOpenLife time.Duration // after which a half-open flow expires
-		SweepEvery   time.Duration // duration of one pass over the cached flows
-		Modulo       bool          // hash modulo the live endpoints without state, as a baseline for comparison
+		Self               string
+		Domain             string
+		Incarnation        uint64 // of this entry
+		Hasher             route.Hasher
+		MaxFlows           int           // maximum number of cached flows
+		MaxRecords         int           // maximum number of records
+		MaxWaiting         int           // maximum number of flows that wait for answers of peers
+		AsksPerSecond      int           // maximum rate of questions to peers
+		PushBytesPerSecond int           // maximum rate of pushes to holders, in bytes per second
+		AskTimeout         time.Duration // how long packets wait for answers of peers
+		PushRetryInterval  time.Duration // interval at which an unacknowledged push is repeated
+		HalfOpenTimeout    time.Duration // after which a half-open flow expires
+		SweepInterval      time.Duration // duration of one pass over the cached flows
+		Modulo             bool          // hash modulo the live endpoints without state, as a baseline for comparison
 	}
 
 	// View is an immutable snapshot of the control state that an engine decides by.
 	View struct {
-		Table      *route.Table
-		Steps      []*route.Table // recent tables at which the members changed, oldest first
-		Active     uint64         // changes up to this index may be used
-		LeaseUntil time.Time      // when this entry's lease ends
-		Island     bool           // this failure domain is partitioned and decides without leases
-		Reachable  []string       // sorted names of the peers heard from recently
-		Leased     []string       // those of them with a lease
-		Domains    []string       // reachable failure domains
+		Table            *route.Table
+		MembershipTables []*route.Table // recent tables at which the members changed, oldest first
+		Active           uint64         // changes up to this index may be used
+		LeaseUntil       time.Time      // when this entry's lease ends
+		Isolated         bool           // this failure domain is partitioned and decides without leases
+		Reachable        []string       // sorted names of the peers heard from recently
+		Leased           []string       // those of them with a lease
+		ReachableDomains []string       // reachable failure domains
 	}
 )
 
@@ -156,15 +156,15 @@
 // ID returns the ID of the flow.
 func (v Verdict) ID() route.FlowID { return v.id }
 
-// Knowledge holds the endpoints that an engine has stored for a flow; 0 if none.
-type Knowledge struct {
+// StoredFlow holds the endpoints that an engine has stored for a flow; 0 if none.
+type StoredFlow struct {
 	ID               route.FlowID
 	Cached, Recorded uint32
 }
 
-// Known returns what is stored for the flow of a caller's tuple.
-func (e *Engine) Known(t packet.Tuple) Knowledge {
-	k := Knowledge{ID: e.config.Hasher.Flow(t)}
+// StoredFlow returns what is stored for the flow of a caller's tuple.
+func (e *Engine) StoredFlow(t packet.Tuple) StoredFlow {
+	k := StoredFlow{ID: e.config.Hasher.Flow(t)}
 	if s := e.flows.get(k.ID); s != nil {
 		k.Cached = s.endpoint
 	}
--- a/internal/flow/holder.go
+++ b/internal/flow/holder.go
@@ -37,7 +37,7 @@
 	if existing, ok := e.records[id]; ok && existing.endpoint == endpoint {
 		return true
 	}
-	if _, ok := e.records[id]; !ok && len(e.records) >= e.config.Records {
+	if _, ok := e.records[id]; !ok && len(e.records) >= e.config.MaxRecords {
 		e.stats.RecordsDropped++
 		return false
 	}
@@ -66,7 +66,7 @@
 
 // hasAllRecords reports whether this owner has every record of the flow's bucket.
 func (e *Engine) hasAllRecords(v Verdict) bool {
-	if e.view.Table.Suspect() {
+	if e.view.Table.Uncertain() {
 		return false
 	}
 	h := e.holdings[bucketKey{v.service.ID(), v.bucket}]
@@ -80,7 +80,7 @@
 	}
 	previous := e.view
 	e.view = next
-	for _, t := range next.Steps {
+	for _, t := range next.MembershipTables {
 		if t.Index() > previous.Table.Index() && t.Index() < next.Table.Index() {
 			step := *next
 			step.Table = t
@@ -111,8 +111,8 @@
 	sameMembers := slices.Equal(next.Table.Members(), previous.Table.Members())
 	next.Table.Services(func(s *route.Service) {
 		before := previous.Table.Service(s.ID())
-		for _, bucket := range slices.Sorted(maps.Keys(s.Open())) {
-			t := s.Open()[bucket]
+		for _, bucket := range slices.Sorted(maps.Keys(s.Transitions())) {
+			t := s.Transitions()[bucket]
 			key := bucketKey{s.ID(), bucket}
 			oldTransition, wasInTransition := previousTransition(before, bucket)
 			if wasInTransition && oldTransition == t && sameMembers {
@@ -166,7 +166,7 @@
 	case !wasInTransition && isHolder:
 		// The bucket was settled until now, so it has no records. That is known only
 		// if this entry was a holder before and saw the transition begin.
-		e.holdingOf(key).complete = sameHolders && e.isListed(previous.Table) && !previous.Table.Suspect()
+		e.holdingOf(key).complete = sameHolders && e.isListed(previous.Table) && !previous.Table.Uncertain()
 	case wasInTransition && !sameHolders:
 		e.transferRecords(key, next.Table, [2]holder{oldOwner, oldSecond}, [2]holder{owner, second})
 	}
@@ -206,7 +206,7 @@
 		if _, open := s.Transition(key.bucket); open {
 			return
 		}
-		if next.Table.Suspect() || next.Island {
+		if next.Table.Uncertain() || next.Isolated {
 			return // records made by an isolated domain are still needed
 		}
 	}
--- a/internal/flow/lease.go
+++ b/internal/flow/lease.go
@@ -16,7 +16,7 @@
 // delayed here by a pause while another entry opened its flow. The caller repeats
 // a SYN that is still wanted.
 func (e *Engine) decideWithoutLease(now time.Time, v Verdict, p *packet.Packet) Verdict {
-	if e.view.Island {
+	if e.view.Isolated {
 		return e.decideIsolated(now, v, p)
 	}
 	if n := len(e.view.Leased); n > 0 && !p.Flags().Opens() {
@@ -59,7 +59,7 @@
 func (e *Engine) isolatedEndpoint(v Verdict) uint32 {
 	preferred := v.service.Current(v.bucket)
 	if t, open := v.service.Transition(v.bucket); open {
-		preferred = t.ForNew(e.view.Active)
+		preferred = t.NewFlowEndpoint(e.view.Active)
 	}
 	if e.acceptsNewFlows(preferred) {
 		return preferred
@@ -80,5 +80,5 @@
 
 func (e *Engine) acceptsNewFlows(endpoint uint32) bool {
 	target := e.view.Table.Endpoint(endpoint)
-	return target != nil && !target.Leaving() && slices.Contains(e.view.Domains, target.Domain())
+	return target != nil && !target.Leaving() && slices.Contains(e.view.ReachableDomains, target.Domain())
 }
--- a/internal/flow/newflow.go
+++ b/internal/flow/newflow.go
@@ -12,7 +12,7 @@
 // an endpoint that all entries use as the default.
 func (e *Engine) placeNewFlow(now time.Time, v Verdict, p *packet.Packet, t route.Transition, second string) Verdict {
 	defaultAgreed := !t.Flipped() || t.FlipActive(e.view.Active)
-	endpoint := t.ForNew(e.view.Active)
+	endpoint := t.NewFlowEndpoint(e.view.Active)
 	if endpoint == t.Default && defaultAgreed {
 		return e.forward(now, v, p, endpoint, ByNew)
 	}
--- a/internal/flow/push.go
+++ b/internal/flow/push.go
@@ -67,8 +67,8 @@
 
 func newPusher(c Config) pusher {
 	return pusher{
-		limiter:       rate.NewLimiter(rate.Limit(c.PushBytes), max(c.PushBytes, pushOverheadBytes+maxRecordsPerPush*recordBytes)),
-		retryInterval: c.PushRetry,
+		limiter:       rate.NewLimiter(rate.Limit(c.PushBytesPerSecond), max(c.PushBytesPerSecond, pushOverheadBytes+maxRecordsPerPush*recordBytes)),
+		retryInterval: c.PushRetryInterval,
 		reports:       map[bucketKey][]flowReport{},
 	}
 }
@@ -207,7 +207,7 @@
 	s.resendAt = now.Add(e.push.retryInterval)
 	e.stats.Pushes++
 	e.stats.PushBytes += uint64(pushOverheadBytes + len(s.push.Records)*recordBytes)
-	e.out = append(e.out, Out{Peer: s.peer, Message: &wire.Peer{From: e.config.Self, Body: &wire.Peer_Push{Push: s.push}}})
+	e.out = append(e.out, Output{Peer: s.peer, Message: &wire.Peer{From: e.config.Self, Body: &wire.Peer_Push{Push: s.push}}})
 }
 
 // resend repeats unacknowledged pushes, and abandons those to a peer that was
@@ -262,7 +262,7 @@
 	if push.Complete {
 		e.holdingOf(key).complete = true
 	}
-	e.out = append(e.out, Out{Peer: from, Message: &wire.Peer{From: e.config.Self, Body: &wire.Peer_Pushed{
+	e.out = append(e.out, Output{Peer: from, Message: &wire.Peer{From: e.config.Self, Body: &wire.Peer_Pushed{
 		Pushed: &wire.Pushed{Sequence: push.Sequence},
 	}}})
 }
--- a/internal/flow/sweep.go
+++ b/internal/flow/sweep.go
@@ -10,17 +10,17 @@
 const closingTimeout = 10 * time.Second
 
 type (
-	// Row is the number of flows of a bucket that aren't on its current endpoint, and
+	// BucketFlows is the number of flows of a bucket that aren't on its current endpoint, and
 	// how many of these the holders haven't confirmed.
-	Row struct {
+	BucketFlows struct {
 		Service, Bucket uint32
 		Flows, Pending  uint32
 	}
 
-	// Count is the result of one pass over the cached flows.
-	Count struct {
+	// SweepResult is the result of one pass over the cached flows.
+	SweepResult struct {
 		Index       uint64 // of the table when the pass began
-		Rows        []Row
+		Buckets     []BucketFlows
 		Connections map[uint32]uint32 // flows by endpoint, without closing ones
 	}
 
@@ -30,7 +30,7 @@
 		flowsElsewhere  map[bucketKey]uint32
 		connections     map[uint32]uint32
 		bucketsToReport map[bucketKey]bool
-		lastCount       Count
+		lastCount       SweepResult
 		lastRun         time.Time
 		remainder       float64
 	}
@@ -44,8 +44,8 @@
 // of its holders were lost.
 func (s *sweeper) reportAgain(key bucketKey) { s.bucketsToReport[key] = true }
 
-// LastCount returns the result of the last complete pass.
-func (e *Engine) LastCount() Count { return e.sweep.lastCount }
+// LastSweep returns the result of the last complete pass.
+func (e *Engine) LastSweep() SweepResult { return e.sweep.lastCount }
 
 // Tick expires questions, sends pushes and continues the scan of cached flows.
 func (e *Engine) Tick(now time.Time) {
@@ -58,7 +58,7 @@
 	if e.sweep.lastRun.IsZero() {
 		e.sweep.lastRun = now
 	}
-	e.sweep.remainder += float64(len(e.flows.slots)) * float64(now.Sub(e.sweep.lastRun)) / float64(e.config.SweepEvery)
+	e.sweep.remainder += float64(len(e.flows.slots)) * float64(now.Sub(e.sweep.lastRun)) / float64(e.config.SweepInterval)
 	e.sweep.lastRun = now
 	n := min(int(e.sweep.remainder), 2*len(e.flows.slots))
 	e.sweep.remainder -= float64(n)
@@ -73,10 +73,10 @@
 
 // finishPass publishes the result of a pass and starts the next one.
 func (e *Engine) finishPass() {
-	count := Count{Index: e.sweep.startIndex, Connections: e.sweep.connections}
+	count := SweepResult{Index: e.sweep.startIndex, Connections: e.sweep.connections}
 	e.countRecords()
 	for key, flows := range e.sweep.flowsElsewhere {
-		count.Rows = append(count.Rows, Row{key.service, key.bucket, flows, uint32(e.push.unconfirmed(key))})
+		count.Buckets = append(count.Buckets, BucketFlows{key.service, key.bucket, flows, uint32(e.push.unconfirmed(key))})
 	}
 	e.sweep.lastCount = count
 	e.sweep.startIndex = e.view.Table.Index()
@@ -139,7 +139,7 @@
 func (e *Engine) idleTimeout(s *slot, service *route.Service) time.Duration {
 	switch s.state {
 	case stateOpening:
-		return e.config.HalfOpenLife
+		return e.config.HalfOpenTimeout
 	case stateClosing:
 		return min(closingTimeout, service.Policy().Idle)
 	default:
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -116,7 +116,7 @@
 	leased := now.Before(view.LeaseUntil)
 	if leased != c.lastLeased {
 		c.lastLeased = leased
-		c.instance.log.Info("lease", "held", leased, "index", view.Table.Index(), "active", view.Active, "island", view.Island)
+		c.instance.log.Info("lease", "held", leased, "index", view.Table.Index(), "active", view.Active, "island", view.Isolated)
 		c.nextProbe = time.Time{}
 	}
 	if !now.Before(c.nextProbe) {
@@ -157,7 +157,7 @@
 
 // beat asks the leading control instance for a lease and for what is new.
 func (c *controlLoop) beat(ctx context.Context, now time.Time) {
-	r := c.core.NextHeartbeat(flow.Count{}, nil)
+	r := c.core.NextHeartbeat(flow.SweepResult{}, nil)
 	c.beats++
 	size := proto.Size(r) + 2*perCall
 	count := c.instance.traffic.report.Load().count
--- a/internal/instance/leader.go
+++ b/internal/instance/leader.go
@@ -193,8 +193,8 @@
 	h := health.DefaultConfig()
 	h.Ramp = s.Times.Ramp.Std()
 	return controller.Config{
-		Lease: s.Times.Lease.Std(), Margin: s.Times.Margin.Std(), SettleAfter: s.Times.SettleAfter.Std(),
-		ReturnWait: s.Times.ReturnWait.Std(), PlaceEvery: s.Times.PlaceEvery.Std(), MovesAtOnce: s.Limits.MovesAtOnce, Health: h,
+		Lease: s.Times.Lease.Std(), ClockMargin: s.Times.Margin.Std(), SettleAfter: s.Times.SettleAfter.Std(),
+		ReturnTimeout: s.Times.ReturnWait.Std(), PlacementInterval: s.Times.PlaceEvery.Std(), MaxMovesPerRound: s.Limits.MovesAtOnce, Health: h,
 	}
 }
 
--- a/internal/instance/server.go
+++ b/internal/instance/server.go
@@ -217,7 +217,7 @@
 		reply.Members = nil
 		for _, m := range l.ctl.Status(now) {
 			reply.Members = append(reply.Members, &wire.MemberStatus{
-				Name: m.Name, Domain: m.Domain, Applied: m.Applied, SilentNanos: int64(m.Silent), Leased: m.Leased,
+				Name: m.Name, Domain: m.Domain, Applied: m.Applied, SilentNanos: int64(m.SinceHeartbeat), Leased: m.Leased,
 			})
 		}
 		reply.Drains = l.drains(now)
@@ -257,13 +257,13 @@
 				order = append(order, e.ID())
 			}
 		}
-		for bucket, t := range s.Open() {
+		for bucket, t := range s.Transitions() {
 			if d := waits[t.Default]; d != nil && !t.Flipped() {
 				d.Buckets++
-				d.Flows += l.ctl.FlowsLeft(s.ID(), bucket)
+				d.Flows += l.ctl.FlowsElsewhere(s.ID(), bucket)
 			} else if d := waits[t.Previous]; d != nil {
 				d.Buckets++
-				d.Flows += l.ctl.FlowsLeft(s.ID(), bucket)
+				d.Flows += l.ctl.FlowsElsewhere(s.ID(), bucket)
 			}
 		}
 	})
@@ -302,7 +302,7 @@
 		"packets_waiting": r.flows.Waiting, "push_backlog": int(r.flows.PushBacklog), "requests_held": r.work.Requests,
 		"requests_queued": r.work.Queue, "request_keys_kept": r.work.Kept, "flow_table_full": int(r.flows.TableFull),
 		"push_bytes": int(r.flows.PushBytes), "hold_bytes": int(r.work.HoldBytes),
-		"broken_rules": int(r.flows.Broken + r.work.Broken), "requests_late_answers": int(r.work.Late),
+		"broken_rules": int(r.flows.InvariantViolations + r.work.Broken), "requests_late_answers": int(r.work.Late),
 		"requests_duplicate": int(r.work.Duplicates), "requests_retried": int(r.work.Retries), "requests_shed": int(r.work.Shed),
 	} {
 		i.counters.Gauge(name).Update(int64(value))
--- a/internal/instance/traffic.go
+++ b/internal/instance/traffic.go
@@ -34,7 +34,7 @@
 
 	// report is what the traffic goroutine tells the control goroutine.
 	report struct {
-		count   flow.Count
+		count   flow.SweepResult
 		backlog uint64
 		handing bool
 		owns    string // what is left to hand over, for the log
@@ -120,9 +120,9 @@
 	t.core = entry.New(entry.Config{
 		Flow: flow.Config{
 			Self: i.self.Name, Domain: i.self.Domain, Incarnation: incarnation, Hasher: hasher,
-			Flows: s.Limits.Flows, Records: s.Limits.Records, Waiting: s.Limits.Waiting, AsksASecond: s.Limits.AsksASecond,
-			PushBytes: s.Limits.PushBytes, AskTimeout: s.Times.AskTimeout.Std(), PushRetry: s.Times.PushRetry.Std(),
-			HalfOpenLife: s.Times.HalfOpenLife.Std(), SweepEvery: s.Times.SweepEvery.Std(), Modulo: i.config.Placement == PlacementModulo,
+			MaxFlows: s.Limits.Flows, MaxRecords: s.Limits.Records, MaxWaiting: s.Limits.Waiting, AsksPerSecond: s.Limits.AsksASecond,
+			PushBytesPerSecond: s.Limits.PushBytes, AskTimeout: s.Times.AskTimeout.Std(), PushRetryInterval: s.Times.PushRetry.Std(),
+			HalfOpenTimeout: s.Times.HalfOpenLife.Std(), SweepInterval: s.Times.SweepEvery.Std(), Modulo: i.config.Placement == PlacementModulo,
 		},
 		Work: work.Config{
 			Self: i.self.Name, Domain: i.self.Domain, Incarnation: incarnation, Hasher: hasher,
@@ -175,7 +175,7 @@
 	}
 	stats := t.core.Flow().Stats()
 	t.report.Store(&report{
-		count: t.core.Flow().LastCount(), backlog: stats.PushBacklog, handing: t.core.Work().Handing(now), owns: t.core.Work().Owns(),
+		count: t.core.Flow().LastSweep(), backlog: stats.PushBacklog, handing: t.core.Work().Handing(now), owns: t.core.Work().Owns(),
 		flows: stats, work: t.core.Work().Stats(),
 	})
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -104,7 +104,7 @@
 // MayStop reports whether the process may exit in a planned stop: since the
 // entry was listed as leaving, it has counted all its flows once and no push
 // to the holders is unconfirmed.
-func (c *Core) MayStop(count flow.Count, backlog uint64) bool {
+func (c *Core) MayStop(count flow.SweepResult, backlog uint64) bool {
 	if !c.stopping || !c.Leaving() {
 		return false
 	}
@@ -121,13 +121,13 @@
 }
 
 // NextHeartbeat builds the next heartbeat request.
-func (c *Core) NextHeartbeat(count flow.Count, loads []*wire.EndpointLoad) *wire.BeatRequest {
+func (c *Core) NextHeartbeat(count flow.SweepResult, loads []*wire.EndpointLoad) *wire.BeatRequest {
 	r := &wire.BeatRequest{
 		Name: c.config.Name, Domain: c.config.Domain, Incarnation: c.config.Incarnation,
 		Applied: c.state.Index(), Checksum: c.state.Checksum(), Active: c.active, Stopping: c.stopping, Stopped: c.stopped,
 		CountedIndex: count.Index, Loads: loads, ChunkIndex: c.download.index, ChunkOffset: uint64(len(c.download.data)),
 	}
-	for _, row := range count.Rows {
+	for _, row := range count.Buckets {
 		r.Counts = append(r.Counts, &wire.BucketCount{Service: row.Service, Bucket: row.Bucket, Flows: row.Flows, Pending: row.Pending})
 	}
 	return r
@@ -228,11 +228,11 @@
 		lease = time.Time{} // without known peers its flow records would not be replicated
 	}
 	next := &flow.View{
-		Table: table, Steps: c.steps, Active: c.active, LeaseUntil: lease,
-		Island:    c.peers.Island(now, c.leaseUntil, table),
-		Reachable: reachable,
-		Leased:    c.peers.Leased(now, table),
-		Domains:   c.peers.Domains(now, table),
+		Table: table, MembershipTables: c.steps, Active: c.active, LeaseUntil: lease,
+		Isolated:         c.peers.Island(now, c.leaseUntil, table),
+		Reachable:        reachable,
+		Leased:           c.peers.Leased(now, table),
+		ReachableDomains: c.peers.Domains(now, table),
 	}
 	if sameView(c.view, next) {
 		return c.view
@@ -242,6 +242,6 @@
 }
 
 func sameView(a, b *flow.View) bool {
-	return a.Table == b.Table && a.Active == b.Active && a.LeaseUntil.Equal(b.LeaseUntil) && a.Island == b.Island &&
-		slices.Equal(a.Reachable, b.Reachable) && slices.Equal(a.Leased, b.Leased) && slices.Equal(a.Domains, b.Domains)
+	return a.Table == b.Table && a.Active == b.Active && a.LeaseUntil.Equal(b.LeaseUntil) && a.Isolated == b.Isolated &&
+		slices.Equal(a.Reachable, b.Reachable) && slices.Equal(a.Leased, b.Leased) && slices.Equal(a.ReachableDomains, b.ReachableDomains)
 }
--- a/internal/route/builder.go
+++ b/internal/route/builder.go
@@ -174,8 +174,8 @@
 	b.next.members = members
 }
 
-// LoseMember removes an entry that failed, so that its records are lost.
-func (b *Builder) LoseMember(name string) {
+// RemoveFailedMember removes an entry that failed, so that its records are lost.
+func (b *Builder) RemoveFailedMember(name string) {
 	if _, listed := b.next.Member(name); listed {
 		b.next.lossIndex = b.next.index
 	}
@@ -187,27 +187,27 @@
 	b.next.members = slices.DeleteFunc(slices.Clone(b.next.members), func(o Member) bool { return o.name == name })
 }
 
-// MarkCut marks a domain as lost: none of its entries can be reached.
-func (b *Builder) MarkCut(domain string) {
-	b.MarkCleared(domain)
+// MarkPartitioned marks a domain as lost: none of its entries can be reached.
+func (b *Builder) MarkPartitioned(domain string) {
+	b.ClearMarks(domain)
 	b.next.partitioned = withString(b.next.partitioned, domain)
 }
 
 // MarkReturned marks a lost domain as reachable again.
 func (b *Builder) MarkReturned(domain string) {
-	b.MarkCleared(domain)
+	b.ClearMarks(domain)
 	b.next.returned = withString(b.next.returned, domain)
 }
 
-// MarkBereft marks a domain as reachable again, without the records of the
+// MarkReturnedWithLoss marks a domain as reachable again, without the records of the
 // entries that failed while it was lost.
-func (b *Builder) MarkBereft(domain string) {
-	b.MarkCleared(domain)
+func (b *Builder) MarkReturnedWithLoss(domain string) {
+	b.ClearMarks(domain)
 	b.next.withLoss = withString(b.next.withLoss, domain)
 }
 
-// MarkCleared removes every mark of a domain.
-func (b *Builder) MarkCleared(domain string) {
+// ClearMarks removes every mark of a domain.
+func (b *Builder) ClearMarks(domain string) {
 	b.next.partitioned = withoutString(b.next.partitioned, domain)
 	b.next.returned = withoutString(b.next.returned, domain)
 	b.next.withLoss = withoutString(b.next.withLoss, domain)
@@ -263,5 +263,5 @@
 	}
 }
 
-// RestoreLoss sets the loss index, from a snapshot.
-func (b *Builder) RestoreLoss(index uint64) { b.next.lossIndex = index }
+// RestoreLossIndex sets the loss index, from a snapshot.
+func (b *Builder) RestoreLossIndex(index uint64) { b.next.lossIndex = index }
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -224,11 +224,11 @@
 	return t, ok
 }
 
-// Open returns the transitions by bucket. The map must not be changed.
-func (s *Service) Open() map[uint32]Transition { return s.transitions }
+// Transitions returns the transitions by bucket. The map must not be changed.
+func (s *Service) Transitions() map[uint32]Transition { return s.transitions }
 
-// ForNew returns the endpoint for a new flow, given the active index.
-func (t Transition) ForNew(active uint64) uint32 {
+// NewFlowEndpoint returns the endpoint for a new flow, given the active index.
+func (t Transition) NewFlowEndpoint(active uint64) uint32 {
 	if t.MovedAt <= active {
 		return t.Current
 	}
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -90,20 +90,20 @@
 	return Member{}, false
 }
 
-// Cut returns the domains that are lost: none of their entries can be reached.
-func (t *Table) Cut() []string { return t.partitioned }
+// Partitioned returns the domains that are lost: none of their entries can be reached.
+func (t *Table) Partitioned() []string { return t.partitioned }
 
 // Returned returns the domains that are reachable again but not yet cleared.
 func (t *Table) Returned() []string { return t.returned }
 
-// Bereft returns the domains that are reachable again without the records of the
+// ReturnedWithLoss returns the domains that are reachable again without the records of the
 // entries that failed while the domain was lost.
-func (t *Table) Bereft() []string { return t.withLoss }
+func (t *Table) ReturnedWithLoss() []string { return t.withLoss }
 
 // LossIndex returns the index at which an entry was last lost or replaced by a new
 // incarnation.
 func (t *Table) LossIndex() uint64 { return t.lossIndex }
 
-// Suspect reports whether flows may exist on other endpoints than the table says.
+// Uncertain reports whether flows may exist on other endpoints than the table says.
 // Owners then ask their peers before they use the default endpoint of a bucket.
-func (t *Table) Suspect() bool { return len(t.partitioned)+len(t.returned)+len(t.withLoss) > 0 }
+func (t *Table) Uncertain() bool { return len(t.partitioned)+len(t.returned)+len(t.withLoss) > 0 }
--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -115,7 +115,7 @@
 		more := false
 		if client != nil {
 			sent := now()
-			reply, err := client.Beat(ctx, core.NextHeartbeat(flow.Count{Index: core.State().Index()}, nil))
+			reply, err := client.Beat(ctx, core.NextHeartbeat(flow.SweepResult{Index: core.State().Index()}, nil))
 			if err == nil {
 				more, err = core.HandleReply(sent, reply)
 			}
--- a/internal/slopes/measure.go
+++ b/internal/slopes/measure.go
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	k := controller.New(controller.Config{
-		Lease: time.Hour, Margin: time.Second, SettleAfter: time.Second, ReturnWait: time.Second, MovesAtOnce: 8, Health: health.DefaultConfig(),
+		Lease: time.Hour, ClockMargin: time.Second, SettleAfter: time.Second, ReturnTimeout: time.Second, MaxMovesPerRound: 8, Health: health.DefaultConfig(),
 	}, began, s, 0)
 	for _, c := range k.Tick(began) {
 		if err := apply(s, c); err != nil {
@@ -113,8 +113,8 @@
 
 func newEngine(flows, records int, t *route.Table) *flow.Engine {
 	e := flow.New(flow.Config{
-		Self: "e0", Domain: "d0", Incarnation: 1, Flows: flows, Records: records, Waiting: 100, AsksASecond: 100, PushBytes: 2000,
-		AskTimeout: time.Second, PushRetry: time.Second, HalfOpenLife: time.Second, SweepEvery: time.Second,
+		Self: "e0", Domain: "d0", Incarnation: 1, MaxFlows: flows, MaxRecords: records, MaxWaiting: 100, AsksPerSecond: 100, PushBytesPerSecond: 2000,
+		AskTimeout: time.Second, PushRetryInterval: time.Second, HalfOpenTimeout: time.Second, SweepInterval: time.Second,
 	}, began)
 	e.SetView(&flow.View{Table: t, Active: t.Index(), LeaseUntil: began.Add(time.Hour)})
 	return e
@@ -232,8 +232,8 @@
 		for n := range records {
 			push.Bucket = uint32(n % 256)
 			push.Records = []*wire.FlowRecord{{High: uint64(n), Low: uint64(n) * 7919, Endpoint: 1}}
-			e.Peer(began, &wire.Peer{From: "e1", Body: &wire.Peer_Push{Push: push}})
-			e.TakeOut()
+			e.HandlePeer(began, &wire.Peer{From: "e1", Body: &wire.Peer_Push{Push: push}})
+			e.TakeOutput()
 		}
 		return e
 	}), nil
--- a/internal/soak/entry.go
+++ b/internal/soak/entry.go
@@ -36,9 +36,9 @@
 	})
 	e.entry = entry.New(entry.Config{
 		Flow: flow.Config{
-			Self: name, Domain: domain, Incarnation: incarnation, Hasher: w.hasher(), Flows: 4096, Records: 4096, Waiting: 256, AsksASecond: 2000,
-			PushBytes: 20000, AskTimeout: 40 * time.Millisecond, PushRetry: 60 * time.Millisecond,
-			HalfOpenLife: 2 * time.Second, SweepEvery: 200 * time.Millisecond, Modulo: w.config.Modulo,
+			Self: name, Domain: domain, Incarnation: incarnation, Hasher: w.hasher(), MaxFlows: 4096, MaxRecords: 4096, MaxWaiting: 256, AsksPerSecond: 2000,
+			PushBytesPerSecond: 20000, AskTimeout: 40 * time.Millisecond, PushRetryInterval: 60 * time.Millisecond,
+			HalfOpenTimeout: 2 * time.Second, SweepInterval: 200 * time.Millisecond, Modulo: w.config.Modulo,
 		},
 		Work: work.Config{
 			Self: name, Domain: domain, Incarnation: incarnation, Hasher: w.hasher(), Requests: 2000, HeldKeys: 20000,
@@ -93,7 +93,7 @@
 	e.entry.Tick(e.world.now)
 	e.flush()
 	stats := e.entry.Flow().Stats()
-	if e.member.MayStop(e.entry.Flow().LastCount(), stats.PushBacklog) && !e.entry.Work().Handing(e.world.now) {
+	if e.member.MayStop(e.entry.Flow().LastSweep(), stats.PushBacklog) && !e.entry.Work().Handing(e.world.now) {
 		e.member.AnnounceStopped()
 		e.beat()
 		e.alive = false
@@ -103,7 +103,7 @@
 func (e *instance) beat() {
 	w := e.world
 	sent := w.now
-	r := e.member.NextHeartbeat(e.entry.Flow().LastCount(), nil)
+	r := e.member.NextHeartbeat(e.entry.Flow().LastSweep(), nil)
 	w.send(e.domain, leaderDomain, func() {
 		reply := w.beat(r)
 		w.send(leaderDomain, e.domain, func() {
--- a/internal/soak/mix.go
+++ b/internal/soak/mix.go
@@ -93,8 +93,8 @@
 
 // checkRest asserts that the views have converged and no doubt is left.
 func (w *World) checkRest() {
-	if w.state.Table().Suspect() {
-		w.fault("at rest: cut %v, returned %v, bereft %v", w.state.Table().Cut(), w.state.Table().Returned(), w.state.Table().Bereft())
+	if w.state.Table().Uncertain() {
+		w.fault("at rest: cut %v, returned %v, bereft %v", w.state.Table().Partitioned(), w.state.Table().Returned(), w.state.Table().ReturnedWithLoss())
 	}
 	for _, name := range w.names {
 		e := w.entries[name]
@@ -110,7 +110,7 @@
 		if behind := w.state.Index() - e.member.State().Index(); behind > 20 {
 			w.fault("at rest: %s is %d commands behind", name, behind)
 		}
-		if broken := e.entry.Flow().Stats().Broken + e.entry.Work().Stats().Broken; broken > 0 {
+		if broken := e.entry.Flow().Stats().InvariantViolations + e.entry.Work().Stats().Broken; broken > 0 {
 			w.fault("%s asserted a broken rule %d times", name, broken)
 		}
 	}
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -137,8 +137,8 @@
 	h := health.DefaultConfig()
 	h.Ramp = time.Second
 	return controller.Config{
-		Lease: lease, Margin: margin, ReturnWait: 3 * time.Second, SettleAfter: 600 * time.Millisecond,
-		PlaceEvery: 200 * time.Millisecond, MovesAtOnce: 4, Health: h,
+		Lease: lease, ClockMargin: margin, ReturnTimeout: 3 * time.Second, SettleAfter: 600 * time.Millisecond,
+		PlacementInterval: 200 * time.Millisecond, MaxMovesPerRound: 4, Health: h,
 	}
 }
 
--- a/internal/work/finish.go
+++ b/internal/work/finish.go
@@ -27,7 +27,7 @@
 		e.finish(o, r, Unknown, LeaseLost, UnknownMessage(r.message.Token, r.message.MessageID))
 		return
 	}
-	if r.repeatable() && (now.Before(o.doubtUntil) || e.view.Table.Suspect()) {
+	if r.repeatable() && (now.Before(o.doubtUntil) || e.view.Table.Uncertain()) {
 		// A lost owner or a domain that is cut off may have dispatched it;
 		// nobody holds keys of such requests.
 		e.finish(o, r, Unknown, OwnerLost, UnknownMessage(r.message.Token, r.message.MessageID))
--- a/internal/work/owner.go
+++ b/internal/work/owner.go
@@ -222,7 +222,7 @@
 
 // refresh brings what an ownership holds of the table up to date.
 func (e *Engine) refresh(now time.Time, s *route.Service, o *ownership, previous *route.Table) {
-	if previous.Suspect() || e.view.Table.Suspect() {
+	if previous.Uncertain() || e.view.Table.Uncertain() {
 		// A domain that serves by itself may run what may be repeated.
 		o.doubtUntil = now.Add(s.Policy().RequestLife)
 	}
