--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -42,7 +42,7 @@
 		flows, pending uint32
 	}
 
-	// returnedDomain tracks a lost domain that is reachable again.
+	// returnedDomain tracks a partitioned domain that is reachable again.
 	returnedDomain struct {
 		returnedAt  time.Time
 		returnIndex uint64 // of the state when it became reachable
@@ -77,7 +77,7 @@
 		joining          map[string]*wire.Member // entries to list, or to list as leaving
 		stopped          map[string]bool         // entries that sent their last heartbeat before a planned stop
 		returnedDomains  map[string]*returnedDomain
-		lostIncarnations map[string]map[string]uint64 // incarnations of the entries of a lost domain, by domain and name
+		lostIncarnations map[string]map[string]uint64 // incarnations of the entries of a partitioned domain, by domain and name
 		lossSince        map[string]time.Time         // since when a domain is known to have lost records
 		tracked          map[bucketKey]*trackedTransition
 		assessor         *health.Assessor
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -91,7 +91,7 @@
 	return &wire.Command{Body: &wire.Command_Suspect{Suspect: s}}
 }
 
-// markReturned marks each lost domain that has a live entry as reachable again.
+// markReturned marks each partitioned domain that has a live entry as reachable again.
 func (k *Controller) markReturned(now time.Time, aliveDomains map[string]bool) []*wire.Command {
 	var commands []*wire.Command
 	for _, domain := range k.state.Table().Partitioned() {
@@ -142,8 +142,8 @@
 		(k.allMembersReturned(domain) || waited >= k.config.ReturnTimeout)
 }
 
-// allMembersReturned reports whether every entry that a domain had when it was lost
-// is listed again. It is false if the domain was lost under an earlier leader.
+// allMembersReturned reports whether every entry that a domain had when it was
+// partitioned is listed again. It is false if that happened under an earlier leader.
 func (k *Controller) allMembersReturned(domain string) bool {
 	incarnations, known := k.lostIncarnations[domain]
 	for name := range incarnations {
--- a/internal/route/builder.go
+++ b/internal/route/builder.go
@@ -187,20 +187,20 @@
 	b.next.members = slices.DeleteFunc(slices.Clone(b.next.members), func(o Member) bool { return o.name == name })
 }
 
-// MarkPartitioned marks a domain as lost: none of its entries can be reached.
+// MarkPartitioned marks a domain as partitioned: none of its entries can be reached.
 func (b *Builder) MarkPartitioned(domain string) {
 	b.ClearMarks(domain)
 	b.next.partitioned = withString(b.next.partitioned, domain)
 }
 
-// MarkReturned marks a lost domain as reachable again.
+// MarkReturned marks a partitioned domain as reachable again.
 func (b *Builder) MarkReturned(domain string) {
 	b.ClearMarks(domain)
 	b.next.returned = withString(b.next.returned, domain)
 }
 
 // MarkReturnedWithLoss marks a domain as reachable again, without the records of the
-// entries that failed while it was lost.
+// entries that failed while it was partitioned.
 func (b *Builder) MarkReturnedWithLoss(domain string) {
 	b.ClearMarks(domain)
 	b.next.withLoss = withString(b.next.withLoss, domain)
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -10,7 +10,7 @@
 	endpoints   map[uint32]*Endpoint
 	byAddr      map[netip.AddrPort]uint32
 	members     []Member
-	partitioned []string // lost domains, which may have placed flows that others can't ask about
+	partitioned []string // unreachable domains, which may have placed flows that others can't ask about
 	returned    []string // domains that are reachable again
 	withLoss    []string // domains that are reachable again without the records of failed entries
 	lossIndex   uint64   // of the last command that removed a failed entry or replaced an incarnation
@@ -90,17 +90,17 @@
 	return Member{}, false
 }
 
-// Partitioned returns the domains that are lost: none of their entries can be reached.
+// Partitioned returns the domains of which no entry can be reached.
 func (t *Table) Partitioned() []string { return t.partitioned }
 
 // Returned returns the domains that are reachable again but not yet cleared.
 func (t *Table) Returned() []string { return t.returned }
 
 // ReturnedWithLoss returns the domains that are reachable again without the records of the
-// entries that failed while the domain was lost.
+// entries that failed while the domain was partitioned.
 func (t *Table) ReturnedWithLoss() []string { return t.withLoss }
 
-// LossIndex returns the index at which an entry was last lost or replaced by a new
+// LossIndex returns the index at which an entry last failed or was replaced by a new
 // incarnation.
 func (t *Table) LossIndex() uint64 { return t.lossIndex }
 
