--- a/internal/flow/newflow.go
+++ b/internal/flow/newflow.go
@@ -46,7 +46,8 @@
 		return Verdict{action: Drop, reason: RecordLimit, service: v.service, bucket: v.bucket, id: v.id}
 	}
 	if second == "" || !slices.Contains(e.view.Reachable, second) {
-		// The second holder is likely to be removed soon. If not, the report reaches it.
+		// A second holder that is unreachable is likely to be removed soon. If not, the
+		// report reaches it.
 		e.queueReport(bucketKey{v.service.ID(), v.bucket}, v.id, endpoint, true)
 		return e.forward(now, v, p, endpoint, ByNew)
 	}
