--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -23,37 +23,37 @@
 )
 
 const (
-	beatEvery  = 300 * time.Millisecond
-	fleetWait  = 30 * time.Second
-	watchEvery = 5 * time.Millisecond
+	heartbeatInterval = 300 * time.Millisecond
+	fleetTimeout      = 30 * time.Second
+	pollInterval      = 5 * time.Millisecond
 )
 
-// lightFleet is three real control instances and light instances, which beat
+// fleet is three real control instances and light instances, which beat
 // and apply as an entry does and carry no traffic.
-type lightFleet struct {
-	settings settings.Settings
-	cancel   context.CancelFunc
-	group    sync.WaitGroup
-	folder   string
-	light    []*lightInstance
-	control  []*instance.Instance
-	asked    int // which control instance is asked
-	now      func() time.Time
+type fleet struct {
+	settings         settings.Settings
+	cancel           context.CancelFunc
+	goroutines       sync.WaitGroup
+	dataFolder       string
+	lightInstances   []*lightInstance
+	controlInstances []*instance.Instance
+	target           int // which control instance is asked
+	now              func() time.Time
 }
 
 type lightInstance struct {
-	name   string
-	domain string
-	index  atomic.Uint64
-	active atomic.Uint64
+	name         string
+	domain       string
+	appliedIndex atomic.Uint64
+	activeIndex  atomic.Uint64
 }
 
-func startFleet(light int, now func() time.Time) (*lightFleet, error) {
+func startFleet(lightCount int, now func() time.Time) (*fleet, error) {
 	folder, err := os.MkdirTemp("", "oxbowsaddle-slopes-")
 	if err != nil {
 		return nil, err
 	}
-	f := &lightFleet{folder: folder, now: now, settings: settings.Default()}
+	f := &fleet{dataFolder: folder, now: now, settings: settings.Default()}
 	f.settings.HashKey = "000102030405060708090a0b0c0d0e0f"
 	f.settings.Fabric = netip.MustParseAddrPort("127.0.0.1:9")
 	for n := range 3 {
@@ -73,42 +73,42 @@
 		if err != nil {
 			return f, err
 		}
-		running, err := instance.New(instance.Config{Settings: f.settings, Name: i.Name, Log: logger, Now: now})
+		controlInstance, err := instance.New(instance.Config{Settings: f.settings, Name: i.Name, Log: logger, Now: now})
 		if err != nil {
 			return f, err
 		}
-		f.control = append(f.control, running)
-		f.group.Go(func() { _ = running.Run(ctx) })
+		f.controlInstances = append(f.controlInstances, controlInstance)
+		f.goroutines.Go(func() { _ = controlInstance.Run(ctx) })
 	}
-	for n := range light {
+	for n := range lightCount {
 		l := &lightInstance{name: fmt.Sprint("light", n), domain: fmt.Sprint("d", n%16)}
-		f.light = append(f.light, l)
-		f.group.Go(func() { l.run(ctx, f.settings, now) })
+		f.lightInstances = append(f.lightInstances, l)
+		f.goroutines.Go(func() { l.run(ctx, f.settings, now) })
 	}
 	return f, nil
 }
 
-func (f *lightFleet) close() error {
+func (f *fleet) close() error {
 	f.cancel()
-	f.group.Wait()
-	return os.RemoveAll(f.folder)
+	f.goroutines.Wait()
+	return os.RemoveAll(f.dataFolder)
 }
 
 // run beats until the context ends, on one connection to the leader.
 func (l *lightInstance) run(ctx context.Context, s settings.Settings, now func() time.Time) {
 	core := member.New(member.Config{Name: l.name, Domain: l.domain, Incarnation: 1})
 	var client wire.DRPCControlClient
-	var done func() error
-	asked := 0
+	var closeConn func() error
+	attempts := 0
 	for ctx.Err() == nil {
 		if client == nil {
-			target := s.Instances[asked%len(s.Instances)]
-			if leader, err := s.Instance(core.Leader()); err == nil && asked%2 == 0 {
+			target := s.Instances[attempts%len(s.Instances)]
+			if leader, err := s.Instance(core.Leader()); err == nil && attempts%2 == 0 {
 				target = leader
 			}
-			asked++
+			attempts++
 			var err error
-			if client, done, err = instance.Dial(ctx, target.Control, s.TLS); err != nil {
+			if client, closeConn, err = instance.Dial(ctx, target.Control, s.TLS); err != nil {
 				client = nil
 			}
 		}
@@ -120,27 +120,27 @@
 				more, err = core.HandleReply(sent, reply)
 			}
 			if err != nil || !reply.Leader {
-				_ = done()
+				_ = closeConn()
 				client = nil
 			}
-			l.index.Store(core.State().Index())
-			l.active.Store(core.Active())
+			l.appliedIndex.Store(core.State().Index())
+			l.activeIndex.Store(core.Active())
 		}
 		if !more {
 			select {
-			case <-time.After(beatEvery):
+			case <-time.After(heartbeatInterval):
 			case <-ctx.Done():
 			}
 		}
 	}
 }
 
-// settle waits until all light instances are listed and up to date.
-func (f *lightFleet) settle(ctx context.Context) error {
-	end := f.now().Add(fleetWait)
-	for f.now().Before(end) {
+// awaitReady waits until all light instances are listed and up to date.
+func (f *fleet) awaitReady(ctx context.Context) error {
+	deadline := f.now().Add(fleetTimeout)
+	for f.now().Before(deadline) {
 		s, err := f.status(ctx)
-		if err == nil && len(s.Members) == len(f.light)+len(f.settings.Instances) && s.Active == s.Commit {
+		if err == nil && len(s.Members) == len(f.lightInstances)+len(f.settings.Instances) && s.Active == s.Commit {
 			return nil
 		}
 		time.Sleep(100 * time.Millisecond)
@@ -149,16 +149,16 @@
 }
 
 // call makes one call on the control instance that is asked.
-func (f *lightFleet) call(ctx context.Context, ask func(wire.DRPCControlClient) error) error {
-	client, done, err := instance.Dial(ctx, f.settings.Instances[f.asked].Control, f.settings.TLS)
+func (f *fleet) call(ctx context.Context, request func(wire.DRPCControlClient) error) error {
+	client, closeConn, err := instance.Dial(ctx, f.settings.Instances[f.target].Control, f.settings.TLS)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = done() }()
-	return ask(client)
+	defer func() { _ = closeConn() }()
+	return request(client)
 }
 
-func (f *lightFleet) status(ctx context.Context) (s *wire.StatusReply, err error) {
+func (f *fleet) status(ctx context.Context) (s *wire.StatusReply, err error) {
 	err = f.call(ctx, func(client wire.DRPCControlClient) error {
 		s, err = client.Status(ctx, &wire.StatusRequest{})
 		return err
@@ -166,7 +166,7 @@
 	return s, err
 }
 
-func (f *lightFleet) submit(ctx context.Context, id string, objects ...*wire.Object) (revision uint64, err error) {
+func (f *fleet) submit(ctx context.Context, id string, objects ...*wire.Object) (revision uint64, err error) {
 	err = f.call(ctx, func(client wire.DRPCControlClient) error {
 		reply, err := client.Submit(ctx, &wire.Change{Id: id, Author: "slopes", Base: 1 << 60, Objects: objects})
 		if err != nil {
@@ -181,11 +181,11 @@
 	return revision, err
 }
 
-// inForce measures from the offer of a change until every light instance
+// activationTime measures from the offer of a change until every light instance
 // knows that it is in use, the median of several.
-func inForce(m *meter, light int) (float64, error) {
+func activationTime(m *meter, lightCount int) (float64, error) {
 	const changes = 5
-	f, err := startFleet(light, m.now)
+	f, err := startFleet(lightCount, m.now)
 	if f != nil {
 		defer func() { _ = f.close() }()
 	}
@@ -193,7 +193,7 @@
 		return 0, err
 	}
 	ctx := context.Background()
-	if err := f.settle(ctx); err != nil {
+	if err := f.awaitReady(ctx); err != nil {
 		return 0, err
 	}
 	template := &wire.Object{Kind: "template", Name: "t", Body: []byte(`{"parameters":{}}`)}
@@ -212,35 +212,35 @@
 	return total / changes, nil
 }
 
-func (f *lightFleet) awaitActive(revision uint64) error {
-	end := f.now().Add(fleetWait)
-	for f.now().Before(end) {
+func (f *fleet) awaitActive(revision uint64) error {
+	deadline := f.now().Add(fleetTimeout)
+	for f.now().Before(deadline) {
 		behind := 0
-		for _, l := range f.light {
-			if l.active.Load() < revision {
+		for _, l := range f.lightInstances {
+			if l.activeIndex.Load() < revision {
 				behind++
 			}
 		}
 		if behind == 0 {
 			return nil
 		}
-		time.Sleep(watchEvery)
+		time.Sleep(pollInterval)
 	}
 	return fmt.Errorf("revision %d did not come into force", revision)
 }
 
 // leaderCPU measures the processor time of the whole process at rest, which
 // holds the control instances and the light ones: an upper bound of the leader's.
-func leaderCPU(m *meter, light int) (float64, error) {
+func leaderCPU(m *meter, lightCount int) (float64, error) {
 	const window = 3 * time.Second
-	f, err := startFleet(light, m.now)
+	f, err := startFleet(lightCount, m.now)
 	if f != nil {
 		defer func() { _ = f.close() }()
 	}
 	if err != nil {
 		return 0, err
 	}
-	if err := f.settle(context.Background()); err != nil {
+	if err := f.awaitReady(context.Background()); err != nil {
 		return 0, err
 	}
 	before, err := cpuTime()
--- a/internal/slopes/fleet_bench_test.go
+++ b/internal/slopes/fleet_bench_test.go
@@ -11,11 +11,11 @@
 	"oxbowsaddle/internal/wire"
 )
 
-func newBenchFleet(b *testing.B) *lightFleet {
+func newBenchFleet(b *testing.B) *fleet {
 	b.Helper()
 	f, err := startFleet(8, time.Now)
 	if err == nil {
-		err = f.settle(context.Background())
+		err = f.awaitReady(context.Background())
 	}
 	if err != nil {
 		b.Fatal(err)
@@ -31,25 +31,25 @@
 // BenchmarkAccept measures acceptance by three instances on disk: one change
 // after the other, and sixteen at a time. Run with -benchtime 1x.
 func BenchmarkAccept(b *testing.B) {
-	const changes, together = 300, 16
+	const changes, concurrency = 300, 16
 	f := newBenchFleet(b)
 	for b.Loop() {
-		var took []time.Duration
+		var latencies []time.Duration
 		for n := range changes {
 			began := time.Now()
 			if _, err := f.submit(context.Background(), fmt.Sprint("one-", n), templateObject(n)); err != nil {
 				b.Fatal(err)
 			}
-			took = append(took, time.Since(began))
+			latencies = append(latencies, time.Since(began))
 		}
-		slices.Sort(took)
-		b.ReportMetric(float64(took[changes/2].Microseconds())/1000, "p50-ms")
-		b.ReportMetric(float64(took[changes*99/100].Microseconds())/1000, "p99-ms")
+		slices.Sort(latencies)
+		b.ReportMetric(float64(latencies[changes/2].Microseconds())/1000, "p50-ms")
+		b.ReportMetric(float64(latencies[changes*99/100].Microseconds())/1000, "p99-ms")
 		began := time.Now()
 		var group sync.WaitGroup
-		for worker := range together {
+		for worker := range concurrency {
 			group.Go(func() {
-				for n := range changes / together {
+				for n := range changes / concurrency {
 					if _, err := f.submit(context.Background(), fmt.Sprint("many-", worker, "-", n), templateObject(worker)); err != nil {
 						b.Error(err)
 					}
@@ -57,7 +57,7 @@
 			})
 		}
 		group.Wait()
-		b.ReportMetric(float64(changes/together*together)/time.Since(began).Seconds(), "changes/s")
+		b.ReportMetric(float64(changes/concurrency*concurrency)/time.Since(began).Seconds(), "changes/s")
 	}
 }
 
@@ -72,8 +72,8 @@
 		}
 		for n, i := range f.settings.Instances {
 			if i.Name == s.LeaderName {
-				f.asked = (n + 1) % len(f.settings.Instances)
-				f.control[n].Kill()
+				f.target = (n + 1) % len(f.settings.Instances)
+				f.controlInstances[n].Kill()
 			}
 		}
 		began := time.Now()
@@ -111,11 +111,11 @@
 	}
 	for b.Loop() {
 		ctx, cancel := context.WithCancel(context.Background())
-		late := &lightInstance{name: "late", domain: "d0"}
+		joining := &lightInstance{name: "late", domain: "d0"}
 		began := time.Now()
-		f.group.Go(func() { late.run(ctx, f.settings, time.Now) })
-		for late.index.Load() < revision && time.Since(began) < time.Minute {
-			time.Sleep(watchEvery)
+		f.goroutines.Go(func() { joining.run(ctx, f.settings, time.Now) })
+		for joining.appliedIndex.Load() < revision && time.Since(began) < time.Minute {
+			time.Sleep(pollInterval)
 		}
 		b.ReportMetric(float64(time.Since(began).Milliseconds()), "ms-to-catch-up")
 		cancel()
--- a/internal/slopes/measure.go
+++ b/internal/slopes/measure.go
@@ -19,11 +19,11 @@
 )
 
 const (
-	endpointsEach = 4   // endpoints behind one address: 55,000 behind 15,000
-	beatEndpoints = 400 // endpoints placed where the slope is taken over the entries
+	endpointsPerService = 4   // endpoints behind one address: 55,000 behind 15,000
+	membershipEndpoints = 400 // endpoints placed where the slope is taken over the entries
 )
 
-var began = time.Unix(1_700_000_000, 0)
+var startTime = time.Unix(1_700_000_000, 0)
 
 func measurements() []measurement {
 	return []measurement{
@@ -38,12 +38,12 @@
 		{"change_bytes", "endpoints of the changed service", "bytes", []int{1, 4, 8, 16}, changeBytes},
 		{"apply_moves", "endpoints", "ns", []int{2_000, 8_000, 20_000, 55_000}, applyMoves},
 		{"move_bytes", "buckets moved", "bytes", []int{16, 64, 256, 1024}, moveBytes},
-		{"place_tick", "services", "ns", []int{500, 2_000, 5_000, 15_000}, placeTick},
-		{"beat_cost", "entries", "ns", []int{8, 100, 425, 1_700}, beatCost},
+		{"place_tick", "services", "ns", []int{500, 2_000, 5_000, 15_000}, tickByServices},
+		{"beat_cost", "entries", "ns", []int{8, 100, 425, 1_700}, heartbeatCost},
 		{"controller_tick", "entries", "ns", []int{8, 100, 425, 1_700}, tickByEntries},
-		{"beat_bytes", "buckets reported", "bytes", []int{0, 50, 200, 400}, beatBytes},
+		{"beat_bytes", "buckets reported", "bytes", []int{0, 50, 200, 400}, heartbeatBytes},
 		{"rank_cost", "entries in a failure domain", "ns", []int{8, 50, 200, 425}, rankCost},
-		{"in_force", "light instances that beat", "ms", []int{25, 50, 100, 200}, inForce},
+		{"in_force", "light instances that beat", "ms", []int{25, 50, 100, 200}, activationTime},
 		{"leader_cpu", "light instances that beat", "thousandths of a core", []int{25, 50, 100, 200}, leaderCPU},
 	}
 }
@@ -53,12 +53,12 @@
 	s := control.NewState()
 	change := &wire.Change{Id: "first", Author: "slopes", Objects: []*wire.Object{{Kind: "template", Name: "t", Body: []byte(`{"parameters":{}}`)}}}
 	var names []string
-	for n := range max(endpoints/endpointsEach, 1) {
+	for n := range max(endpoints/endpointsPerService, 1) {
 		names = append(names, fmt.Sprintf(`"s%d"`, n))
-		change.Objects = append(change.Objects, serviceObject(n, endpointsEach))
+		change.Objects = append(change.Objects, serviceObject(n, endpointsPerService))
 	}
 	change.Objects = append(change.Objects, &wire.Object{Kind: "team", Name: "team", Body: []byte(`{"template":"t","services":[` + strings.Join(names, ",") + `]}`)})
-	return s, apply(s, &wire.Command{Body: &wire.Command_Change{Change: change}})
+	return s, applyCommand(s, &wire.Command{Body: &wire.Command_Change{Change: change}})
 }
 
 func serviceObject(n, endpoints int) *wire.Object {
@@ -78,8 +78,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)}), 6081)
 }
 
-func apply(s *control.State, c *wire.Command) error {
-	c.UnixNano = began.UnixNano()
+func applyCommand(s *control.State, c *wire.Command) error {
+	c.UnixNano = startTime.UnixNano()
 	data, err := proto.Marshal(c)
 	if err != nil {
 		return err
@@ -91,20 +91,20 @@
 	return err
 }
 
-// placed adds live entries and gives every bucket an endpoint.
-func placed(s *control.State, entries int) (*controller.Controller, error) {
+// placeBuckets adds live entries and gives every bucket an endpoint.
+func placeBuckets(s *control.State, entries int) (*controller.Controller, error) {
 	members := &wire.Members{}
 	for n := range entries {
 		members.Joined = append(members.Joined, &wire.Member{Name: fmt.Sprint("e", n), Domain: fmt.Sprint("d", n%16), Incarnation: 1})
 	}
-	if err := apply(s, &wire.Command{Body: &wire.Command_Members{Members: members}}); err != nil {
+	if err := applyCommand(s, &wire.Command{Body: &wire.Command_Members{Members: members}}); err != nil {
 		return nil, err
 	}
 	k := controller.New(controller.Config{
 		Lease: time.Hour, ClockMargin: time.Second, SettleAfter: time.Second, ReturnTimeout: time.Second, MaxMovesPerRound: 8, Health: health.DefaultConfig(),
-	}, began, s, 0)
-	for _, c := range k.Tick(began) {
-		if err := apply(s, c); err != nil {
+	}, startTime, s, 0)
+	for _, c := range k.Tick(startTime) {
+		if err := applyCommand(s, c); err != nil {
 			return nil, err
 		}
 	}
@@ -115,17 +115,17 @@
 	e := flow.New(flow.Config{
 		Self: "e0", Domain: "d0", Incarnation: 1, MaxFlows: flows, MaxRecords: records, MaxWaiting: 100, AsksPerSecond: 100, PushBytesPerSecond: 2000,
 		AskTimeout: time.Second, PushRetryInterval: time.Second, HalfOpenTimeout: time.Second, SweepInterval: time.Second,
-	}, began)
-	e.SetView(&flow.View{Table: t, Active: t.Index(), LeaseUntil: began.Add(time.Hour)})
+	}, startTime)
+	e.SetView(&flow.View{Table: t, Active: t.Index(), LeaseUntil: startTime.Add(time.Hour)})
 	return e
 }
 
-// packets returns one decoded packet for each of so many flows.
-func packets(flows int, services int, flags packet.Flags) ([]*packet.Packet, error) {
-	const most = 50_000 // they are used in turn; more flows share the address of the first
-	list := make([]*packet.Packet, 0, min(flows, most))
+// buildPackets returns one decoded packet for each of so many flows.
+func buildPackets(flows int, services int, flags packet.Flags) ([]*packet.Packet, error) {
+	const maxPackets = 50_000 // they are used in turn; more flows share the address of the first
+	list := make([]*packet.Packet, 0, min(flows, maxPackets))
 	var d packet.Decoder
-	for n := range min(flows, most) {
+	for n := range min(flows, maxPackets) {
 		inner, err := packet.Build(packet.NewTuple(callerAddr(n), serviceAddr(n%services), packet.TCP), flags, 1, 1, nil)
 		if err != nil {
 			return nil, err
@@ -145,8 +145,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), uint16(1024+n%50_000))
 }
 
-// fill caches flows that are not among the packets measured.
-func fill(e *flow.Engine, flows int) error {
+// fillFlows caches flows that are not among the packets measured.
+func fillFlows(e *flow.Engine, flows int) error {
 	var d packet.Decoder
 	for n := 50_000; n < flows; n++ {
 		inner, err := packet.Build(packet.NewTuple(callerAddr(n), serviceAddr(0), packet.TCP), packet.NewFlags(false, true, false, false), 1, 1, nil)
@@ -155,42 +155,42 @@
 		}
 		p := &packet.Packet{}
 		d.DecodeInner(inner, p)
-		e.Inbound(began, p)
+		e.Inbound(startTime, p)
 	}
 	return nil
 }
 
-func decision(m *meter, flows, endpoints int) (float64, error) {
+func decisionCost(m *meter, flows, endpoints int) (float64, error) {
 	s, err := newState(endpoints)
 	if err != nil {
 		return 0, err
 	}
-	if _, err := placed(s, 8); err != nil {
+	if _, err := placeBuckets(s, 8); err != nil {
 		return 0, err
 	}
 	e := newEngine(flows, flows, s.Table())
-	list, err := packets(flows, max(endpoints/endpointsEach, 1), packet.NewFlags(false, true, false, false))
+	list, err := buildPackets(flows, max(endpoints/endpointsPerService, 1), packet.NewFlags(false, true, false, false))
 	if err != nil {
 		return 0, err
 	}
 	for _, p := range list {
-		e.Inbound(began, p)
+		e.Inbound(startTime, p)
 	}
-	if err := fill(e, flows); err != nil {
+	if err := fillFlows(e, flows); err != nil {
 		return 0, err
 	}
 	n := 0
-	return m.each(func() {
-		if v := e.Inbound(began, list[n]); v.Action() != flow.Forward {
+	return m.timePerCall(func() {
+		if v := e.Inbound(startTime, list[n]); v.Action() != flow.Forward {
 			panic("a known flow was not forwarded")
 		}
 		n = (n + 1) % len(list)
 	}), nil
 }
 
-func decisionByFlows(m *meter, flows int) (float64, error) { return decision(m, flows, 16) }
+func decisionByFlows(m *meter, flows int) (float64, error) { return decisionCost(m, flows, 16) }
 func decisionByEndpoints(m *meter, endpoints int) (float64, error) {
-	return decision(m, 50_000, endpoints)
+	return decisionCost(m, 50_000, endpoints)
 }
 
 // sweepPass measures one whole pass over the cached flows.
@@ -199,23 +199,23 @@
 	if err != nil {
 		return 0, err
 	}
-	if _, err := placed(s, 8); err != nil {
+	if _, err := placeBuckets(s, 8); err != nil {
 		return 0, err
 	}
 	e := newEngine(flows, flows, s.Table())
-	if err := fill(e, flows); err != nil {
+	if err := fillFlows(e, flows); err != nil {
 		return 0, err
 	}
-	now := began
+	now := startTime
 	e.Tick(now)
-	return m.each(func() {
+	return m.timePerCall(func() {
 		now = now.Add(time.Second)
 		e.Tick(now)
 	}), nil
 }
 
 func flowMemory(m *meter, flows int) (float64, error) {
-	return m.bytes(func() any { return newEngine(flows, flows, route.Empty()) }), nil
+	return m.heapBytes(func() any { return newEngine(flows, flows, route.Empty()) }), nil
 }
 
 func recordMemory(m *meter, records int) (float64, error) {
@@ -223,16 +223,16 @@
 	if err != nil {
 		return 0, err
 	}
-	if _, err := placed(s, 8); err != nil {
+	if _, err := placeBuckets(s, 8); err != nil {
 		return 0, err
 	}
 	e := newEngine(64, records, s.Table())
-	return m.bytes(func() any {
+	return m.heapBytes(func() any {
 		push := &wire.Push{Service: 1}
 		for n := range records {
 			push.Bucket = uint32(n % 256)
 			push.Records = []*wire.FlowRecord{{High: uint64(n), Low: uint64(n) * 7919, Endpoint: 1}}
-			e.HandlePeer(began, &wire.Peer{From: "e1", Body: &wire.Peer_Push{Push: push}})
+			e.HandlePeer(startTime, &wire.Peer{From: "e1", Body: &wire.Peer_Push{Push: push}})
 			e.TakeOutput()
 		}
 		return e
@@ -241,10 +241,10 @@
 
 func stateMemory(m *meter, endpoints int) (float64, error) {
 	var err error
-	bytes := m.bytes(func() any {
+	bytes := m.heapBytes(func() any {
 		s, buildErr := newState(endpoints)
 		if buildErr == nil {
-			_, buildErr = placed(s, 8)
+			_, buildErr = placeBuckets(s, 8)
 		}
 		err = buildErr
 		return s
@@ -257,7 +257,7 @@
 	if err != nil {
 		return 0, err
 	}
-	if _, err := placed(s, 8); err != nil {
+	if _, err := placeBuckets(s, 8); err != nil {
 		return 0, err
 	}
 	data, err := s.Snapshot()
@@ -270,10 +270,10 @@
 		return 0, err
 	}
 	n := 0
-	return m.each(func() {
+	return m.timePerCall(func() {
 		n++
-		err := apply(s, &wire.Command{Body: &wire.Command_Change{Change: &wire.Change{
-			Id: fmt.Sprint("c", n), Base: 1 << 60, Objects: []*wire.Object{serviceObject(0, 1+n%endpointsEach)},
+		err := applyCommand(s, &wire.Command{Body: &wire.Command_Change{Change: &wire.Change{
+			Id: fmt.Sprint("c", n), Base: 1 << 60, Objects: []*wire.Object{serviceObject(0, 1+n%endpointsPerService)},
 		}}})
 		if err != nil {
 			panic(err)
@@ -282,7 +282,7 @@
 }
 
 func changeBytes(_ *meter, endpoints int) (float64, error) {
-	c := &wire.Command{UnixNano: began.UnixNano(), Body: &wire.Command_Change{Change: &wire.Change{
+	c := &wire.Command{UnixNano: startTime.UnixNano(), Body: &wire.Command_Change{Change: &wire.Change{
 		Id: strings.Repeat("x", 26), Author: "operator", Base: 1 << 40, Objects: []*wire.Object{serviceObject(0, endpoints)},
 	}}}
 	return float64(proto.Size(c)), nil
@@ -293,19 +293,19 @@
 	if err != nil {
 		return 0, err
 	}
-	if _, err := placed(s, 8); err != nil {
+	if _, err := placeBuckets(s, 8); err != nil {
 		return 0, err
 	}
 	n := 0
-	return m.each(func() {
+	return m.timePerCall(func() {
 		n++
-		if err := apply(s, moves(64, uint32(1+n%2))); err != nil {
+		if err := applyCommand(s, movesCommand(64, uint32(1+n%2))); err != nil {
 			panic(err)
 		}
 	}), nil
 }
 
-func moves(count int, endpoint uint32) *wire.Command {
+func movesCommand(count int, endpoint uint32) *wire.Command {
 	list := &wire.Moves{Reason: "weights"}
 	for b := range count {
 		list.Moves = append(list.Moves, &wire.Move{Service: 1, Bucket: uint32(b), Endpoint: endpoint})
@@ -314,66 +314,66 @@
 }
 
 func moveBytes(_ *meter, count int) (float64, error) {
-	return float64(proto.Size(moves(count, 40_000))), nil
+	return float64(proto.Size(movesCommand(count, 40_000))), nil
 }
 
-// led returns a controller that has placed so many endpoints over so many
+// newPlacedController returns a controller that has placed so many endpoints over so many
 // entries, and the index at which it stands.
-func led(endpoints, entries int) (*controller.Controller, uint64, error) {
+func newPlacedController(endpoints, entries int) (*controller.Controller, uint64, error) {
 	s, err := newState(endpoints)
 	if err != nil {
 		return nil, 0, err
 	}
-	k, err := placed(s, entries)
+	k, err := placeBuckets(s, entries)
 	return k, s.Index(), err
 }
 
-// tickCost measures a tick a millisecond after the last.
-func tickCost(m *meter, k *controller.Controller) float64 {
-	now := began
-	return m.each(func() {
+// tickTime measures a tick a millisecond after the last.
+func tickTime(m *meter, k *controller.Controller) float64 {
+	now := startTime
+	return m.timePerCall(func() {
 		now = now.Add(time.Millisecond)
 		k.Tick(now)
 	})
 }
 
-func placeTick(m *meter, services int) (float64, error) {
-	k, _, err := led(services*endpointsEach, 8)
+func tickByServices(m *meter, services int) (float64, error) {
+	k, _, err := newPlacedController(services*endpointsPerService, 8)
 	if err != nil {
 		return 0, err
 	}
-	return tickCost(m, k), nil
+	return tickTime(m, k), nil
 }
 
-func beatRequest(n int, applied uint64) *wire.BeatRequest {
+func heartbeatRequest(n int, applied uint64) *wire.BeatRequest {
 	return &wire.BeatRequest{Name: fmt.Sprint("e", n), Domain: fmt.Sprint("d", n%16), Incarnation: 1, Applied: applied, Active: applied, CountedIndex: applied}
 }
 
-func beatCost(m *meter, entries int) (float64, error) {
-	k, index, err := led(beatEndpoints, entries)
+func heartbeatCost(m *meter, entries int) (float64, error) {
+	k, index, err := newPlacedController(membershipEndpoints, entries)
 	if err != nil {
 		return 0, err
 	}
 	n := 0
-	return m.each(func() {
+	return m.timePerCall(func() {
 		n = (n + 1) % entries
-		k.Beat(began, beatRequest(n, index), true)
+		k.Beat(startTime, heartbeatRequest(n, index), true)
 	}), nil
 }
 
 func tickByEntries(m *meter, entries int) (float64, error) {
-	k, index, err := led(beatEndpoints, entries)
+	k, index, err := newPlacedController(membershipEndpoints, entries)
 	if err != nil {
 		return 0, err
 	}
 	for n := range entries {
-		k.Beat(began, beatRequest(n, index), true)
+		k.Beat(startTime, heartbeatRequest(n, index), true)
 	}
-	return tickCost(m, k), nil
+	return tickTime(m, k), nil
 }
 
-func beatBytes(_ *meter, rows int) (float64, error) {
-	r := beatRequest(6799, 1<<30)
+func heartbeatBytes(_ *meter, rows int) (float64, error) {
+	r := heartbeatRequest(6799, 1<<30)
 	r.Checksum = 1 << 62
 	for n := range rows {
 		r.Counts = append(r.Counts, &wire.BucketCount{Service: 15_000, Bucket: uint32(n), Flows: 100})
@@ -388,7 +388,7 @@
 		members = append(members, route.NewMember(fmt.Sprint("e", n), "d0", 1, false, 1))
 	}
 	bucket := uint32(0)
-	return m.each(func() {
+	return m.timePerCall(func() {
 		bucket++
 		route.Rank(members, 1, bucket)
 	}), nil
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -9,118 +9,118 @@
 
 const templateBody = `{"parameters":{}}`
 
-// deskEndpoints is how many endpoints the service of work has, and workSlots
+// workEndpoints is how many endpoints the service of work has, and workSlots
 // how many requests each of them runs at a time.
 const (
-	deskEndpoints = 4
+	workEndpoints = 4
 	workSlots     = 3
 )
 
-// firstChange is the document that a world starts from.
-func (w *World) firstChange() *wire.Change {
+// initialChange is the document that a world starts from.
+func (sim *Simulation) initialChange() *wire.Change {
 	team := fmt.Sprintf(`{"template":"portal","services":["booking","desk"],"first":["issue"],`+
-		`"parameters":{"idle":%q,"balance":%g,"request_life":%q}}`, w.config.Idle, w.config.Balance, requestLife)
-	objects := append(w.services(), &wire.Object{Kind: "template", Name: "portal", Body: []byte(templateBody)},
+		`"parameters":{"idle":%q,"balance":%g,"request_life":%q}}`, sim.config.IdleTimeout, sim.config.Balance, requestLifetime)
+	objects := append(sim.serviceObjects(), &wire.Object{Kind: "template", Name: "portal", Body: []byte(templateBody)},
 		&wire.Object{Kind: "team", Name: "visa", Body: []byte(team)})
 	return &wire.Change{Id: "first", Author: "soak", Objects: objects}
 }
 
-// services returns both services as they should be now.
-func (w *World) services() []*wire.Object {
+// serviceObjects returns both serviceObjects as they should be now.
+func (sim *Simulation) serviceObjects() []*wire.Object {
 	feed := `{"name":"feed","address":"` + serviceAddr + `","protocol":"tcp","kind":"flow"}`
 	issue := `{"name":"issue","address":"` + issueAddr + `","protocol":"udp","kind":"work"}`
 	batch := `{"name":"batch","address":"` + batchAddr + `","protocol":"udp","kind":"work","repeatable":true}`
 	return []*wire.Object{
-		{Kind: "service", Name: "booking", Body: w.serviceBody(feed, "b", 9000, w.config.Endpoints)},
-		{Kind: "service", Name: "desk", Body: w.serviceBody(issue+","+batch, "k", 9500, deskEndpoints)},
+		{Kind: "service", Name: "booking", Body: sim.serviceBody(feed, "b", 9000, sim.config.Endpoints)},
+		{Kind: "service", Name: "desk", Body: sim.serviceBody(issue+","+batch, "k", 9500, workEndpoints)},
 	}
 }
 
-func (w *World) serviceBody(classes, prefix string, port, endpoints int) []byte {
+func (sim *Simulation) serviceBody(classes, prefix string, port, endpoints int) []byte {
 	body := `{"classes":[` + classes + `],"endpoints":[`
 	for i := range endpoints {
 		if i > 0 {
 			body += ","
 		}
 		name := fmt.Sprint(prefix, i)
-		_, leaving := w.leaving[name]
+		_, leaving := sim.leavingSince[name]
 		body += fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:%d","domain":"d%d","slots":%d,"connections":2000,"leaving":%v}`,
-			name, port+i, i%w.config.Domains, workSlots, leaving)
+			name, port+i, i%sim.config.Domains, workSlots, leaving)
 	}
 	return []byte(body + "]}")
 }
 
-func (w *World) change() {
-	w.changes++
-	w.commit(&wire.Command{Body: &wire.Command_Change{Change: &wire.Change{
-		Id: fmt.Sprint("change-", w.changes), Author: "soak", Base: w.state.Revision(),
-		Objects: w.services(),
+func (sim *Simulation) commitServices() {
+	sim.changeCount++
+	sim.commit(&wire.Command{Body: &wire.Command_Change{Change: &wire.Change{
+		Id: fmt.Sprint("change-", sim.changeCount), Author: "soak", Base: sim.state.Revision(),
+		Objects: sim.serviceObjects(),
 	}}})
 }
 
 // Drain lets an endpoint leave.
-func (w *World) Drain(i int) {
+func (sim *Simulation) Drain(i int) {
 	name := fmt.Sprintf("b%d", i)
-	if len(w.leaving) >= w.config.Endpoints/2 {
+	if len(sim.leavingSince) >= sim.config.Endpoints/2 {
 		return
 	}
-	if _, already := w.leaving[name]; !already {
-		w.leaving[name] = w.now
-		w.change()
+	if _, already := sim.leavingSince[name]; !already {
+		sim.leavingSince[name] = sim.now
+		sim.commitServices()
 	}
 }
 
-// DrainDesk lets an endpoint for work leave, or come back; one always stays.
-func (w *World) DrainDesk(i int) {
-	name := fmt.Sprintf("k%d", i%deskEndpoints)
-	if _, leaving := w.leaving[name]; leaving {
-		delete(w.leaving, name)
+// ToggleWorkDrain lets an endpoint for work leave, or come back; one always stays.
+func (sim *Simulation) ToggleWorkDrain(i int) {
+	name := fmt.Sprintf("k%d", i%workEndpoints)
+	if _, leaving := sim.leavingSince[name]; leaving {
+		delete(sim.leavingSince, name)
 	} else if name != "k0" {
-		w.leaving[name] = w.now
+		sim.leavingSince[name] = sim.now
 	}
-	w.change()
+	sim.commitServices()
 }
 
 // Undrain lets an endpoint take work again.
-func (w *World) Undrain(i int) {
+func (sim *Simulation) Undrain(i int) {
 	name := fmt.Sprintf("b%d", i)
-	if _, leaving := w.leaving[name]; leaving {
-		delete(w.leaving, name)
-		w.change()
+	if _, leaving := sim.leavingSince[name]; leaving {
+		delete(sim.leavingSince, name)
+		sim.commitServices()
 	}
 }
 
 // Join adds an endpoint.
-func (w *World) Join() {
-	w.config.Endpoints++
-	w.change()
+func (sim *Simulation) Join() {
+	sim.config.Endpoints++
+	sim.commitServices()
 }
 
 // Kill ends an entry without a word.
-func (w *World) Kill(name string) { w.entries[name].alive = false }
+func (sim *Simulation) Kill(name string) { sim.entries[name].alive = false }
 
 // Restart begins a new life with empty memory.
-func (w *World) Restart(name string) {
-	old := w.entries[name]
+func (sim *Simulation) Restart(name string) {
+	old := sim.entries[name]
 	old.alive = false
-	w.start(name, old.domain)
+	sim.startEntry(name, old.domain)
 }
 
 // Stop ends an entry as planned: it hands its records over first.
-func (w *World) Stop(name string) { w.entries[name].member.AnnounceStop() }
+func (sim *Simulation) Stop(name string) { sim.entries[name].member.AnnounceStop() }
 
 // Pause freezes an entry.
-func (w *World) Pause(name string, d time.Duration) {
-	w.entries[name].pausedUntil = w.now.Add(d)
+func (sim *Simulation) Pause(name string, d time.Duration) {
+	sim.entries[name].pausedUntil = sim.now.Add(d)
 }
 
-// Cut cuts a domain off from the others, or mends it.
-func (w *World) Cut(domain string, off bool) {
-	if domain == leaderDomain || w.cut[domain] == off {
+// SetPartitioned cuts a domain off from the others, or mends it.
+func (sim *Simulation) SetPartitioned(domain string, partitioned bool) {
+	if domain == leaderDomain || sim.partitioned[domain] == partitioned {
 		return
 	}
-	w.cut[domain] = off
-	if !off {
-		w.mended[domain] = w.now
+	sim.partitioned[domain] = partitioned
+	if !partitioned {
+		sim.reconnectedAt[domain] = sim.now
 	}
 }
--- a/internal/soak/mix.go
+++ b/internal/soak/mix.go
@@ -5,85 +5,85 @@
 	"time"
 )
 
-// Mix runs rounds of random faults; each round draws one, and a few of them
+// RunRandomFaults runs rounds of random faults; each round draws one, and a few of them
 // overlap. At the end everything is mended and must come to rest.
-func (w *World) Mix(rounds int) {
+func (sim *Simulation) RunRandomFaults(rounds int) {
 	for range rounds {
-		w.drawFault()
-		w.Run(time.Duration(100+w.rng.IntN(1500)) * time.Millisecond)
+		sim.injectRandomFault()
+		sim.Run(time.Duration(100+sim.rng.IntN(1500)) * time.Millisecond)
 	}
-	for domain := range w.config.Domains {
-		w.Cut(fmt.Sprintf("d%d", domain), false)
+	for domain := range sim.config.Domains {
+		sim.SetPartitioned(fmt.Sprintf("d%d", domain), false)
 	}
-	for _, name := range w.names {
-		if !w.entries[name].alive {
-			w.Restart(name)
+	for _, name := range sim.entryNames {
+		if !sim.entries[name].alive {
+			sim.Restart(name)
 		}
 	}
-	const rest = 12 * time.Second
-	w.Run(rest)
-	w.checkRest()
+	const settleTime = 12 * time.Second
+	sim.Run(settleTime)
+	sim.checkConverged()
 }
 
-func (w *World) drawFault() {
-	name := w.names[w.rng.IntN(len(w.names))]
-	endpoint := w.rng.IntN(w.config.Endpoints)
-	kind := w.rng.IntN(13)
-	w.note("fault %d instance %s endpoint %d", kind, name, endpoint)
-	const mostEndpoints = 12
+func (sim *Simulation) injectRandomFault() {
+	name := sim.entryNames[sim.rng.IntN(len(sim.entryNames))]
+	endpoint := sim.rng.IntN(sim.config.Endpoints)
+	kind := sim.rng.IntN(13)
+	sim.tracef("fault %d instance %s endpoint %d", kind, name, endpoint)
+	const maxEndpoints = 12
 	switch kind {
 	case 0, 1:
-		w.Drain(endpoint)
+		sim.Drain(endpoint)
 	case 2, 3:
-		w.Undrain(endpoint)
+		sim.Undrain(endpoint)
 	case 4:
-		if w.config.Endpoints < mostEndpoints {
-			w.Join()
+		if sim.config.Endpoints < maxEndpoints {
+			sim.Join()
 		}
 	case 10:
-		w.DrainDesk(endpoint)
+		sim.ToggleWorkDrain(endpoint)
 	default:
-		w.faultOf(kind, name)
+		sim.injectEntryFault(kind, name)
 	}
 }
 
-// faultOf lets something happen to an entry or its domain.
-func (w *World) faultOf(kind int, name string) {
+// injectEntryFault lets something happen to an entry or its domain.
+func (sim *Simulation) injectEntryFault(kind int, name string) {
 	switch kind {
 	case 5:
-		if w.alive() > 5 {
-			w.Kill(name)
+		if sim.countAlive() > 5 {
+			sim.Kill(name)
 		}
 	case 6:
-		w.Restart(name)
+		sim.Restart(name)
 	case 7:
-		if w.alive() > 5 && w.entries[name].alive {
-			w.Stop(name)
+		if sim.countAlive() > 5 && sim.entries[name].alive {
+			sim.Stop(name)
 		}
 	case 8:
-		w.Pause(name, time.Duration(w.rng.IntN(5000))*time.Millisecond)
+		sim.Pause(name, time.Duration(sim.rng.IntN(5000))*time.Millisecond)
 	case 9:
-		w.Cut(w.entries[name].domain, true)
+		sim.SetPartitioned(sim.entries[name].domain, true)
 	case 11, 12:
-		w.mendSome()
+		sim.recoverSome()
 	}
 }
 
-// mendSome joins the domains again and starts half of the dead entries.
-func (w *World) mendSome() {
-	for domain := range w.config.Domains {
-		w.Cut(fmt.Sprintf("d%d", domain), false)
+// recoverSome joins the domains again and starts half of the dead entries.
+func (sim *Simulation) recoverSome() {
+	for domain := range sim.config.Domains {
+		sim.SetPartitioned(fmt.Sprintf("d%d", domain), false)
 	}
-	for _, n := range w.names {
-		if !w.entries[n].alive && w.rng.IntN(2) == 0 {
-			w.Restart(n)
+	for _, n := range sim.entryNames {
+		if !sim.entries[n].alive && sim.rng.IntN(2) == 0 {
+			sim.Restart(n)
 		}
 	}
 }
 
-func (w *World) alive() int {
+func (sim *Simulation) countAlive() int {
 	n := 0
-	for _, e := range w.entries {
+	for _, e := range sim.entries {
 		if e.alive {
 			n++
 		}
@@ -91,27 +91,27 @@
 	return n
 }
 
-// checkRest asserts that the views have converged and no doubt is left.
-func (w *World) checkRest() {
-	if w.state.Table().Uncertain() {
-		w.fault("at rest: cut %v, returned %v, bereft %v", w.state.Table().Partitioned(), w.state.Table().Returned(), w.state.Table().ReturnedWithLoss())
+// checkConverged asserts that the views have converged and no doubt is left.
+func (sim *Simulation) checkConverged() {
+	if sim.state.Table().Uncertain() {
+		sim.violationf("at rest: cut %v, returned %v, bereft %v", sim.state.Table().Partitioned(), sim.state.Table().Returned(), sim.state.Table().ReturnedWithLoss())
 	}
-	for _, name := range w.names {
-		e := w.entries[name]
+	for _, name := range sim.entryNames {
+		e := sim.entries[name]
 		if !e.alive {
 			continue
 		}
-		if !w.now.Before(e.member.LeaseUntil()) {
-			w.fault("at rest: %s has no lease", name)
+		if !sim.now.Before(e.member.LeaseUntil()) {
+			sim.violationf("at rest: %s has no lease", name)
 		}
-		if e.member.State().Index() == w.state.Index() && e.member.State().Checksum() != w.state.Checksum() {
-			w.fault("at rest: %s has another state at index %d", name, w.state.Index())
+		if e.member.State().Index() == sim.state.Index() && e.member.State().Checksum() != sim.state.Checksum() {
+			sim.violationf("at rest: %s has another state at index %d", name, sim.state.Index())
 		}
-		if behind := w.state.Index() - e.member.State().Index(); behind > 20 {
-			w.fault("at rest: %s is %d commands behind", name, behind)
+		if behind := sim.state.Index() - e.member.State().Index(); behind > 20 {
+			sim.violationf("at rest: %s is %d commands behind", name, behind)
 		}
 		if broken := e.entry.Flow().Stats().InvariantViolations + e.entry.Work().Stats().Broken; broken > 0 {
-			w.fault("%s asserted a broken rule %d times", name, broken)
+			sim.violationf("%s asserted a broken rule %d times", name, broken)
 		}
 	}
 }
--- a/internal/soak/mix_test.go
+++ b/internal/soak/mix_test.go
@@ -16,22 +16,22 @@
 	trace  = flag.String("soak.trace", "", "file that every step is written to")
 	rounds = flag.Int("soak.rounds", 25, "faults in one run")
 
-	// failedOnce holds every seed that ever failed, with what mended it in
+	// regressionSeeds holds every seed that ever failed, with what mended it in
 	// docs/design/flows.md, and 1178, by which replays are compared.
-	failedOnce = []uint64{36, 797, 1089, 1102, 1178, 1242}
+	regressionSeeds = []uint64{36, 797, 1089, 1102, 1178, 1242}
 )
 
 func TestMix(t *testing.T) {
 	for i := range uint64(*runs) {
 		t.Run(fmt.Sprint(*seed+i), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(*seed + i)
+			sim := newSimulation(*seed + i)
 			if *trace != "" {
-				traceTo(t, w, *trace)
+				traceTo(t, sim, *trace)
 			}
-			w.Mix(*rounds)
-			r := check(t, w, *seed+i)
-			t.Logf("flows %d, reset because nobody knew them %d, not opened %d, requests %d, unanswered %d", r.Flows, r.Reset, r.Undecided, r.Requests, r.Unanswered)
+			sim.RunRandomFaults(*rounds)
+			r := checkReport(t, sim, *seed+i)
+			t.Logf("flows %d, reset because nobody knew them %d, not opened %d, requests %d, unanswered %d", r.Flows, r.ResetByEntry, r.NotOpened, r.Requests, r.Unanswered)
 			if t.Failed() {
 				t.Logf("replay with: go test ./internal/soak -run TestMix -soak.seed=%d -soak.runs=1 -soak.rounds=%d", *seed+i, *rounds)
 			}
@@ -39,25 +39,25 @@
 	}
 }
 
-func TestSeedsThatFailedOnce(t *testing.T) {
-	for _, seed := range failedOnce {
+func TestRegressionSeeds(t *testing.T) {
+	for _, seed := range regressionSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(seed)
-			w.Mix(25)
-			check(t, w, seed)
+			sim := newSimulation(seed)
+			sim.RunRandomFaults(25)
+			checkReport(t, sim, seed)
 		})
 	}
 }
 
 // traceTo writes every step of a world to a file.
-func traceTo(t *testing.T, w *World, path string) {
+func traceTo(t *testing.T, sim *Simulation, path string) {
 	f, err := os.Create(path)
 	if err != nil {
 		t.Fatal(err)
 	}
 	out := bufio.NewWriter(f)
-	w.trace = func(line string) { fmt.Fprintln(out, line) }
+	sim.trace = func(line string) { fmt.Fprintln(out, line) }
 	t.Cleanup(func() {
 		if err := errors.Join(out.Flush(), f.Close()); err != nil {
 			t.Error(err)
@@ -66,13 +66,13 @@
 }
 
 // A run depends on its seed alone: a failure can be replayed.
-func TestRunsAreReplayedExactly(t *testing.T) {
+func TestDeterministicReplay(t *testing.T) {
 	var sums [2]uint64
 	for i := range sums {
-		w := newWorld(1178)
+		sim := newSimulation(1178)
 		h := fnv.New64a()
-		w.trace = func(line string) { _, _ = h.Write([]byte(line)) }
-		w.Mix(25)
+		sim.trace = func(line string) { _, _ = h.Write([]byte(line)) }
+		sim.RunRandomFaults(25)
 		sums[i] = h.Sum64()
 	}
 	if sums[0] != sums[1] {
--- a/internal/soak/requests.go
+++ b/internal/soak/requests.go
@@ -14,68 +14,68 @@
 )
 
 const (
-	issueAddr    = "192.0.2.20:5683" // may not be repeated
-	batchAddr    = "192.0.2.20:5684" // may be repeated
-	requestLife  = 3 * time.Second
-	requestAgain = 200 * time.Millisecond
+	issueAddr          = "192.0.2.20:5683" // may not be repeated
+	batchAddr          = "192.0.2.20:5684" // may be repeated
+	requestLifetime    = 3 * time.Second
+	retransmitInterval = 200 * time.Millisecond
 )
 
 type (
-	// asker sends requests of a work class, one after the other, and sends
+	// requester sends requests of a work class, one after the other, and sends
 	// each again until it has a final answer.
-	asker struct {
-		world      *World
-		domain     string
-		number     int
-		addr       netip.AddrPort
-		repeatable bool
-		tuple      packet.Tuple
-		token      uint64
-		sent       time.Time
-		done       bool
-		life       int
+	requester struct {
+		sim           *Simulation
+		domain        string
+		index         int
+		addr          netip.AddrPort
+		repeatable    bool
+		tuple         packet.Tuple
+		token         uint64
+		sentAt        time.Time
+		answered      bool
+		requestNumber int
 	}
 
-	// requestLog is what the backend servers and the callers have seen of one
+	// requestRecord is what the backend servers and the callers have seen of one
 	// request; the balancer's own opinion counts for nothing.
-	requestLog struct {
+	requestRecord struct {
 		runs       int
-		notRun     bool
+		toldNotRun bool
 		repeatable bool
 	}
 )
 
-// AddAsker starts a caller of work.
-func (w *World) AddAsker(domain string, repeatable bool) {
+// AddRequester starts a caller of work.
+func (sim *Simulation) AddRequester(domain string, repeatable bool) {
 	addr := issueAddr
 	if repeatable {
 		addr = batchAddr
 	}
-	a := &asker{world: w, domain: domain, number: len(w.askers), addr: netip.MustParseAddrPort(addr), repeatable: repeatable}
-	w.askers = append(w.askers, a)
-	src := netip.AddrPortFrom(netip.MustParseAddr(fmt.Sprintf("10.1.0.%d", a.number+1)), 4000)
+	a := &requester{sim: sim, domain: domain, index: len(sim.requesters), addr: netip.MustParseAddrPort(addr), repeatable: repeatable}
+	sim.requesters = append(sim.requesters, a)
+	src := netip.AddrPortFrom(netip.MustParseAddr(fmt.Sprintf("10.1.0.%d", a.index+1)), 4000)
 	a.tuple = packet.NewTuple(src, a.addr, packet.UDP)
-	w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, a.ask)
+	sim.schedule(time.Duration(sim.rng.IntN(300))*time.Millisecond, a.startRequest)
 }
 
-func (a *asker) ask() {
-	w := a.world
-	w.token++
-	a.token, a.sent, a.done = w.token, w.now, false
-	a.life++
-	w.requests[a.token] = &requestLog{repeatable: a.repeatable}
-	w.report.Requests++
-	a.transmit(a.life)
+func (a *requester) startRequest() {
+	sim := a.sim
+	sim.lastToken++
+	a.token, a.sentAt, a.answered = sim.lastToken, sim.now, false
+	a.requestNumber++
+	sim.requests[a.token] = &requestRecord{repeatable: a.repeatable}
+	sim.report.Requests++
+	a.transmit(a.requestNumber)
 }
 
-func (a *asker) transmit(life int) {
-	w := a.world
-	if a.life != life || a.done {
+func (a *requester) transmit(requestNumber int) {
+	sim := a.sim
+	if a.requestNumber != requestNumber || a.answered {
 		return
 	}
-	if w.now.Sub(a.sent) > requestLife-500*time.Millisecond {
-		w.report.Unanswered++
-		a.ask()
+	if sim.now.Sub(a.sentAt) > requestLifetime-500*time.Millisecond {
+		sim.report.Unanswered++
+		a.startRequest()
 		return
 	}
 	m := work.Message{Message: message.Message{
@@ -90,88 +90,88 @@
 	if err != nil {
 		panic(err)
 	}
-	if side := w.side(a.domain); len(side) > 0 {
-		e := side[w.rng.IntN(len(side))]
-		w.send(a.domain, e.domain, func() { e.awake(func() { e.take(netip.AddrPort{}, inner, nil) }) })
+	if side := sim.reachableEntries(a.domain); len(side) > 0 {
+		e := side[sim.rng.IntN(len(side))]
+		sim.send(a.domain, e.domain, func() { e.runUnpaused(func() { e.receive(netip.AddrPort{}, inner, nil) }) })
 	}
-	w.after(requestAgain, func() { a.transmit(life) })
+	sim.schedule(retransmitInterval, func() { a.transmit(requestNumber) })
 }
 
-// take checks an answer: it must belong to the request, be whole, and never
+// receive checks an answer: it must belong to the request, be whole, and never
 // deny what has run.
-func (a *asker) take(p *packet.Packet) {
-	w := a.world
+func (a *requester) receive(p *packet.Packet) {
+	sim := a.sim
 	m, err := work.Decode(p.Payload())
 	if err != nil {
-		w.fault("a caller got what is no CoAP message")
+		sim.violationf("a caller got what is no CoAP message")
 		return
 	}
 	if !m.IsAnswer() || len(m.Token) != 8 {
 		return
 	}
 	token := binary.BigEndian.Uint64(m.Token)
-	log := w.requests[token]
-	if log == nil {
-		w.fault("a caller got an answer to a request that nobody made")
+	record := sim.requests[token]
+	if record == nil {
+		sim.violationf("a caller got an answer to a request that nobody made")
 		return
 	}
 	switch m.Code {
 	case codes.ServiceUnavailable:
-		log.notRun = true
-		if log.runs > 0 {
-			w.report.FalseNotRun++
-			w.fault("request %d was told not run, and ran", token)
+		record.toldNotRun = true
+		if record.runs > 0 {
+			sim.report.FalseNotRun++
+			sim.violationf("request %d was told not run, and ran", token)
 		}
 	case codes.Changed:
 		if string(m.Payload) != fmt.Sprint("done ", token) {
-			w.report.Crossed++
-			w.fault("request %d got the answer %q", token, m.Payload)
+			sim.report.Crossed++
+			sim.violationf("request %d got the answer %q", token, m.Payload)
 		}
 	}
-	if token != a.token || a.done {
+	if token != a.token || a.answered {
 		return
 	}
-	a.done = true
-	w.report.Answers[m.Code.String()]++
-	w.after(time.Duration(w.rng.IntN(100))*time.Millisecond, func() { a.ask() })
+	a.answered = true
+	sim.report.Answers[m.Code.String()]++
+	sim.schedule(time.Duration(sim.rng.IntN(100))*time.Millisecond, func() { a.startRequest() })
 }
 
-// takeWork runs a request on a backend server's endpoint.
-func (b *backend) takeWork(p *packet.Packet) {
-	w := b.world
+// receiveRequest runs a request on a backend server's endpoint.
+func (b *backend) receiveRequest(p *packet.Packet) {
+	sim := b.sim
 	m, err := work.Decode(p.Payload())
 	if err != nil || !m.IsRequest() {
 		return
 	}
 	token := binary.BigEndian.Uint64(m.Token)
-	if since, leaving := w.leaving[b.name]; leaving && w.now.Sub(since) > drainBound && !w.cut[b.domain] && w.now.Sub(w.mended[b.domain]) > drainBound {
-		w.report.LateNew++
-		w.fault("%s got new work %v after it began to leave", b.name, w.now.Sub(since))
+	if since, leaving := sim.leavingSince[b.name]; leaving && sim.now.Sub(since) > maxDrainDelay && !sim.partitioned[b.domain] && sim.now.Sub(sim.reconnectedAt[b.domain]) > maxDrainDelay {
+		sim.report.NewAfterDrain++
+		sim.violationf("%s got new work %v after it began to leave", b.name, sim.now.Sub(since))
 	}
-	if b.running >= workSlots {
-		b.answerWork(p.Tuple(), m, codes.ServiceUnavailable, "busy")
+	if b.runningRequests >= workSlots {
+		b.sendWorkAnswer(p.Tuple(), m, codes.ServiceUnavailable, "busy")
 		return
 	}
-	log := w.requests[token]
-	log.runs++
-	if log.runs > 1 && !log.repeatable {
-		w.report.RanTwice++
-		w.fault("request %d ran %d times", token, log.runs)
-	}
-	if log.notRun {
-		w.report.FalseNotRun++
-		w.fault("request %d ran after it was told not run", token)
-	}
-	b.running++
-	w.after(time.Duration(10+w.rng.IntN(60))*time.Millisecond, func() {
-		b.running--
-		if w.rng.IntN(50) > 0 { // now and then a backend server dies after it ran
-			b.answerWork(p.Tuple(), m, codes.Changed, fmt.Sprint("done ", token))
+	record := sim.requests[token]
+	record.runs++
+	if record.runs > 1 && !record.repeatable {
+		sim.report.RanTwice++
+		sim.violationf("request %d ran %d times", token, record.runs)
+	}
+	if record.toldNotRun {
+		sim.report.FalseNotRun++
+		sim.violationf("request %d ran after it was told not run", token)
+	}
+	b.runningRequests++
+	sim.schedule(time.Duration(10+sim.rng.IntN(60))*time.Millisecond, func() {
+		b.runningRequests--
+		if sim.rng.IntN(50) > 0 { // now and then a backend server dies after it ran
+			b.sendWorkAnswer(p.Tuple(), m, codes.Changed, fmt.Sprint("done ", token))
 		}
 	})
 }
 
-func (b *backend) answerWork(t packet.Tuple, m work.Message, code codes.Code, text string) {
+func (b *backend) sendWorkAnswer(t packet.Tuple, m work.Message, code codes.Code, text string) {
 	answer := work.Message{Message: message.Message{Token: m.Token, Code: code, Type: message.NonConfirmable, MessageID: m.MessageID, Payload: []byte(text)}}
 	data, err := answer.Encode()
 	if err != nil {
@@ -181,5 +181,5 @@
 	if err != nil {
 		panic(err)
 	}
-	b.back(inner)
+	b.sendToEntry(inner)
 }
--- a/internal/soak/scenario_bench_test.go
+++ b/internal/soak/scenario_bench_test.go
@@ -12,34 +12,34 @@
 func BenchmarkScenarios(b *testing.B) {
 	events := []struct {
 		name string
-		run  func(w *World)
+		run  func(sim *Simulation)
 	}{
-		{"no change", func(w *World) { w.Run(6 * time.Second) }},
-		{"one drain", func(w *World) { w.Drain(2); w.Run(6 * time.Second) }},
-		{"one join", func(w *World) { w.Join(); w.Run(6 * time.Second) }},
-		{"one entry lost", func(w *World) { w.Drain(1); w.Run(time.Second); w.Kill("e3"); w.Run(5 * time.Second) }},
-		{"two lost in a row", func(w *World) {
-			w.Drain(1)
-			w.Run(time.Second)
-			w.Kill("e3")
-			w.Run(1800 * time.Millisecond)
-			w.Kill("e4")
-			w.Run(3200 * time.Millisecond)
+		{"no change", func(sim *Simulation) { sim.Run(6 * time.Second) }},
+		{"one drain", func(sim *Simulation) { sim.Drain(2); sim.Run(6 * time.Second) }},
+		{"one join", func(sim *Simulation) { sim.Join(); sim.Run(6 * time.Second) }},
+		{"one entry lost", func(sim *Simulation) { sim.Drain(1); sim.Run(time.Second); sim.Kill("e3"); sim.Run(5 * time.Second) }},
+		{"two lost in a row", func(sim *Simulation) {
+			sim.Drain(1)
+			sim.Run(time.Second)
+			sim.Kill("e3")
+			sim.Run(1800 * time.Millisecond)
+			sim.Kill("e4")
+			sim.Run(3200 * time.Millisecond)
 		}},
-		{"restart of every entry", func(w *World) {
-			w.Drain(1)
-			for _, name := range w.names {
-				w.Stop(name)
-				w.Run(1500 * time.Millisecond)
-				w.Restart(name)
-				w.Run(1500 * time.Millisecond)
+		{"restart of every entry", func(sim *Simulation) {
+			sim.Drain(1)
+			for _, name := range sim.entryNames {
+				sim.Stop(name)
+				sim.Run(1500 * time.Millisecond)
+				sim.Restart(name)
+				sim.Run(1500 * time.Millisecond)
 			}
 		}},
-		{"cut of a domain", func(w *World) {
-			w.Cut("d2", true)
-			w.Run(5 * time.Second)
-			w.Cut("d2", false)
-			w.Run(5 * time.Second)
+		{"cut of a domain", func(sim *Simulation) {
+			sim.SetPartitioned("d2", true)
+			sim.Run(5 * time.Second)
+			sim.SetPartitioned("d2", false)
+			sim.Run(5 * time.Second)
 		}},
 	}
 	for _, event := range events {
@@ -47,7 +47,7 @@
 			b.Run(event.name+"/"+placement, func(b *testing.B) {
 				for b.Loop() {
 					r := measureEvent(placement == "modulo", event.run)
-					b.ReportMetric(float64(r.ResetByBackend+r.Reset)*1e5/float64(r.Flows), "broken/100k")
+					b.ReportMetric(float64(r.ResetByBackend+r.ResetByEntry)*1e5/float64(r.Flows), "broken/100k")
 					b.ReportMetric(100*float64(r.Relayed)/float64(r.Relayed+r.Forwarded), "%relayed")
 					b.ReportMetric(float64(r.Flows), "flows")
 				}
@@ -56,13 +56,13 @@
 	}
 }
 
-func measureEvent(modulo bool, run func(w *World)) Report {
-	w := New(Config{Seed: 7, Domains: 3, Entries: 8, Endpoints: 14, Balance: 0.8, Idle: 1500 * time.Millisecond, Modulo: modulo})
-	w.Run(3 * time.Second)
+func measureEvent(modulo bool, run func(sim *Simulation)) Report {
+	sim := New(Config{Seed: 7, Domains: 3, Entries: 8, Endpoints: 14, Balance: 0.8, IdleTimeout: 1500 * time.Millisecond, Modulo: modulo})
+	sim.Run(3 * time.Second)
 	for i := range 600 {
-		w.AddCaller(fmt.Sprintf("d%d", i%3))
+		sim.AddCaller(fmt.Sprintf("d%d", i%3))
 	}
-	w.Run(2 * time.Second)
-	run(w)
-	return w.Report()
+	sim.Run(2 * time.Second)
+	run(sim)
+	return sim.Report()
 }
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -10,38 +10,38 @@
 )
 
 const (
-	serviceAddr  = "192.0.2.10:443"
-	resendAfter  = 150 * time.Millisecond
-	mostResends  = 40
-	shortestFlow = 300 * time.Millisecond
+	serviceAddr     = "192.0.2.10:443"
+	synInterval     = 150 * time.Millisecond
+	maxSYNs         = 40
+	minFlowDuration = 300 * time.Millisecond
 )
 
 type (
 	// backend is a backend server's endpoint: it accepts flows by SYN and
 	// answers a packet of a flow that it does not hold by RST.
 	backend struct {
-		world   *World
-		id      uint32
-		name    string
-		domain  string
-		addr    netip.AddrPort
-		flows   map[packet.Tuple]time.Time
-		running int
+		sim             *Simulation
+		id              uint32
+		name            string
+		domain          string
+		addr            netip.AddrPort
+		flows           map[packet.Tuple]time.Time
+		runningRequests int
 	}
 
 	// caller holds one flow at a time.
 	caller struct {
-		world    *World
-		domain   string
-		tuple    packet.Tuple
-		port     uint16
-		number   int
-		state    callerState
-		endpoint uint32 // that accepted the flow
-		seq      uint32
-		ends     time.Time
-		life     int // tells a timer of an old flow
-		resends  int
+		sim        *Simulation
+		domain     string
+		tuple      packet.Tuple
+		port       uint16
+		index      int
+		state      callerState
+		endpoint   uint32 // that accepted the flow
+		seq        uint32
+		endsAt     time.Time
+		flowNumber int // tells a timer of an old flow
+		synsSent   int
 	}
 
 	callerState int
@@ -54,194 +54,194 @@
 	callerDone
 )
 
-// toBackend delivers a packet to an endpoint and checks what must hold there.
-func (w *World) toBackend(e *instance, endpoint *route.Endpoint, inner []byte) {
-	b := w.backends[endpoint.ID()]
+// deliverToBackend delivers a packet to an endpoint and checks what must hold there.
+func (sim *Simulation) deliverToBackend(e *instance, endpoint *route.Endpoint, inner []byte) {
+	b := sim.backends[endpoint.ID()]
 	if b == nil {
-		b = &backend{world: w, id: endpoint.ID(), name: endpoint.Name(), domain: endpoint.Domain(), addr: endpoint.Addr(), flows: map[packet.Tuple]time.Time{}}
-		w.backends[endpoint.ID()] = b
-		w.byAddr[endpoint.Addr()] = b
+		b = &backend{sim: sim, id: endpoint.ID(), name: endpoint.Name(), domain: endpoint.Domain(), addr: endpoint.Addr(), flows: map[packet.Tuple]time.Time{}}
+		sim.backends[endpoint.ID()] = b
+		sim.backendsByAddr[endpoint.Addr()] = b
 	}
 	p := decode(inner, nil)
-	if work := p.Tuple().Transport() == packet.UDP; work != (endpoint.Service() == w.deskID()) {
-		w.report.Crossed++
-		w.fault("a packet for %v went to endpoint %s", p.Tuple().Dst(), endpoint.Name())
+	if work := p.Tuple().Transport() == packet.UDP; work != (endpoint.Service() == sim.workServiceID()) {
+		sim.report.Crossed++
+		sim.violationf("a packet for %v went to endpoint %s", p.Tuple().Dst(), endpoint.Name())
 	}
 	if p.Tuple().Transport() == packet.UDP {
-		w.sendOnce(e.domain, b.domain, func() { b.takeWork(p) })
+		sim.sendWithoutDuplicate(e.domain, b.domain, func() { b.receiveRequest(p) })
 		return
 	}
-	w.send(e.domain, b.domain, func() { b.take(inner, e.name) })
+	sim.send(e.domain, b.domain, func() { b.receive(inner, e.name) })
 }
 
-func (b *backend) take(inner []byte, via string) {
-	w := b.world
+func (b *backend) receive(inner []byte, via string) {
+	sim := b.sim
 	p := decode(inner, nil)
 	_, held := b.flows[p.Tuple()]
 	switch {
 	case p.Flags().Opens():
 		if !held {
-			b.checkLeaving(p, via)
+			b.checkNewFlow(p, via)
 		}
-		b.flows[p.Tuple()] = w.now
-		b.answer(p.Tuple(), packet.NewFlags(true, true, false, false))
+		b.flows[p.Tuple()] = sim.now
+		b.sendAnswer(p.Tuple(), packet.NewFlags(true, true, false, false))
 	case held && p.Flags().Ends():
 		delete(b.flows, p.Tuple())
-		b.answer(p.Tuple(), packet.NewFlags(false, true, true, false))
+		b.sendAnswer(p.Tuple(), packet.NewFlags(false, true, true, false))
 	case held:
-		b.flows[p.Tuple()] = w.now
-		b.answer(p.Tuple(), packet.NewFlags(false, true, false, false))
+		b.flows[p.Tuple()] = sim.now
+		b.sendAnswer(p.Tuple(), packet.NewFlags(false, true, false, false))
 	default:
-		w.checkSplit(p, b, via)
-		b.answer(p.Tuple(), packet.NewFlags(false, true, false, true))
+		sim.checkFlowEndpoint(p, b, via)
+		b.sendAnswer(p.Tuple(), packet.NewFlags(false, true, false, true))
 	}
 }
 
-// checkLeaving asserts that a leaving endpoint gets no new flow after the bound.
-func (b *backend) checkLeaving(p *packet.Packet, via string) {
-	since, leaving := b.world.leaving[b.name]
-	for _, domain := range []string{b.domain, b.world.entries[via].domain} {
-		if mended := b.world.mended[domain]; mended.After(since) {
+// checkNewFlow asserts that a leaving endpoint gets no new flow after the bound.
+func (b *backend) checkNewFlow(p *packet.Packet, via string) {
+	since, leaving := b.sim.leavingSince[b.name]
+	for _, domain := range []string{b.domain, b.sim.entries[via].domain} {
+		if mended := b.sim.reconnectedAt[domain]; mended.After(since) {
 			since = mended // a domain that was cut off could not be told before
 		}
 	}
-	if !leaving || b.world.now.Sub(since) <= drainBound || b.world.cut[b.domain] {
+	if !leaving || b.sim.now.Sub(since) <= maxDrainDelay || b.sim.partitioned[b.domain] {
 		return
 	}
-	for _, c := range b.world.callers {
+	for _, c := range b.sim.callers {
 		if c.tuple == p.Tuple() && c.state == callerOpening {
-			b.world.report.LateNew++
-			b.world.fault("%s got a new flow %v after it began to leave, via %s", b.name, b.world.now.Sub(since), via)
+			b.sim.report.NewAfterDrain++
+			b.sim.violationf("%s got a new flow %v after it began to leave, via %s", b.name, b.sim.now.Sub(since), via)
 		}
 	}
 }
 
-// checkSplit asserts that a packet of a flow which another endpoint has
+// checkFlowEndpoint asserts that a packet of a flow which another endpoint has
 // accepted, and whose caller knows it, does not come here.
-func (w *World) checkSplit(p *packet.Packet, b *backend, via string) {
-	for _, c := range w.callers {
+func (sim *Simulation) checkFlowEndpoint(p *packet.Packet, b *backend, via string) {
+	for _, c := range sim.callers {
 		if c.tuple == p.Tuple() && c.state == callerOpen && c.endpoint != b.id {
-			w.report.Split++
-			w.fault("flow %v on endpoint %d got to %d via %s", p.Tuple().Src(), c.endpoint, b.id, via)
+			sim.report.Split++
+			sim.violationf("flow %v on endpoint %d got to %d via %s", p.Tuple().Src(), c.endpoint, b.id, via)
 		}
 	}
 }
 
-// answer answers a packet of a flow; the payload names the endpoint.
-func (b *backend) answer(t packet.Tuple, f packet.Flags) {
+// sendAnswer answers a packet of a flow; the payload names the endpoint.
+func (b *backend) sendAnswer(t packet.Tuple, f packet.Flags) {
 	inner, err := packet.Build(t.Reverse(), f, 1, 1, []byte{byte(b.id)})
 	if err != nil {
 		panic(err)
 	}
-	b.back(inner)
+	b.sendToEntry(inner)
 }
 
-// back hands an answer to any entry that can be reached.
-func (b *backend) back(inner []byte) {
-	w := b.world
-	side := w.side(b.domain)
+// sendToEntry hands an answer to any entry that can be reached.
+func (b *backend) sendToEntry(inner []byte) {
+	sim := b.sim
+	side := sim.reachableEntries(b.domain)
 	if len(side) == 0 {
 		return
 	}
-	e := side[w.rng.IntN(len(side))]
-	w.send(b.domain, e.domain, func() {
-		e.awake(func() { e.take(b.addr, inner, nil) })
+	e := side[sim.rng.IntN(len(side))]
+	sim.send(b.domain, e.domain, func() {
+		e.runUnpaused(func() { e.receive(b.addr, inner, nil) })
 	})
 }
 
 // AddCaller starts a caller that opens one flow after the other.
-func (w *World) AddCaller(domain string) {
-	c := &caller{world: w, domain: domain, number: len(w.callers), port: 1000}
-	w.callers = append(w.callers, c)
-	w.after(time.Duration(w.rng.IntN(500))*time.Millisecond, c.open)
+func (sim *Simulation) AddCaller(domain string) {
+	c := &caller{sim: sim, domain: domain, index: len(sim.callers), port: 1000}
+	sim.callers = append(sim.callers, c)
+	sim.schedule(time.Duration(sim.rng.IntN(500))*time.Millisecond, c.openFlow)
 }
 
-func (c *caller) open() {
-	w := c.world
+func (c *caller) openFlow() {
+	sim := c.sim
 	c.port++
-	src := netip.AddrPortFrom(netip.MustParseAddr(fmt.Sprintf("10.0.%d.%d", c.number/200, c.number%200+1)), c.port)
+	src := netip.AddrPortFrom(netip.MustParseAddr(fmt.Sprintf("10.0.%d.%d", c.index/200, c.index%200+1)), c.port)
 	c.tuple = packet.NewTuple(src, netip.MustParseAddrPort(serviceAddr), packet.TCP)
-	c.state, c.endpoint, c.seq, c.resends = callerOpening, 0, 1, 0
-	c.life++
-	c.ends = w.now.Add(shortestFlow + time.Duration(w.rng.ExpFloat64()*float64(2*time.Second)))
-	w.report.Flows++
-	c.sendOpening(c.life)
+	c.state, c.endpoint, c.seq, c.synsSent = callerOpening, 0, 1, 0
+	c.flowNumber++
+	c.endsAt = sim.now.Add(minFlowDuration + time.Duration(sim.rng.ExpFloat64()*float64(2*time.Second)))
+	sim.report.Flows++
+	c.sendSYN(c.flowNumber)
 }
 
-func (c *caller) sendOpening(life int) {
-	if c.life != life || c.state != callerOpening {
+func (c *caller) sendSYN(flowNumber int) {
+	if c.flowNumber != flowNumber || c.state != callerOpening {
 		return
 	}
-	if c.resends++; c.resends > mostResends {
-		c.world.report.Undecided++
-		c.open()
+	if c.synsSent++; c.synsSent > maxSYNs {
+		c.sim.report.NotOpened++
+		c.openFlow()
 		return
 	}
 	c.send(packet.NewFlags(true, false, false, false))
-	c.world.after(resendAfter, func() { c.sendOpening(life) })
+	c.sim.schedule(synInterval, func() { c.sendSYN(flowNumber) })
 }
 
-func (c *caller) sendData(life int) {
-	w := c.world
-	if c.life != life || c.state != callerOpen {
+func (c *caller) sendData(flowNumber int) {
+	sim := c.sim
+	if c.flowNumber != flowNumber || c.state != callerOpen {
 		return
 	}
-	if w.now.After(c.ends) {
+	if sim.now.After(c.endsAt) {
 		c.state = callerClosing
 		c.send(packet.NewFlags(false, true, true, false))
-		w.report.Ended++
-		w.after(time.Duration(w.rng.IntN(300))*time.Millisecond, c.open)
+		sim.report.Ended++
+		sim.schedule(time.Duration(sim.rng.IntN(300))*time.Millisecond, c.openFlow)
 		return
 	}
 	c.send(packet.NewFlags(false, true, false, false))
-	w.after(time.Duration(20+w.rng.IntN(250))*time.Millisecond, func() { c.sendData(life) })
+	sim.schedule(time.Duration(20+sim.rng.IntN(250))*time.Millisecond, func() { c.sendData(flowNumber) })
 }
 
 func (c *caller) send(f packet.Flags) {
-	w := c.world
+	sim := c.sim
 	c.seq++
 	inner, err := packet.Build(c.tuple, f, c.seq, 1, nil)
 	if err != nil {
 		panic(err)
 	}
-	side := w.side(c.domain)
+	side := sim.reachableEntries(c.domain)
 	if len(side) == 0 {
 		return
 	}
-	e := side[w.rng.IntN(len(side))]
-	w.send(c.domain, e.domain, func() { e.awake(func() { e.take(netip.AddrPort{}, inner, nil) }) })
+	e := side[sim.rng.IntN(len(side))]
+	sim.send(c.domain, e.domain, func() { e.runUnpaused(func() { e.receive(netip.AddrPort{}, inner, nil) }) })
 }
 
-// toCaller delivers an answer.
-func (w *World) toCaller(domain string, inner []byte) {
+// deliverToCaller delivers an answer.
+func (sim *Simulation) deliverToCaller(domain string, inner []byte) {
 	p := decode(inner, nil)
-	for _, c := range w.callers {
+	for _, c := range sim.callers {
 		if c.tuple == p.Tuple().Reverse() {
-			w.send(domain, c.domain, func() { c.take(p) })
+			sim.send(domain, c.domain, func() { c.receive(p) })
 		}
 	}
-	for _, a := range w.askers {
+	for _, a := range sim.requesters {
 		if a.tuple == p.Tuple().Reverse() {
-			w.send(domain, a.domain, func() { a.take(p) })
+			sim.send(domain, a.domain, func() { a.receive(p) })
 		}
 	}
 }
 
-func (c *caller) take(p *packet.Packet) {
+func (c *caller) receive(p *packet.Packet) {
 	if c.tuple != p.Tuple().Reverse() {
 		return
 	}
 	switch {
 	case p.Flags().Resets() && c.state == callerOpen && len(p.Payload()) == 0:
-		c.world.report.Reset++ // by an entry: nobody knew the flow any more
-		c.open()
+		c.sim.report.ResetByEntry++ // by an entry: nobody knew the flow any more
+		c.openFlow()
 	case p.Flags().Resets() && c.state == callerOpen:
-		c.world.report.ResetByBackend++
-		c.world.fault("flow %v on endpoint %d was reset by a backend server", c.tuple.Src(), c.endpoint)
-		c.open()
+		c.sim.report.ResetByBackend++
+		c.sim.violationf("flow %v on endpoint %d was reset by a backend server", c.tuple.Src(), c.endpoint)
+		c.openFlow()
 	case p.Flags().Accepts() && c.state == callerOpening:
 		c.state = callerOpen
 		c.endpoint = uint32(p.Payload()[0])
-		c.sendData(c.life)
+		c.sendData(c.flowNumber)
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -24,15 +24,15 @@
 )
 
 const (
-	step          = 10 * time.Millisecond
-	beatEvery     = 300 * time.Millisecond
-	probeEvery    = 200 * time.Millisecond
-	lease         = 1500 * time.Millisecond
-	margin        = 150 * time.Millisecond
-	leaderDomain  = "d0"
-	drainBound    = 3 * time.Second
-	lossPerMille  = 10
-	twicePerMille = 10
+	tickInterval      = 10 * time.Millisecond
+	heartbeatInterval = 300 * time.Millisecond
+	probeInterval     = 200 * time.Millisecond
+	leaseDuration     = 1500 * time.Millisecond
+	clockMargin       = 150 * time.Millisecond
+	leaderDomain      = "d0"
+	maxDrainDelay     = 3 * time.Second
+	lossPerMille      = 10
+	duplicatePerMille = 10
 )
 
 type (
@@ -45,52 +45,52 @@
 
 	eventQueue []event
 
-	// World is a fleet with its callers and backend servers.
-	World struct {
-		rng      *rand.Rand
-		now      time.Time
-		queue    eventQueue
-		seq      uint64
-		state    *control.State
-		log      []*wire.LogEntry
-		ctl      *controller.Controller
-		entries  map[string]*instance
-		names    []string
-		backends map[uint32]*backend
-		byAddr   map[netip.AddrPort]*backend
-		callers  []*caller
-		askers   []*asker
-		requests map[uint64]*requestLog
-		token    uint64
-		cut      map[string]bool // domains cut off from the others
-		mended   map[string]time.Time
-		changes  int
-		report   Report
-		config   Config
-		leaving  map[string]time.Time // endpoints, by when their leaving was accepted
-		trace    func(line string)    // of every step, to look into a replayed failure
+	// Simulation is a fleet with its callers and backend servers.
+	Simulation struct {
+		rng            *rand.Rand
+		now            time.Time
+		queue          eventQueue
+		seq            uint64
+		state          *control.State
+		log            []*wire.LogEntry
+		controller     *controller.Controller
+		entries        map[string]*instance
+		entryNames     []string
+		backends       map[uint32]*backend
+		backendsByAddr map[netip.AddrPort]*backend
+		callers        []*caller
+		requesters     []*requester
+		requests       map[uint64]*requestRecord
+		lastToken      uint64
+		partitioned    map[string]bool // domains cut off from the others
+		reconnectedAt  map[string]time.Time
+		changeCount    int
+		report         Report
+		config         Config
+		leavingSince   map[string]time.Time // endpoints, by when their leaving was accepted
+		trace          func(line string)    // of every step, to look into a replayed failure
 	}
 
 	// Config sets the size of a world.
 	Config struct {
-		Seed      uint64
-		Domains   int
-		Entries   int
-		Endpoints int
-		Callers   int
-		Balance   float64
-		Idle      time.Duration
-		Modulo    bool // the baseline placement
+		Seed        uint64
+		Domains     int
+		Entries     int
+		Endpoints   int
+		Callers     int
+		Balance     float64
+		IdleTimeout time.Duration
+		Modulo      bool // the baseline placement
 	}
 
 	// Report counts what callers and backend servers have seen.
 	Report struct {
-		Flows, Ended, Split, Reset, ResetByBackend, Crossed uint64
-		LateNew, Undecided, Relayed, Forwarded              uint64
-		Requests, Unanswered, RanTwice, FalseNotRun         uint64
-		Answers                                             map[string]uint64
-		Reasons                                             map[string]uint64
-		Faults                                              []string
+		Flows, Ended, Split, ResetByEntry, ResetByBackend, Crossed uint64
+		NewAfterDrain, NotOpened, Relayed, Forwarded               uint64
+		Requests, Unanswered, RanTwice, FalseNotRun                uint64
+		Answers                                                    map[string]uint64
+		Reasons                                                    map[string]uint64
+		Violations                                                 []string
 	}
 )
 
@@ -115,189 +115,189 @@
 }
 
 // New returns a world whose entries have not started yet.
-func New(c Config) *World {
-	w := &World{
+func New(c Config) *Simulation {
+	sim := &Simulation{
 		rng: rand.New(rand.NewPCG(c.Seed, 17)), now: time.Unix(1_000_000, 0), config: c,
 		state: control.NewState(), entries: map[string]*instance{}, backends: map[uint32]*backend{},
-		byAddr: map[netip.AddrPort]*backend{}, cut: map[string]bool{}, mended: map[string]time.Time{}, requests: map[uint64]*requestLog{}, leaving: map[string]time.Time{},
+		backendsByAddr: map[netip.AddrPort]*backend{}, partitioned: map[string]bool{}, reconnectedAt: map[string]time.Time{}, requests: map[uint64]*requestRecord{}, leavingSince: map[string]time.Time{},
 	}
-	w.report.Reasons, w.report.Answers = map[string]uint64{}, map[string]uint64{}
-	w.ctl = controller.New(controllerConfig(), w.now, w.state, 0)
-	w.commit(&wire.Command{Body: &wire.Command_Change{Change: w.firstChange()}})
+	sim.report.Reasons, sim.report.Answers = map[string]uint64{}, map[string]uint64{}
+	sim.controller = controller.New(controllerConfig(), sim.now, sim.state, 0)
+	sim.commit(&wire.Command{Body: &wire.Command_Change{Change: sim.initialChange()}})
 	for i := range c.Entries {
 		name := fmt.Sprintf("e%d", i)
-		w.names = append(w.names, name)
-		w.start(name, fmt.Sprintf("d%d", i%c.Domains))
+		sim.entryNames = append(sim.entryNames, name)
+		sim.startEntry(name, fmt.Sprintf("d%d", i%c.Domains))
 	}
-	w.every(step, func() { w.tickController() })
-	return w
+	sim.scheduleEvery(tickInterval, func() { sim.tickController() })
+	return sim
 }
 
 func controllerConfig() controller.Config {
 	h := health.DefaultConfig()
 	h.Ramp = time.Second
 	return controller.Config{
-		Lease: lease, ClockMargin: margin, ReturnTimeout: 3 * time.Second, SettleAfter: 600 * time.Millisecond,
+		Lease: leaseDuration, ClockMargin: clockMargin, ReturnTimeout: 3 * time.Second, SettleAfter: 600 * time.Millisecond,
 		PlacementInterval: 200 * time.Millisecond, MaxMovesPerRound: 4, Health: h,
 	}
 }
 
 // Run lets time pass.
-func (w *World) Run(d time.Duration) {
-	end := w.now.Add(d)
-	for len(w.queue) > 0 && !w.queue[0].at.After(end) {
-		e := heap.Pop(&w.queue).(event)
-		w.now = e.at
+func (sim *Simulation) Run(d time.Duration) {
+	end := sim.now.Add(d)
+	for len(sim.queue) > 0 && !sim.queue[0].at.After(end) {
+		e := heap.Pop(&sim.queue).(event)
+		sim.now = e.at
 		e.run()
 	}
-	w.now = end
+	sim.now = end
 }
 
 // Report returns what was counted.
-func (w *World) Report() Report { return w.report }
+func (sim *Simulation) Report() Report { return sim.report }
 
-func (w *World) after(d time.Duration, run func()) {
-	w.seq++
-	heap.Push(&w.queue, event{w.now.Add(d), w.seq, run})
+func (sim *Simulation) schedule(d time.Duration, run func()) {
+	sim.seq++
+	heap.Push(&sim.queue, event{sim.now.Add(d), sim.seq, run})
 }
 
-func (w *World) every(d time.Duration, run func()) {
-	w.after(d, func() {
+func (sim *Simulation) scheduleEvery(d time.Duration, run func()) {
+	sim.schedule(d, func() {
 		run()
-		w.every(d, run)
+		sim.scheduleEvery(d, run)
 	})
 }
 
 // send delivers something from one domain to another: late, perhaps lost or
 // twice, and not at all while they are cut off from each other.
-func (w *World) send(from, to string, deliver func()) {
-	if w.rng.IntN(1000) < lossPerMille {
+func (sim *Simulation) send(from, to string, deliver func()) {
+	if sim.rng.IntN(1000) < lossPerMille {
 		return
 	}
 	times := 1
-	if w.rng.IntN(1000) < twicePerMille {
+	if sim.rng.IntN(1000) < duplicatePerMille {
 		times = 2
 	}
-	w.deliver(from, to, times, deliver)
+	sim.deliver(from, to, times, deliver)
 }
 
-// sendOnce is send without doubling. Dispatched requests go so: a doubled
+// sendWithoutDuplicate is send without doubling. Dispatched requests go so: a doubled
 // datagram is told apart by its CoAP message id at the backend server (RFC
 // 7252, 4.5), while these backend servers count every run, so that a request
 // that the balancer dispatches twice is seen.
-func (w *World) sendOnce(from, to string, deliver func()) {
-	if w.rng.IntN(1000) >= lossPerMille {
-		w.deliver(from, to, 1, deliver)
+func (sim *Simulation) sendWithoutDuplicate(from, to string, deliver func()) {
+	if sim.rng.IntN(1000) >= lossPerMille {
+		sim.deliver(from, to, 1, deliver)
 	}
 }
 
-func (w *World) deliver(from, to string, times int, deliver func()) {
+func (sim *Simulation) deliver(from, to string, times int, deliver func()) {
 	for range times {
-		w.after(time.Millisecond+time.Duration(w.rng.IntN(4000))*time.Microsecond, func() {
-			if from == to || !w.cut[from] && !w.cut[to] {
+		sim.schedule(time.Millisecond+time.Duration(sim.rng.IntN(4000))*time.Microsecond, func() {
+			if from == to || !sim.partitioned[from] && !sim.partitioned[to] {
 				deliver()
 			}
 		})
 	}
 }
 
-// note traces one line where a trace is wanted.
-func (w *World) note(format string, args ...any) {
-	if w.trace != nil {
-		w.trace(fmt.Sprintf("%v ", w.now.Sub(time.Unix(1_000_000, 0))) + fmt.Sprintf(format, args...))
+// tracef traces one line where a trace is wanted.
+func (sim *Simulation) tracef(format string, args ...any) {
+	if sim.trace != nil {
+		sim.trace(fmt.Sprintf("%v ", sim.now.Sub(time.Unix(1_000_000, 0))) + fmt.Sprintf(format, args...))
 	}
 }
 
-func (w *World) fault(format string, args ...any) {
-	const most = 20
-	if len(w.report.Faults) < most {
-		w.report.Faults = append(w.report.Faults, fmt.Sprintf("%v: ", w.now.Sub(time.Unix(1_000_000, 0)))+fmt.Sprintf(format, args...))
+func (sim *Simulation) violationf(format string, args ...any) {
+	const maxViolations = 20
+	if len(sim.report.Violations) < maxViolations {
+		sim.report.Violations = append(sim.report.Violations, fmt.Sprintf("%v: ", sim.now.Sub(time.Unix(1_000_000, 0)))+fmt.Sprintf(format, args...))
 	}
 }
 
 // commit agrees on a command at once: the replicated log has its own test.
-func (w *World) commit(c *wire.Command) control.Answer {
-	c.UnixNano = w.now.UnixNano()
+func (sim *Simulation) commit(c *wire.Command) control.Answer {
+	c.UnixNano = sim.now.UnixNano()
 	data, err := proto.Marshal(c)
 	if err != nil {
 		panic(err)
 	}
-	index := w.state.Index() + 1
-	answer, err := w.state.Apply(index, data)
+	index := sim.state.Index() + 1
+	answer, err := sim.state.Apply(index, data)
 	if err != nil {
 		panic(err)
 	}
-	w.note("commit %d %v", index, c)
-	w.log = append(w.log, &wire.LogEntry{Index: index, Term: 1, Command: data})
+	sim.tracef("commit %d %v", index, c)
+	sim.log = append(sim.log, &wire.LogEntry{Index: index, Term: 1, Command: data})
 	return answer
 }
 
-func (w *World) tickController() {
-	for _, c := range w.ctl.Tick(w.now) {
-		w.commit(c)
+func (sim *Simulation) tickController() {
+	for _, c := range sim.controller.Tick(sim.now) {
+		sim.commit(c)
 	}
-	w.checkController()
+	sim.checkActiveIndex()
 }
 
-// checkController asserts that the active index never passes an entry that
+// checkActiveIndex asserts that the active index never passes an entry that
 // may still decide by its lease.
-func (w *World) checkController() {
-	for _, name := range w.names {
-		e := w.entries[name]
-		if e.alive && w.now.Before(e.member.LeaseUntil()) && e.member.State().Index() < w.ctl.Active() {
-			w.fault("%s holds a lease at index %d, in use is %d", name, e.member.State().Index(), w.ctl.Active())
+func (sim *Simulation) checkActiveIndex() {
+	for _, name := range sim.entryNames {
+		e := sim.entries[name]
+		if e.alive && sim.now.Before(e.member.LeaseUntil()) && e.member.State().Index() < sim.controller.Active() {
+			sim.violationf("%s holds a lease at index %d, in use is %d", name, e.member.State().Index(), sim.controller.Active())
 		}
 	}
 }
 
-func (w *World) feed() controller.Feed {
+func (sim *Simulation) feed() controller.Feed {
 	return controller.Feed{
 		Entries: func(from uint64, _ int) ([]*wire.LogEntry, bool) {
-			if from == 0 || from > uint64(len(w.log)) {
+			if from == 0 || from > uint64(len(sim.log)) {
 				return nil, true
 			}
-			return w.log[from-1:], true
+			return sim.log[from-1:], true
 		},
 		Snapshot: func() (uint64, []byte, error) {
-			data, err := w.state.Snapshot()
-			return w.state.Index(), data, err
+			data, err := sim.state.Snapshot()
+			return sim.state.Index(), data, err
 		},
 	}
 }
 
-func (w *World) beat(r *wire.BeatRequest) *wire.BeatReply {
-	grant := w.ctl.Beat(w.now, r, true)
-	reply := &wire.BeatReply{Leader: true, Term: 1, LeaderName: "leader", LeaseNanos: int64(grant.Lease), Active: grant.Active, Commit: w.state.Index()}
-	if err := w.feed().Fill(reply, r); err != nil {
+func (sim *Simulation) handleHeartbeat(r *wire.BeatRequest) *wire.BeatReply {
+	grant := sim.controller.Beat(sim.now, r, true)
+	reply := &wire.BeatReply{Leader: true, Term: 1, LeaderName: "leader", LeaseNanos: int64(grant.Lease), Active: grant.Active, Commit: sim.state.Index()}
+	if err := sim.feed().Fill(reply, r); err != nil {
 		panic(err)
 	}
 	return reply
 }
 
-// side returns the entries that a packet at a domain can be handed to.
-func (w *World) side(domain string) []*instance {
-	var found []*instance
-	for _, name := range w.names {
-		e := w.entries[name]
-		if e.alive && (e.domain == domain || !w.cut[domain] && !w.cut[e.domain]) {
-			found = append(found, e)
+// reachableEntries returns the entries that a packet at a domain can be handed to.
+func (sim *Simulation) reachableEntries(domain string) []*instance {
+	var entries []*instance
+	for _, name := range sim.entryNames {
+		e := sim.entries[name]
+		if e.alive && (e.domain == domain || !sim.partitioned[domain] && !sim.partitioned[e.domain]) {
+			entries = append(entries, e)
 		}
 	}
-	return found
+	return entries
 }
 
-// deskID returns the id of the service that takes work.
-func (w *World) deskID() uint32 { return 2 }
+// workServiceID returns the id of the service that takes work.
+func (sim *Simulation) workServiceID() uint32 { return 2 }
 
-func (w *World) hasher() route.Hasher { return route.NewHasher([16]byte{1, 2, 3}) }
+func (sim *Simulation) hasher() route.Hasher { return route.NewHasher([16]byte{1, 2, 3}) }
 
-func (w *World) count(v flow.Verdict) {
-	w.report.Reasons[v.Reason().String()]++
+func (sim *Simulation) countVerdict(v flow.Verdict) {
+	sim.report.Reasons[v.Reason().String()]++
 	switch v.Action() {
 	case flow.Relay:
-		w.report.Relayed++
+		sim.report.Relayed++
 	case flow.Forward:
-		w.report.Forwarded++
+		sim.report.Forwarded++
 	}
 }
 
--- a/tools/experiment.go
+++ b/tools/experiment.go
@@ -15,37 +15,37 @@
 
 // cmdExperiment prints what the committed journal says of experiments.
 func cmdExperiment() *cobra.Command {
-	var folder, why, base, score, ablation string
+	var journalFolder, reason, baseReason, scoreReason, ablationPrefix string
 	c := &cobra.Command{
 		Use: "experiment", Short: "print scores and paired comparisons from the journal", Args: cobra.NoArgs,
 		Long: "With --why, pairs the plays that carry this reason: the sources that were played first against the others.\n" +
 			"With --scores, prints the scores that carry it, day by day. Without either, lists the reasons.",
 		RunE: func(c *cobra.Command, _ []string) error {
-			entries, err := journal.Load(folder)
+			entries, err := journal.Load(journalFolder)
 			if err != nil {
 				return err
 			}
 			out := c.OutOrStdout()
 			switch {
-			case ablation != "":
-				err = printAblation(out, entries, ablation)
-			case base != "":
-				err = printComparison(out, journal.CompareReasons(entries, base, why))
-			case why != "":
-				err = printComparison(out, journal.Compare(entries, why))
-			case score != "":
-				err = printScores(out, entries, score)
+			case ablationPrefix != "":
+				err = printAblation(out, entries, ablationPrefix)
+			case baseReason != "":
+				err = printComparison(out, journal.CompareReasons(entries, baseReason, reason))
+			case reason != "":
+				err = printComparison(out, journal.Compare(entries, reason))
+			case scoreReason != "":
+				err = printScores(out, entries, scoreReason)
 			default:
 				printReasons(out, entries)
 			}
 			return err
 		},
 	}
-	c.Flags().StringVar(&folder, "journal", "journal", "folder of the journal")
-	c.Flags().StringVar(&why, "why", "", "reason of the plays to compare")
-	c.Flags().StringVar(&base, "base", "", "reason of the plays to compare them with; else the sources that were played first")
-	c.Flags().StringVar(&ablation, "ablation", "", "prefix of the reasons of an ablation; the one that ends in 'nothing' is the base")
-	c.Flags().StringVar(&score, "scores", "", "reason of the scores to print")
+	c.Flags().StringVar(&journalFolder, "journal", "journal", "folder of the journal")
+	c.Flags().StringVar(&reason, "why", "", "reason of the plays to compare")
+	c.Flags().StringVar(&baseReason, "base", "", "reason of the plays to compare them with; else the sources that were played first")
+	c.Flags().StringVar(&ablationPrefix, "ablation", "", "prefix of the reasons of an ablation; the one that ends in 'nothing' is the base")
+	c.Flags().StringVar(&scoreReason, "scores", "", "reason of the scores to print")
 	return c
 }
 
@@ -64,8 +64,8 @@
 }
 
 // printScores prints the days of each score, as Markdown.
-func printScores(out io.Writer, entries []journal.Entry, why string) error {
-	entries = slices.DeleteFunc(entries, func(e journal.Entry) bool { return e.Why != why || e.Score == nil })
+func printScores(out io.Writer, entries []journal.Entry, reason string) error {
+	entries = slices.DeleteFunc(entries, func(e journal.Entry) bool { return e.Why != reason || e.Score == nil })
 	if len(entries) == 0 {
 		return fault.New(fault.NotFound, "no scores carry that reason")
 	}
@@ -121,17 +121,17 @@
 
 // printReasons lists the reasons with how many plays carry each.
 func printReasons(out io.Writer, entries []journal.Entry) {
-	count := map[string]int{}
+	counts := map[string]int{}
 	var order []string
 	for _, e := range entries {
-		if count[e.Why] == 0 {
+		if counts[e.Why] == 0 {
 			order = append(order, e.Why)
 		}
-		count[e.Why]++
+		counts[e.Why]++
 	}
 	table := tabwriter.NewWriter(out, 0, 0, 1, ' ', 0)
 	for _, why := range order {
-		fmt.Fprintf(table, "%d\t%s\n", count[why], why)
+		fmt.Fprintf(table, "%d\t%s\n", counts[why], why)
 	}
 	_ = table.Flush() // to a terminal or a file that is full
 }
--- a/tools/load.go
+++ b/tools/load.go
@@ -19,7 +19,7 @@
 // cmdLoad puts load on running entries.
 func cmdLoad() *cobra.Command {
 	var config load.Config
-	var file, document, plotFile, output string
+	var settingsFile, intentFile, plotFile, output string
 	var mix map[string]string
 	c := &cobra.Command{
 		Use:   "load --settings FILE --intent FILE",
@@ -29,10 +29,10 @@
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
-			if config.Settings, err = settings.Load(file); err != nil {
+			if config.Settings, err = settings.Load(settingsFile); err != nil {
 				return err
 			}
-			data, err := os.ReadFile(document)
+			data, err := os.ReadFile(intentFile)
 			if err != nil {
 				return fault.Wrap(fault.InvalidChange, err)
 			}
@@ -59,8 +59,8 @@
 			return nil
 		},
 	}
-	c.Flags().StringVar(&file, "settings", "", "settings file of the fleet")
-	c.Flags().StringVar(&document, "intent", "", "configuration file with the services")
+	c.Flags().StringVar(&settingsFile, "settings", "", "settings file of the fleet")
+	c.Flags().StringVar(&intentFile, "intent", "", "configuration file with the services")
 	c.Flags().Float64Var(&config.Flows, "flows", 100, "new flows a second")
 	c.Flags().DurationVar(&config.FlowLasts, "flow-lasts", 5*time.Second, "how long a flow lasts; flows held are this times --flows")
 	c.Flags().DurationVar(&config.FlowEvery, "flow-every", 200*time.Millisecond, "mean time between packets of a flow")
