--- a/internal/soak/entry.go
+++ b/internal/soak/entry.go
@@ -14,7 +14,7 @@
 
 // instance is an entry instance in one of its lives.
 type instance struct {
-	sim          *Simulation
+	sim          *Sim
 	name, domain string
 	incarnation  uint64
 	alive        bool
@@ -24,7 +24,7 @@
 }
 
 // startEntry begins a life with empty memory.
-func (sim *Simulation) startEntry(name, domain string) {
+func (sim *Sim) startEntry(name, domain string) {
 	incarnation := uint64(1)
 	if old := sim.entries[name]; old != nil {
 		incarnation = old.incarnation + 1
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -17,7 +17,7 @@
 )
 
 // initialChange is the document that a world starts from.
-func (sim *Simulation) initialChange() *wire.Change {
+func (sim *Sim) initialChange() *wire.Change {
 	team := fmt.Sprintf(`{"template":"portal","services":["booking","desk"],"first":["issue"],`+
 		`"parameters":{"idle":%q,"balance":%g,"request_life":%q}}`, sim.config.IdleTimeout, sim.config.Balance, requestLifetime)
 	objects := append(sim.serviceObjects(), &wire.Object{Kind: "template", Name: "portal", Body: []byte(templateBody)},
@@ -26,7 +26,7 @@
 }
 
 // serviceObjects returns both serviceObjects as they should be now.
-func (sim *Simulation) serviceObjects() []*wire.Object {
+func (sim *Sim) serviceObjects() []*wire.Object {
 	feed := `{"name":"feed","address":"` + serviceAddr + `","protocol":"tcp","kind":"flow"}`
 	issue := `{"name":"issue","address":"` + issueAddr + `","protocol":"udp","kind":"work"}`
 	batch := `{"name":"batch","address":"` + batchAddr + `","protocol":"udp","kind":"work","repeatable":true}`
@@ -36,7 +36,7 @@
 	}
 }
 
-func (sim *Simulation) serviceBody(classes, prefix string, port, endpoints int) []byte {
+func (sim *Sim) serviceBody(classes, prefix string, port, endpoints int) []byte {
 	body := `{"classes":[` + classes + `],"endpoints":[`
 	for i := range endpoints {
 		if i > 0 {
@@ -50,7 +50,7 @@
 	return []byte(body + "]}")
 }
 
-func (sim *Simulation) commitServices() {
+func (sim *Sim) commitServices() {
 	sim.changeCount++
 	sim.commit(&wire.Command{Body: &wire.Command_Change{Change: &wire.Change{
 		Id: fmt.Sprint("change-", sim.changeCount), Author: "soak", Base: sim.state.Revision(),
@@ -59,7 +59,7 @@
 }
 
 // Drain lets an endpoint leave.
-func (sim *Simulation) Drain(i int) {
+func (sim *Sim) Drain(i int) {
 	name := fmt.Sprintf("b%d", i)
 	if len(sim.leavingSince) >= sim.config.Endpoints/2 {
 		return
@@ -71,7 +71,7 @@
 }
 
 // ToggleWorkDrain lets an endpoint for work leave, or come back; one always stays.
-func (sim *Simulation) ToggleWorkDrain(i int) {
+func (sim *Sim) ToggleWorkDrain(i int) {
 	name := fmt.Sprintf("k%d", i%workEndpoints)
 	if _, leaving := sim.leavingSince[name]; leaving {
 		delete(sim.leavingSince, name)
@@ -82,7 +82,7 @@
 }
 
 // Undrain lets an endpoint take work again.
-func (sim *Simulation) Undrain(i int) {
+func (sim *Sim) Undrain(i int) {
 	name := fmt.Sprintf("b%d", i)
 	if _, leaving := sim.leavingSince[name]; leaving {
 		delete(sim.leavingSince, name)
@@ -91,31 +91,31 @@
 }
 
 // Join adds an endpoint.
-func (sim *Simulation) Join() {
+func (sim *Sim) Join() {
 	sim.config.Endpoints++
 	sim.commitServices()
 }
 
 // Kill ends an entry without a word.
-func (sim *Simulation) Kill(name string) { sim.entries[name].alive = false }
+func (sim *Sim) Kill(name string) { sim.entries[name].alive = false }
 
 // Restart begins a new life with empty memory.
-func (sim *Simulation) Restart(name string) {
+func (sim *Sim) Restart(name string) {
 	old := sim.entries[name]
 	old.alive = false
 	sim.startEntry(name, old.domain)
 }
 
 // Stop ends an entry as planned: it hands its records over first.
-func (sim *Simulation) Stop(name string) { sim.entries[name].member.AnnounceStop() }
+func (sim *Sim) Stop(name string) { sim.entries[name].member.AnnounceStop() }
 
 // Pause freezes an entry.
-func (sim *Simulation) Pause(name string, d time.Duration) {
+func (sim *Sim) Pause(name string, d time.Duration) {
 	sim.entries[name].pausedUntil = sim.now.Add(d)
 }
 
 // SetPartitioned cuts a domain off from the others, or mends it.
-func (sim *Simulation) SetPartitioned(domain string, partitioned bool) {
+func (sim *Sim) SetPartitioned(domain string, partitioned bool) {
 	if domain == leaderDomain || sim.partitioned[domain] == partitioned {
 		return
 	}
--- a/internal/soak/mix.go
+++ b/internal/soak/mix.go
@@ -7,7 +7,7 @@
 
 // RunRandomFaults runs rounds of random faults; each round draws one, and a few of them
 // overlap. At the end everything is mended and must come to rest.
-func (sim *Simulation) RunRandomFaults(rounds int) {
+func (sim *Sim) RunRandomFaults(rounds int) {
 	for range rounds {
 		sim.injectRandomFault()
 		sim.Run(time.Duration(100+sim.rng.IntN(1500)) * time.Millisecond)
@@ -25,7 +25,7 @@
 	sim.checkConverged()
 }
 
-func (sim *Simulation) injectRandomFault() {
+func (sim *Sim) injectRandomFault() {
 	name := sim.entryNames[sim.rng.IntN(len(sim.entryNames))]
 	endpoint := sim.rng.IntN(sim.config.Endpoints)
 	kind := sim.rng.IntN(13)
@@ -48,7 +48,7 @@
 }
 
 // injectEntryFault lets something happen to an entry or its domain.
-func (sim *Simulation) injectEntryFault(kind int, name string) {
+func (sim *Sim) injectEntryFault(kind int, name string) {
 	switch kind {
 	case 5:
 		if sim.countAlive() > 5 {
@@ -70,7 +70,7 @@
 }
 
 // recoverSome joins the domains again and starts half of the dead entries.
-func (sim *Simulation) recoverSome() {
+func (sim *Sim) recoverSome() {
 	for domain := range sim.config.Domains {
 		sim.SetPartitioned(fmt.Sprintf("d%d", domain), false)
 	}
@@ -81,7 +81,7 @@
 	}
 }
 
-func (sim *Simulation) countAlive() int {
+func (sim *Sim) countAlive() int {
 	n := 0
 	for _, e := range sim.entries {
 		if e.alive {
@@ -92,7 +92,7 @@
 }
 
 // checkConverged asserts that the views have converged and no doubt is left.
-func (sim *Simulation) checkConverged() {
+func (sim *Sim) checkConverged() {
 	if sim.state.Table().Uncertain() {
 		sim.violationf("at rest: cut %v, returned %v, bereft %v", sim.state.Table().Partitioned(), sim.state.Table().Returned(), sim.state.Table().ReturnedWithLoss())
 	}
--- a/internal/soak/mix_test.go
+++ b/internal/soak/mix_test.go
@@ -25,7 +25,7 @@
 	for i := range uint64(*runs) {
 		t.Run(fmt.Sprint(*seed+i), func(t *testing.T) {
 			t.Parallel()
-			sim := newSimulation(*seed + i)
+			sim := newSim(*seed + i)
 			if *trace != "" {
 				traceTo(t, sim, *trace)
 			}
@@ -43,7 +43,7 @@
 	for _, seed := range regressionSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			sim := newSimulation(seed)
+			sim := newSim(seed)
 			sim.RunRandomFaults(25)
 			checkReport(t, sim, seed)
 		})
@@ -51,7 +51,7 @@
 }
 
 // traceTo writes every step of a world to a file.
-func traceTo(t *testing.T, sim *Simulation, path string) {
+func traceTo(t *testing.T, sim *Sim, path string) {
 	f, err := os.Create(path)
 	if err != nil {
 		t.Fatal(err)
@@ -69,7 +69,7 @@
 func TestDeterministicReplay(t *testing.T) {
 	var sums [2]uint64
 	for i := range sums {
-		sim := newSimulation(1178)
+		sim := newSim(1178)
 		h := fnv.New64a()
 		sim.trace = func(line string) { _, _ = h.Write([]byte(line)) }
 		sim.RunRandomFaults(25)
--- a/internal/soak/requests.go
+++ b/internal/soak/requests.go
@@ -24,7 +24,7 @@
 	// requester sends requests of a work class, one after the other, and sends
 	// each again until it has a final answer.
 	requester struct {
-		sim           *Simulation
+		sim           *Sim
 		domain        string
 		index         int
 		addr          netip.AddrPort
@@ -46,7 +46,7 @@
 )
 
 // AddRequester starts a caller of work.
-func (sim *Simulation) AddRequester(domain string, repeatable bool) {
+func (sim *Sim) AddRequester(domain string, repeatable bool) {
 	addr := issueAddr
 	if repeatable {
 		addr = batchAddr
--- a/internal/soak/scenario_bench_test.go
+++ b/internal/soak/scenario_bench_test.go
@@ -12,34 +12,34 @@
 func BenchmarkScenarios(b *testing.B) {
 	events := []struct {
 		name string
-		run  func(sim *Simulation)
+		run  func(s *Sim)
 	}{
-		{"no change", func(sim *Simulation) { sim.Run(6 * time.Second) }},
-		{"one drain", func(sim *Simulation) { sim.Drain(2); sim.Run(6 * time.Second) }},
-		{"one join", func(sim *Simulation) { sim.Join(); sim.Run(6 * time.Second) }},
-		{"one entry lost", func(sim *Simulation) { sim.Drain(1); sim.Run(time.Second); sim.Kill("e3"); sim.Run(5 * time.Second) }},
-		{"two lost in a row", func(sim *Simulation) {
-			sim.Drain(1)
-			sim.Run(time.Second)
-			sim.Kill("e3")
-			sim.Run(1800 * time.Millisecond)
-			sim.Kill("e4")
-			sim.Run(3200 * time.Millisecond)
+		{"no change", func(s *Sim) { s.Run(6 * time.Second) }},
+		{"one drain", func(s *Sim) { s.Drain(2); s.Run(6 * time.Second) }},
+		{"one join", func(s *Sim) { s.Join(); s.Run(6 * time.Second) }},
+		{"one entry lost", func(s *Sim) { s.Drain(1); s.Run(time.Second); s.Kill("e3"); s.Run(5 * time.Second) }},
+		{"two lost in a row", func(s *Sim) {
+			s.Drain(1)
+			s.Run(time.Second)
+			s.Kill("e3")
+			s.Run(1800 * time.Millisecond)
+			s.Kill("e4")
+			s.Run(3200 * time.Millisecond)
 		}},
-		{"restart of every entry", func(sim *Simulation) {
-			sim.Drain(1)
-			for _, name := range sim.entryNames {
-				sim.Stop(name)
-				sim.Run(1500 * time.Millisecond)
-				sim.Restart(name)
-				sim.Run(1500 * time.Millisecond)
+		{"restart of every entry", func(s *Sim) {
+			s.Drain(1)
+			for _, name := range s.entryNames {
+				s.Stop(name)
+				s.Run(1500 * time.Millisecond)
+				s.Restart(name)
+				s.Run(1500 * time.Millisecond)
 			}
 		}},
-		{"cut of a domain", func(sim *Simulation) {
-			sim.SetPartitioned("d2", true)
-			sim.Run(5 * time.Second)
-			sim.SetPartitioned("d2", false)
-			sim.Run(5 * time.Second)
+		{"cut of a domain", func(s *Sim) {
+			s.SetPartitioned("d2", true)
+			s.Run(5 * time.Second)
+			s.SetPartitioned("d2", false)
+			s.Run(5 * time.Second)
 		}},
 	}
 	for _, event := range events {
@@ -56,7 +56,7 @@
 	}
 }
 
-func measureEvent(modulo bool, run func(sim *Simulation)) Report {
+func measureEvent(modulo bool, run func(s *Sim)) Report {
 	sim := New(Config{Seed: 7, Domains: 3, Entries: 8, Endpoints: 14, Balance: 0.8, IdleTimeout: 1500 * time.Millisecond, Modulo: modulo})
 	sim.Run(3 * time.Second)
 	for i := range 600 {
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -20,7 +20,7 @@
 	// backend is a backend server's endpoint: it accepts flows by SYN and
 	// answers a packet of a flow that it does not hold by RST.
 	backend struct {
-		sim             *Simulation
+		sim             *Sim
 		id              uint32
 		name            string
 		domain          string
@@ -31,7 +31,7 @@
 
 	// caller holds one flow at a time.
 	caller struct {
-		sim        *Simulation
+		sim        *Sim
 		domain     string
 		tuple      packet.Tuple
 		port       uint16
@@ -55,7 +55,7 @@
 )
 
 // deliverToBackend delivers a packet to an endpoint and checks what must hold there.
-func (sim *Simulation) deliverToBackend(e *instance, endpoint *route.Endpoint, inner []byte) {
+func (sim *Sim) deliverToBackend(e *instance, endpoint *route.Endpoint, inner []byte) {
 	b := sim.backends[endpoint.ID()]
 	if b == nil {
 		b = &backend{sim: sim, id: endpoint.ID(), name: endpoint.Name(), domain: endpoint.Domain(), addr: endpoint.Addr(), flows: map[packet.Tuple]time.Time{}}
@@ -118,7 +118,7 @@
 
 // checkFlowEndpoint asserts that a packet of a flow which another endpoint has
 // accepted, and whose caller knows it, does not come here.
-func (sim *Simulation) checkFlowEndpoint(p *packet.Packet, b *backend, via string) {
+func (sim *Sim) checkFlowEndpoint(p *packet.Packet, b *backend, via string) {
 	for _, c := range sim.callers {
 		if c.tuple == p.Tuple() && c.state == callerOpen && c.endpoint != b.id {
 			sim.report.Split++
@@ -150,7 +150,7 @@
 }
 
 // AddCaller starts a caller that opens one flow after the other.
-func (sim *Simulation) AddCaller(domain string) {
+func (sim *Sim) AddCaller(domain string) {
 	c := &caller{sim: sim, domain: domain, index: len(sim.callers), port: 1000}
 	sim.callers = append(sim.callers, c)
 	sim.schedule(time.Duration(sim.rng.IntN(500))*time.Millisecond, c.openFlow)
@@ -213,7 +213,7 @@
 }
 
 // deliverToCaller delivers an answer.
-func (sim *Simulation) deliverToCaller(domain string, inner []byte) {
+func (sim *Sim) deliverToCaller(domain string, inner []byte) {
 	p := decode(inner, nil)
 	for _, c := range sim.callers {
 		if c.tuple == p.Tuple().Reverse() {
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -45,8 +45,8 @@
 
 	eventQueue []event
 
-	// Simulation is a fleet with its callers and backend servers.
-	Simulation struct {
+	// Sim is a fleet with its callers and backend servers.
+	Sim struct {
 		rng            *rand.Rand
 		now            time.Time
 		queue          eventQueue
@@ -115,8 +115,8 @@
 }
 
 // New returns a world whose entries have not started yet.
-func New(c Config) *Simulation {
-	sim := &Simulation{
+func New(c Config) *Sim {
+	sim := &Sim{
 		rng: rand.New(rand.NewPCG(c.Seed, 17)), now: time.Unix(1_000_000, 0), config: c,
 		state: control.NewState(), entries: map[string]*instance{}, backends: map[uint32]*backend{},
 		backendsByAddr: map[netip.AddrPort]*backend{}, partitioned: map[string]bool{}, reconnectedAt: map[string]time.Time{}, requests: map[uint64]*requestRecord{}, leavingSince: map[string]time.Time{},
@@ -143,7 +143,7 @@
 }
 
 // Run lets time pass.
-func (sim *Simulation) Run(d time.Duration) {
+func (sim *Sim) Run(d time.Duration) {
 	end := sim.now.Add(d)
 	for len(sim.queue) > 0 && !sim.queue[0].at.After(end) {
 		e := heap.Pop(&sim.queue).(event)
@@ -154,14 +154,14 @@
 }
 
 // Report returns what was counted.
-func (sim *Simulation) Report() Report { return sim.report }
+func (sim *Sim) Report() Report { return sim.report }
 
-func (sim *Simulation) schedule(d time.Duration, run func()) {
+func (sim *Sim) schedule(d time.Duration, run func()) {
 	sim.seq++
 	heap.Push(&sim.queue, event{sim.now.Add(d), sim.seq, run})
 }
 
-func (sim *Simulation) scheduleEvery(d time.Duration, run func()) {
+func (sim *Sim) scheduleEvery(d time.Duration, run func()) {
 	sim.schedule(d, func() {
 		run()
 		sim.scheduleEvery(d, run)
@@ -170,7 +170,7 @@
 
 // send delivers something from one domain to another: late, perhaps lost or
 // twice, and not at all while they are cut off from each other.
-func (sim *Simulation) send(from, to string, deliver func()) {
+func (sim *Sim) send(from, to string, deliver func()) {
 	if sim.rng.IntN(1000) < lossPerMille {
 		return
 	}
@@ -185,13 +185,13 @@
 // datagram is told apart by its CoAP message id at the backend server (RFC
 // 7252, 4.5), while these backend servers count every run, so that a request
 // that the balancer dispatches twice is seen.
-func (sim *Simulation) sendWithoutDuplicate(from, to string, deliver func()) {
+func (sim *Sim) sendWithoutDuplicate(from, to string, deliver func()) {
 	if sim.rng.IntN(1000) >= lossPerMille {
 		sim.deliver(from, to, 1, deliver)
 	}
 }
 
-func (sim *Simulation) deliver(from, to string, times int, deliver func()) {
+func (sim *Sim) deliver(from, to string, times int, deliver func()) {
 	for range times {
 		sim.schedule(time.Millisecond+time.Duration(sim.rng.IntN(4000))*time.Microsecond, func() {
 			if from == to || !sim.partitioned[from] && !sim.partitioned[to] {
@@ -202,13 +202,13 @@
 }
 
 // tracef traces one line where a trace is wanted.
-func (sim *Simulation) tracef(format string, args ...any) {
+func (sim *Sim) tracef(format string, args ...any) {
 	if sim.trace != nil {
 		sim.trace(fmt.Sprintf("%v ", sim.now.Sub(time.Unix(1_000_000, 0))) + fmt.Sprintf(format, args...))
 	}
 }
 
-func (sim *Simulation) violationf(format string, args ...any) {
+func (sim *Sim) violationf(format string, args ...any) {
 	const maxViolations = 20
 	if len(sim.report.Violations) < maxViolations {
 		sim.report.Violations = append(sim.report.Violations, fmt.Sprintf("%v: ", sim.now.Sub(time.Unix(1_000_000, 0)))+fmt.Sprintf(format, args...))
@@ -216,7 +216,7 @@
 }
 
 // commit agrees on a command at once: the replicated log has its own test.
-func (sim *Simulation) commit(c *wire.Command) control.Answer {
+func (sim *Sim) commit(c *wire.Command) control.Answer {
 	c.UnixNano = sim.now.UnixNano()
 	data, err := proto.Marshal(c)
 	if err != nil {
@@ -232,7 +232,7 @@
 	return answer
 }
 
-func (sim *Simulation) tickController() {
+func (sim *Sim) tickController() {
 	for _, c := range sim.controller.Tick(sim.now) {
 		sim.commit(c)
 	}
@@ -241,7 +241,7 @@
 
 // checkActiveIndex asserts that the active index never passes an entry that
 // may still decide by its lease.
-func (sim *Simulation) checkActiveIndex() {
+func (sim *Sim) checkActiveIndex() {
 	for _, name := range sim.entryNames {
 		e := sim.entries[name]
 		if e.alive && sim.now.Before(e.member.LeaseUntil()) && e.member.State().Index() < sim.controller.Active() {
@@ -250,7 +250,7 @@
 	}
 }
 
-func (sim *Simulation) feed() controller.Feed {
+func (sim *Sim) feed() controller.Feed {
 	return controller.Feed{
 		Entries: func(from uint64, _ int) ([]*wire.LogEntry, bool) {
 			if from == 0 || from > uint64(len(sim.log)) {
@@ -265,7 +265,7 @@
 	}
 }
 
-func (sim *Simulation) handleHeartbeat(r *wire.BeatRequest) *wire.BeatReply {
+func (sim *Sim) handleHeartbeat(r *wire.BeatRequest) *wire.BeatReply {
 	grant := sim.controller.Beat(sim.now, r, true)
 	reply := &wire.BeatReply{Leader: true, Term: 1, LeaderName: "leader", LeaseNanos: int64(grant.Lease), Active: grant.Active, Commit: sim.state.Index()}
 	if err := sim.feed().Fill(reply, r); err != nil {
@@ -275,7 +275,7 @@
 }
 
 // reachableEntries returns the entries that a packet at a domain can be handed to.
-func (sim *Simulation) reachableEntries(domain string) []*instance {
+func (sim *Sim) reachableEntries(domain string) []*instance {
 	var entries []*instance
 	for _, name := range sim.entryNames {
 		e := sim.entries[name]
@@ -287,11 +287,11 @@
 }
 
 // workServiceID returns the id of the service that takes work.
-func (sim *Simulation) workServiceID() uint32 { return 2 }
+func (sim *Sim) workServiceID() uint32 { return 2 }
 
-func (sim *Simulation) hasher() route.Hasher { return route.NewHasher([16]byte{1, 2, 3}) }
+func (sim *Sim) hasher() route.Hasher { return route.NewHasher([16]byte{1, 2, 3}) }
 
-func (sim *Simulation) countVerdict(v flow.Verdict) {
+func (sim *Sim) countVerdict(v flow.Verdict) {
 	sim.report.Reasons[v.Reason().String()]++
 	switch v.Action() {
 	case flow.Relay:
