--- a/internal/proptest/proptest.go
+++ b/internal/proptest/proptest.go
@@ -1,5 +1,5 @@
-// Package proptest fixes the seed of property tests, so that every run of the
-// tests gives the same verdict. Another seed is set by -rapid.seed.
+// Package proptest gives property tests a fixed seed, so that each run checks
+// the same cases. The flag -rapid.seed sets another seed.
 package proptest
 
 import (
@@ -9,8 +9,8 @@
 
 const seedFlag = "rapid.seed"
 
-// Main runs the tests of a package with a fixed seed; a package that uses
-// rapid calls it from TestMain.
+// Main runs the tests of a package with a fixed seed and returns the exit code.
+// Packages that use rapid call it from TestMain.
 func Main(m *testing.M) int {
 	flag.Parse()
 	if f := flag.Lookup(seedFlag); f != nil && f.Value.String() == f.DefValue {
--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -28,8 +28,8 @@
 	pollInterval      = 5 * time.Millisecond
 )
 
-// fleet is three real control instances and light instances, which beat
-// and apply as an entry does and carry no traffic.
+// fleet runs three real control instances and any number of light instances in
+// one process.
 type fleet struct {
 	settings         settings.Settings
 	cancel           context.CancelFunc
@@ -37,17 +37,21 @@
 	dataFolder       string
 	lightInstances   []*lightInstance
 	controlInstances []*instance.Instance
-	target           int // which control instance is asked
+	target           int // index of the control instance that gets the calls
 	now              func() time.Time
 }
 
+// lightInstance sends heartbeats and applies the replicated log as an entry
+// does, but carries no traffic.
 type lightInstance struct {
 	name         string
 	domain       string
-	appliedIndex atomic.Uint64
-	activeIndex  atomic.Uint64
+	appliedIndex atomic.Uint64 // last index of the log that was applied
+	activeIndex  atomic.Uint64 // index up to which changes are in use
 }
 
+// startFleet starts a fleet. It may return a fleet together with an error; the
+// caller must close it then too.
 func startFleet(lightCount int, now func() time.Time) (*fleet, error) {
 	folder, err := os.MkdirTemp("", "oxbowsaddle-slopes-")
 	if err != nil {
@@ -94,7 +98,8 @@
 	return os.RemoveAll(f.dataFolder)
 }
 
-// run beats until the context ends, on one connection to the leader.
+// run sends heartbeats until the context ends. It tries control instances until
+// it has a connection to the leader.
 func (l *lightInstance) run(ctx context.Context, s settings.Settings, now func() time.Time) {
 	core := member.New(member.Config{Name: l.name, Domain: l.domain, Incarnation: 1})
 	var client wire.DRPCControlClient
@@ -135,7 +140,8 @@
 	}
 }
 
-// awaitReady waits until all light instances are listed and up to date.
+// awaitReady waits until all instances are listed as members and every change is
+// active.
 func (f *fleet) awaitReady(ctx context.Context) error {
 	deadline := f.now().Add(fleetTimeout)
 	for f.now().Before(deadline) {
@@ -145,10 +151,10 @@
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	return errors.New("the light fleet did not settle")
+	return errors.New("not all instances were listed and up to date in time")
 }
 
-// call makes one call on the control instance that is asked.
+// call makes a request to the target control instance on a new connection.
 func (f *fleet) call(ctx context.Context, request func(wire.DRPCControlClient) error) error {
 	client, closeConn, err := instance.Dial(ctx, f.settings.Instances[f.target].Control, f.settings.TLS)
 	if err != nil {
@@ -181,8 +187,8 @@
 	return revision, err
 }
 
-// activationTime measures from the offer of a change until every light instance
-// knows that it is in use, the median of several.
+// activationTime measures the milliseconds from the submission of a change until
+// every light instance knows that it is active, as the mean of several changes.
 func activationTime(m *meter, lightCount int) (float64, error) {
 	const changes = 5
 	f, err := startFleet(lightCount, m.now)
@@ -212,6 +218,7 @@
 	return total / changes, nil
 }
 
+// awaitActive waits until every light instance knows that a revision is active.
 func (f *fleet) awaitActive(revision uint64) error {
 	deadline := f.now().Add(fleetTimeout)
 	for f.now().Before(deadline) {
@@ -226,11 +233,11 @@
 		}
 		time.Sleep(pollInterval)
 	}
-	return fmt.Errorf("revision %d did not come into force", revision)
+	return fmt.Errorf("revision %d did not become active on all light instances in time", revision)
 }
 
-// leaderCPU measures the processor time of the whole process at rest, which
-// holds the control instances and the light ones: an upper bound of the leader's.
+// leaderCPU measures the CPU usage of an idle fleet, in thousandths of a core. The
+// process runs all instances, so the result is an upper bound for the leader.
 func leaderCPU(m *meter, lightCount int) (float64, error) {
 	const window = 3 * time.Second
 	f, err := startFleet(lightCount, m.now)
@@ -252,6 +259,7 @@
 	return float64(after-before) / float64(window) * 1000, err
 }
 
+// cpuTime returns the user and system CPU time of this process.
 func cpuTime() (time.Duration, error) {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
--- a/internal/slopes/fleet_bench_test.go
+++ b/internal/slopes/fleet_bench_test.go
@@ -11,6 +11,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
+// newBenchFleet starts a fleet with eight light instances for a benchmark.
 func newBenchFleet(b *testing.B) *fleet {
 	b.Helper()
 	f, err := startFleet(8, time.Now)
@@ -28,8 +29,9 @@
 	return &wire.Object{Kind: "template", Name: fmt.Sprint("t", n), Body: []byte(`{"parameters":{}}`)}
 }
 
-// BenchmarkAccept measures acceptance by three instances on disk: one change
-// after the other, and sixteen at a time. Run with -benchtime 1x.
+// BenchmarkAccept measures how fast three control instances accept changes,
+// logged on disk: one change at a time, and sixteen concurrently. Run it with
+// -benchtime 1x.
 func BenchmarkAccept(b *testing.B) {
 	const changes, concurrency = 300, 16
 	f := newBenchFleet(b)
@@ -61,8 +63,9 @@
 	}
 }
 
-// BenchmarkFailOver measures from the loss of the leader to the next accepted
-// change. Run with -benchtime 1x.
+// BenchmarkFailOver measures the time from the loss of the leader until a change
+// is accepted, and until one is active on all light instances. Run it with
+// -benchtime 1x.
 func BenchmarkFailOver(b *testing.B) {
 	for b.Loop() {
 		f := newBenchFleet(b)
@@ -97,8 +100,8 @@
 	}
 }
 
-// BenchmarkCatchUp measures how long an entry that begins with nothing needs
-// after 500 changes. Run with -benchtime 1x.
+// BenchmarkCatchUp measures how long a new entry takes to apply 500 earlier
+// changes. Run it with -benchtime 1x.
 func BenchmarkCatchUp(b *testing.B) {
 	const changes = 500
 	f := newBenchFleet(b)
--- a/internal/slopes/measure.go
+++ b/internal/slopes/measure.go
@@ -19,12 +19,14 @@
 )
 
 const (
-	endpointsPerService = 4   // endpoints behind one address: 55,000 behind 15,000
-	membershipEndpoints = 400 // endpoints placed where the slope is taken over the entries
+	endpointsPerService = 4   // about that of a fleet of full size: 55,000 endpoints, 15,000 services
+	membershipEndpoints = 400 // fixed number of endpoints where the number of entries varies
 )
 
 var startTime = time.Unix(1_700_000_000, 0)
 
+// measurements returns what each slope measures: its name, its parameter, the
+// unit of the cost, the values of the parameter, and the function.
 func measurements() []measurement {
 	return []measurement{
 		{"decision_flows", "flows cached", "ns", []int{10_000, 50_000, 200_000, 1_000_000}, decisionByFlows},
@@ -48,7 +50,8 @@
 	}
 }
 
-// newState returns a state with so many endpoints, 4 for each service.
+// newState returns a control state with the given number of endpoints, in services
+// of endpointsPerService each.
 func newState(endpoints int) (*control.State, error) {
 	s := control.NewState()
 	change := &wire.Change{Id: "first", Author: "slopes", Objects: []*wire.Object{{Kind: "template", Name: "t", Body: []byte(`{"parameters":{}}`)}}}
@@ -61,6 +64,7 @@
 	return s, applyCommand(s, &wire.Command{Body: &wire.Command_Change{Change: change}})
 }
 
+// serviceObject returns the configuration of service n.
 func serviceObject(n, endpoints int) *wire.Object {
 	var list []string
 	for e := range endpoints {
@@ -78,6 +82,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(n >> 16), byte(n >> 8), byte(n)}), 6081)
 }
 
+// applyCommand applies a command to the state as its next log entry.
 func applyCommand(s *control.State, c *wire.Command) error {
 	c.UnixNano = startTime.UnixNano()
 	data, err := proto.Marshal(c)
@@ -91,7 +96,8 @@
 	return err
 }
 
-// placeBuckets adds live entries and gives every bucket an endpoint.
+// placeBuckets adds entries as members of the state and assigns an endpoint to
+// every bucket. It returns the controller that did so.
 func placeBuckets(s *control.State, entries int) (*controller.Controller, error) {
 	members := &wire.Members{}
 	for n := range entries {
@@ -111,6 +117,7 @@
 	return k, nil
 }
 
+// newEngine returns the flow engine of an entry that holds a lease.
 func newEngine(flows, records int, t *route.Table) *flow.Engine {
 	e := flow.New(flow.Config{
 		Self: "e0", Domain: "d0", Incarnation: 1, MaxFlows: flows, MaxRecords: records, MaxWaiting: 100, AsksPerSecond: 100, PushBytesPerSecond: 2000,
@@ -120,9 +127,9 @@
 	return e
 }
 
-// buildPackets returns one decoded packet for each of so many flows.
+// buildPackets returns a decoded packet for each flow, up to maxPackets.
 func buildPackets(flows int, services int, flags packet.Flags) ([]*packet.Packet, error) {
-	const maxPackets = 50_000 // they are used in turn; more flows share the address of the first
+	const maxPackets = 50_000 // the packets are used in turn; fillFlows covers the flows beyond
 	list := make([]*packet.Packet, 0, min(flows, maxPackets))
 	var d packet.Decoder
 	for n := range min(flows, maxPackets) {
@@ -145,7 +152,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), uint16(1024+n%50_000))
 }
 
-// fillFlows caches flows that are not among the packets measured.
+// fillFlows caches the flows beyond those that buildPackets covers, so that the cache
+// holds the given number of flows in total.
 func fillFlows(e *flow.Engine, flows int) error {
 	var d packet.Decoder
 	for n := 50_000; n < flows; n++ {
@@ -160,6 +168,7 @@
 	return nil
 }
 
+// decisionCost measures the decision on a packet of a cached flow.
 func decisionCost(m *meter, flows, endpoints int) (float64, error) {
 	s, err := newState(endpoints)
 	if err != nil {
@@ -193,7 +202,7 @@
 	return decisionCost(m, 50_000, endpoints)
 }
 
-// sweepPass measures one whole pass over the cached flows.
+// sweepPass measures a complete scan of the flow cache.
 func sweepPass(m *meter, flows int) (float64, error) {
 	s, err := newState(16)
 	if err != nil {
@@ -214,10 +223,12 @@
 	}), nil
 }
 
+// flowMemory measures the heap of an engine, which allocates its flow cache up front.
 func flowMemory(m *meter, flows int) (float64, error) {
 	return m.heapBytes(func() any { return newEngine(flows, flows, route.Empty()) }), nil
 }
 
+// recordMemory measures the heap of an engine that holds flow records pushed by a peer.
 func recordMemory(m *meter, records int) (float64, error) {
 	s, err := newState(16)
 	if err != nil {
@@ -239,6 +250,7 @@
 	}), nil
 }
 
+// stateMemory measures the heap of a control state with all buckets placed.
 func stateMemory(m *meter, endpoints int) (float64, error) {
 	var err error
 	bytes := m.heapBytes(func() any {
@@ -252,6 +264,7 @@
 	return bytes, err
 }
 
+// snapshotBytes returns the size of a snapshot of the control state.
 func snapshotBytes(_ *meter, endpoints int) (float64, error) {
 	s, err := newState(endpoints)
 	if err != nil {
@@ -264,6 +277,7 @@
 	return float64(len(data)), err
 }
 
+// applyChange measures applying a change to one service.
 func applyChange(m *meter, endpoints int) (float64, error) {
 	s, err := newState(endpoints)
 	if err != nil {
@@ -281,6 +295,7 @@
 	}), nil
 }
 
+// changeBytes returns the size of the command that changes a service.
 func changeBytes(_ *meter, endpoints int) (float64, error) {
 	c := &wire.Command{UnixNano: startTime.UnixNano(), Body: &wire.Command_Change{Change: &wire.Change{
 		Id: strings.Repeat("x", 26), Author: "operator", Base: 1 << 40, Objects: []*wire.Object{serviceObject(0, endpoints)},
@@ -288,6 +303,7 @@
 	return float64(proto.Size(c)), nil
 }
 
+// applyMoves measures applying a command that moves 64 buckets.
 func applyMoves(m *meter, endpoints int) (float64, error) {
 	s, err := newState(endpoints)
 	if err != nil {
@@ -305,6 +321,7 @@
 	}), nil
 }
 
+// movesCommand returns a command that moves the first buckets of a service.
 func movesCommand(count int, endpoint uint32) *wire.Command {
 	list := &wire.Moves{Reason: "weights"}
 	for b := range count {
@@ -313,12 +330,13 @@
 	return &wire.Command{Body: &wire.Command_Moves{Moves: list}}
 }
 
+// moveBytes returns the size of a command that moves buckets.
 func moveBytes(_ *meter, count int) (float64, error) {
 	return float64(proto.Size(movesCommand(count, 40_000))), nil
 }
 
-// newPlacedController returns a controller that has placed so many endpoints over so many
-// entries, and the index at which it stands.
+// newPlacedController returns a controller that has placed all buckets, and the
+// index of its state.
 func newPlacedController(endpoints, entries int) (*controller.Controller, uint64, error) {
 	s, err := newState(endpoints)
 	if err != nil {
@@ -328,7 +346,7 @@
 	return k, s.Index(), err
 }
 
-// tickTime measures a tick a millisecond after the last.
+// tickTime measures controller ticks that are one millisecond apart.
 func tickTime(m *meter, k *controller.Controller) float64 {
 	now := startTime
 	return m.timePerCall(func() {
@@ -345,10 +363,13 @@
 	return tickTime(m, k), nil
 }
 
+// heartbeatRequest returns a heartbeat of entry n that has applied and counted
+// its flows up to an index.
 func heartbeatRequest(n int, applied uint64) *wire.BeatRequest {
 	return &wire.BeatRequest{Name: fmt.Sprint("e", n), Domain: fmt.Sprint("d", n%16), Incarnation: 1, Applied: applied, Active: applied, CountedIndex: applied}
 }
 
+// heartbeatCost measures the handling of a heartbeat by the controller.
 func heartbeatCost(m *meter, entries int) (float64, error) {
 	k, index, err := newPlacedController(membershipEndpoints, entries)
 	if err != nil {
@@ -361,6 +382,7 @@
 	}), nil
 }
 
+// tickByEntries measures controller ticks after a heartbeat of every entry.
 func tickByEntries(m *meter, entries int) (float64, error) {
 	k, index, err := newPlacedController(membershipEndpoints, entries)
 	if err != nil {
@@ -372,6 +394,7 @@
 	return tickTime(m, k), nil
 }
 
+// heartbeatBytes returns the size of a heartbeat and its reply together.
 func heartbeatBytes(_ *meter, rows int) (float64, error) {
 	r := heartbeatRequest(6799, 1<<30)
 	r.Checksum = 1 << 62
@@ -382,6 +405,7 @@
 	return float64(proto.Size(r) + proto.Size(reply)), nil
 }
 
+// rankCost measures ranking the entries of one failure domain for a bucket.
 func rankCost(m *meter, entries int) (float64, error) {
 	var members []route.Member
 	for n := range entries {
--- a/internal/slopes/slopes.go
+++ b/internal/slopes/slopes.go
@@ -1,5 +1,6 @@
-// Package slopes measures what costs grow with, for docs/CAPACITY.md: each
-// slope is at least four points, a fitted line and its residual.
+// Package slopes measures how costs grow with the size of a fleet, for
+// docs/CAPACITY.md. Each slope has at least four measured points, a fitted line
+// and its residual.
 package slopes
 
 import (
@@ -20,41 +21,43 @@
 )
 
 type (
-	// Slope is one cost against one size.
+	// Slope is a cost measured at several values of one parameter.
 	Slope struct {
-		Name      string // short, names its plot too
-		Parameter string // what is varied
+		Name      string // also the name of the plot file
+		Parameter string // what is varied, as shown in the table and the plot
 		Unit      string // of the cost
 		Points    []Point
 	}
 
-	// Point is one measurement.
+	// Point is the cost at one value of the parameter.
 	Point struct {
 		Size, Cost float64
 	}
 
-	// Config sets up the measurements.
+	// Config configures Run.
 	Config struct {
-		Out      string // folder for the table and the plots
+		Out      string // folder for the table and the plots; empty to write none
 		Progress io.Writer
 		Now      func() time.Time
-		Only     string // name of one slope, or empty
+		Only     string // name of the only slope to measure, or empty for all
 	}
 
-	// measurement makes the points of one slope.
+	// measurement describes how to measure one slope.
 	measurement struct {
 		name, parameter, unit string
 		values                []int
 		cost                  func(m *meter, size int) (float64, error)
 	}
 
+	// meter measures time and memory.
 	meter struct {
 		now func() time.Time
 	}
 )
 
-// Fit returns the line through the points by least squares: cost at size 0,
-// cost for one more, and the residual as a share of the largest cost.
+// Fit fits a line to the points by least squares. It returns the cost at size 0,
+// the cost per unit of size, and the largest residual as a share of the largest
+// cost.
 func (s Slope) Fit() (intercept, perUnit, residual float64) {
 	var x, y []float64
 	largest := 0.0
@@ -72,7 +75,8 @@
 	return intercept, perUnit, residual
 }
 
-// timePerCall times f over and over for a while and returns nanoseconds for one call.
+// timePerCall calls f repeatedly, in batches of growing size, and returns the mean
+// nanoseconds per call. The first call is not timed.
 func (m *meter) timePerCall(f func()) float64 {
 	const minDuration = 150 * time.Millisecond
 	f()
@@ -89,7 +93,7 @@
 	}
 }
 
-// heapBytes returns the live heap that make leaves behind.
+// heapBytes returns the live heap that the result of build occupies.
 func (m *meter) heapBytes(build func() any) float64 {
 	var before, after runtime.MemStats
 	runtime.GC()
@@ -101,7 +105,7 @@
 	return float64(after.HeapAlloc) - float64(before.HeapAlloc)
 }
 
-// Run measures every slope and writes table and plots.
+// Run measures the slopes and writes the table and the plots.
 func Run(c Config) ([]Slope, error) {
 	var all []Slope
 	m := &meter{now: c.Now}
@@ -123,7 +127,7 @@
 	return all, writeFiles(c, all)
 }
 
-// writeFiles writes the table as Markdown and a plot for each slope.
+// writeFiles writes the table as Markdown and a plot of each slope.
 func writeFiles(c Config, all []Slope) error {
 	if c.Out == "" {
 		return nil
@@ -159,6 +163,7 @@
 	return err
 }
 
+// plot draws the measured points and the fitted line into an image file.
 func (s Slope) plot(path string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = s.Name, s.Parameter, s.Unit
--- a/internal/soak/entry.go
+++ b/internal/soak/entry.go
@@ -12,7 +12,7 @@
 	"oxbowsaddle/internal/work"
 )
 
-// instance is an entry instance in one of its lives.
+// instance is one incarnation of an entry instance: a restart makes a new one.
 type instance struct {
 	sim          *Sim
 	name, domain string
@@ -23,7 +23,8 @@
 	entry        *entry.Core
 }
 
-// startEntry begins a life with empty memory.
+// startEntry starts a new incarnation of an entry, without any state of the
+// previous one.
 func (sim *Sim) startEntry(name, domain string) {
 	incarnation := uint64(1)
 	if old := sim.entries[name]; old != nil {
@@ -60,7 +61,8 @@
 	e.sendHeartbeat()
 }
 
-// repeat runs something again and again while this life lasts; a pause delays it.
+// repeat calls run at an interval until the instance ends. Calls that fall into
+// a pause are made after it.
 func (e *instance) repeat(d time.Duration, run func()) {
 	e.sim.schedule(d, func() {
 		if !e.alive {
@@ -71,7 +73,8 @@
 	})
 }
 
-// runUnpaused runs something now, or when a pause is over.
+// runUnpaused calls run now, or at the end of a pause. It does nothing if the
+// instance has ended.
 func (e *instance) runUnpaused(run func()) {
 	if !e.alive {
 		return
@@ -83,11 +86,13 @@
 	run()
 }
 
-// updateView brings the entry's view up to date.
+// updateView passes the current view from the member core to the entry core.
 func (e *instance) updateView() {
 	e.entry.SetView(e.sim.now, e.member.View(e.sim.now))
 }
 
+// tick runs the periodic work of the entry. In a planned stop it ends the
+// instance when all state is handed over.
 func (e *instance) tick() {
 	e.updateView()
 	e.entry.Tick(e.sim.now)
@@ -100,6 +105,8 @@
 	}
 }
 
+// sendHeartbeat sends a heartbeat to the leader and handles the reply. It sends
+// the next one at once if the reply says that there are more log entries.
 func (e *instance) sendHeartbeat() {
 	sim := e.sim
 	sent := sim.now
@@ -121,6 +128,8 @@
 	})
 }
 
+// sendProbes tells every other entry that this one is reachable and whether it
+// holds a lease.
 func (e *instance) sendProbes() {
 	sim := e.sim
 	leased := sim.now.Before(e.member.LeaseUntil())
@@ -135,13 +144,14 @@
 	}
 }
 
-// receive gives a packet to the entry, relayed or not.
+// receive handles a packet; relay is nil unless another entry relayed it.
 func (e *instance) receive(source netip.AddrPort, inner []byte, relay *packet.Relay) {
 	e.updateView()
 	e.entry.Take(e.sim.now, source, decode(inner, relay))
 	e.sendOutput()
 }
 
+// sendOutput sends the queued packets and messages of the entry.
 func (e *instance) sendOutput() {
 	sim := e.sim
 	for _, s := range e.entry.TakeSends(sim.now) {
@@ -156,8 +166,8 @@
 	}
 }
 
-// sendToPeer sends to another entry. Its name is looked up again at delivery: a
-// new life may have begun.
+// sendToPeer sends a message or a relayed packet to another entry. The name is
+// looked up again at delivery, because the entry may have restarted meanwhile.
 func (e *instance) sendToPeer(s entry.Send) {
 	sim := e.sim
 	to := sim.entries[s.Peer]
@@ -179,6 +189,7 @@
 	})
 }
 
+// endpointName returns the name of a verdict's endpoint for the trace.
 func endpointName(v flow.Verdict) string {
 	if v.Endpoint() == nil {
 		return "-"
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -9,14 +9,13 @@
 
 const templateBody = `{"parameters":{}}`
 
-// workEndpoints is how many endpoints the service of work has, and workSlots
-// how many requests each of them runs at a time.
 const (
-	workEndpoints = 4
-	workSlots     = 3
+	workEndpoints = 4 // endpoints of the work service
+	workSlots     = 3 // requests that each of them runs at a time
 )
 
-// initialChange is the document that a world starts from.
+// initialChange returns the initial configuration: a template, a team and its
+// two services.
 func (sim *Sim) initialChange() *wire.Change {
 	team := fmt.Sprintf(`{"template":"portal","services":["booking","desk"],"first":["issue"],`+
 		`"parameters":{"idle":%q,"balance":%g,"request_life":%q}}`, sim.config.IdleTimeout, sim.config.Balance, requestLifetime)
@@ -25,7 +24,8 @@
 	return &wire.Change{Id: "first", Author: "soak", Objects: objects}
 }
 
-// serviceObjects returns both serviceObjects as they should be now.
+// serviceObjects returns the desired configuration of both services: "booking"
+// has a flow class, "desk" has two work classes.
 func (sim *Sim) serviceObjects() []*wire.Object {
 	feed := `{"name":"feed","address":"` + serviceAddr + `","protocol":"tcp","kind":"flow"}`
 	issue := `{"name":"issue","address":"` + issueAddr + `","protocol":"udp","kind":"work"}`
@@ -36,6 +36,8 @@
 	}
 }
 
+// serviceBody returns the JSON configuration of a service with endpoints on
+// consecutive ports.
 func (sim *Sim) serviceBody(classes, prefix string, port, endpoints int) []byte {
 	body := `{"classes":[` + classes + `],"endpoints":[`
 	for i := range endpoints {
@@ -50,6 +52,7 @@
 	return []byte(body + "]}")
 }
 
+// commitServices commits a change to the desired configuration of both services.
 func (sim *Sim) commitServices() {
 	sim.changeCount++
 	sim.commit(&wire.Command{Body: &wire.Command_Change{Change: &wire.Change{
@@ -58,7 +61,8 @@
 	}}})
 }
 
-// Drain lets an endpoint leave.
+// Drain marks an endpoint of the flow service as leaving, unless half of the
+// endpoints are leaving already.
 func (sim *Sim) Drain(i int) {
 	name := fmt.Sprintf("b%d", i)
 	if len(sim.leavingSince) >= sim.config.Endpoints/2 {
@@ -70,7 +74,8 @@
 	}
 }
 
-// ToggleWorkDrain lets an endpoint for work leave, or come back; one always stays.
+// ToggleWorkDrain marks an endpoint of the work service as leaving, or no longer
+// as leaving. The first endpoint always stays.
 func (sim *Sim) ToggleWorkDrain(i int) {
 	name := fmt.Sprintf("k%d", i%workEndpoints)
 	if _, leaving := sim.leavingSince[name]; leaving {
@@ -81,7 +86,7 @@
 	sim.commitServices()
 }
 
-// Undrain lets an endpoint take work again.
+// Undrain marks an endpoint of the flow service as no longer leaving.
 func (sim *Sim) Undrain(i int) {
 	name := fmt.Sprintf("b%d", i)
 	if _, leaving := sim.leavingSince[name]; leaving {
@@ -90,31 +95,32 @@
 	}
 }
 
-// Join adds an endpoint.
+// Join adds an endpoint to the flow service.
 func (sim *Sim) Join() {
 	sim.config.Endpoints++
 	sim.commitServices()
 }
 
-// Kill ends an entry without a word.
+// Kill ends an entry without notice to the others.
 func (sim *Sim) Kill(name string) { sim.entries[name].alive = false }
 
-// Restart begins a new life with empty memory.
+// Restart ends an entry without notice and starts it again without its state.
 func (sim *Sim) Restart(name string) {
 	old := sim.entries[name]
 	old.alive = false
 	sim.startEntry(name, old.domain)
 }
 
-// Stop ends an entry as planned: it hands its records over first.
+// Stop begins a planned stop: the entry hands its state over before it ends.
 func (sim *Sim) Stop(name string) { sim.entries[name].member.AnnounceStop() }
 
-// Pause freezes an entry.
+// Pause suspends an entry; what arrives meanwhile is handled afterwards.
 func (sim *Sim) Pause(name string, d time.Duration) {
 	sim.entries[name].pausedUntil = sim.now.Add(d)
 }
 
-// SetPartitioned cuts a domain off from the others, or mends it.
+// SetPartitioned cuts a domain off from the others or reconnects it. The
+// domain of the leader can't be cut off.
 func (sim *Sim) SetPartitioned(domain string, partitioned bool) {
 	if domain == leaderDomain || sim.partitioned[domain] == partitioned {
 		return
--- a/internal/soak/mix.go
+++ b/internal/soak/mix.go
@@ -5,8 +5,9 @@
 	"time"
 )
 
-// RunRandomFaults runs rounds of random faults; each round draws one, and a few of them
-// overlap. At the end everything is mended and must come to rest.
+// RunRandomFaults injects one random fault per round. Faults may overlap. At the
+// end it reconnects all domains, restarts the entries that are down, and checks
+// that the fleet converges.
 func (sim *Sim) RunRandomFaults(rounds int) {
 	for range rounds {
 		sim.injectRandomFault()
@@ -25,6 +26,7 @@
 	sim.checkConverged()
 }
 
+// injectRandomFault draws a fault and the entry or endpoint that it affects.
 func (sim *Sim) injectRandomFault() {
 	name := sim.entryNames[sim.rng.IntN(len(sim.entryNames))]
 	endpoint := sim.rng.IntN(sim.config.Endpoints)
@@ -47,7 +49,7 @@
 	}
 }
 
-// injectEntryFault lets something happen to an entry or its domain.
+// injectEntryFault injects a fault of an entry or its domain, or repairs some.
 func (sim *Sim) injectEntryFault(kind int, name string) {
 	switch kind {
 	case 5:
@@ -69,7 +71,8 @@
 	}
 }
 
-// recoverSome joins the domains again and starts half of the dead entries.
+// recoverSome reconnects all domains and restarts each entry that is down with
+// probability 1/2.
 func (sim *Sim) recoverSome() {
 	for domain := range sim.config.Domains {
 		sim.SetPartitioned(fmt.Sprintf("d%d", domain), false)
@@ -91,10 +94,12 @@
 	return n
 }
 
-// checkConverged asserts that the views have converged and no doubt is left.
+// checkConverged checks that no domain is marked as partitioned or returned, that
+// every entry has a lease and follows the log, and that no entry has violated an
+// invariant.
 func (sim *Sim) checkConverged() {
 	if sim.state.Table().Uncertain() {
-		sim.violationf("at rest: cut %v, returned %v, bereft %v", sim.state.Table().Partitioned(), sim.state.Table().Returned(), sim.state.Table().ReturnedWithLoss())
+		sim.violationf("after recovery: partitioned %v, returned %v, returned with loss %v", sim.state.Table().Partitioned(), sim.state.Table().Returned(), sim.state.Table().ReturnedWithLoss())
 	}
 	for _, name := range sim.entryNames {
 		e := sim.entries[name]
@@ -102,16 +107,16 @@
 			continue
 		}
 		if !sim.now.Before(e.member.LeaseUntil()) {
-			sim.violationf("at rest: %s has no lease", name)
+			sim.violationf("after recovery: %s has no lease", name)
 		}
 		if e.member.State().Index() == sim.state.Index() && e.member.State().Checksum() != sim.state.Checksum() {
-			sim.violationf("at rest: %s has another state at index %d", name, sim.state.Index())
+			sim.violationf("after recovery: state of %s differs from the leader's at index %d", name, sim.state.Index())
 		}
 		if behind := sim.state.Index() - e.member.State().Index(); behind > 20 {
-			sim.violationf("at rest: %s is %d commands behind", name, behind)
+			sim.violationf("after recovery: %s is %d commands behind", name, behind)
 		}
 		if broken := e.entry.Flow().Stats().InvariantViolations + e.entry.Work().Stats().Broken; broken > 0 {
-			sim.violationf("%s asserted a broken rule %d times", name, broken)
+			sim.violationf("%s counted %d invariant violations", name, broken)
 		}
 	}
 }
--- a/internal/soak/mix_test.go
+++ b/internal/soak/mix_test.go
@@ -11,16 +11,17 @@
 )
 
 var (
-	seed   = flag.Uint64("soak.seed", 1, "first seed of the randomised runs")
-	runs   = flag.Int("soak.runs", 24, "randomised runs, each with the next seed")
-	trace  = flag.String("soak.trace", "", "file that every step is written to")
-	rounds = flag.Int("soak.rounds", 25, "faults in one run")
+	seed   = flag.Uint64("soak.seed", 1, "seed of the first random run")
+	runs   = flag.Int("soak.runs", 24, "number of random runs, each with the next seed")
+	trace  = flag.String("soak.trace", "", "file for the trace of every step")
+	rounds = flag.Int("soak.rounds", 25, "number of random faults in a run")
 
-	// regressionSeeds holds every seed that ever failed, with what mended it in
-	// docs/design/flows.md, and 1178, by which replays are compared.
+	// regressionSeeds holds seeds that failed before; docs/design/flows.md
+	// describes the fixes.
 	regressionSeeds = []uint64{36, 797, 1089, 1102, 1178, 1242}
 )
 
+// Checks the invariants under random faults, for -soak.runs seeds.
 func TestMix(t *testing.T) {
 	for i := range uint64(*runs) {
 		t.Run(fmt.Sprint(*seed+i), func(t *testing.T) {
@@ -31,7 +32,7 @@
 			}
 			sim.RunRandomFaults(*rounds)
 			r := checkReport(t, sim, *seed+i)
-			t.Logf("flows %d, reset because nobody knew them %d, not opened %d, requests %d, unanswered %d", r.Flows, r.ResetByEntry, r.NotOpened, r.Requests, r.Unanswered)
+			t.Logf("flows %d, reset by an entry %d, not opened %d, requests %d, unanswered %d", r.Flows, r.ResetByEntry, r.NotOpened, r.Requests, r.Unanswered)
 			if t.Failed() {
 				t.Logf("replay with: go test ./internal/soak -run TestMix -soak.seed=%d -soak.runs=1 -soak.rounds=%d", *seed+i, *rounds)
 			}
@@ -39,6 +40,7 @@
 	}
 }
 
+// Checks the random runs that failed before.
 func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range regressionSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -50,7 +52,7 @@
 	}
 }
 
-// traceTo writes every step of a world to a file.
+// traceTo writes the trace of a simulation to a file.
 func traceTo(t *testing.T, sim *Sim, path string) {
 	f, err := os.Create(path)
 	if err != nil {
@@ -65,7 +67,8 @@
 	})
 }
 
-// A run depends on its seed alone: a failure can be replayed.
+// Two runs with one seed must give the same trace, so that a failure can be
+// replayed.
 func TestDeterministicReplay(t *testing.T) {
 	var sums [2]uint64
 	for i := range sums {
@@ -76,6 +79,6 @@
 		sums[i] = h.Sum64()
 	}
 	if sums[0] != sums[1] {
-		t.Fatalf("two runs of one seed differ: %x, %x", sums[0], sums[1])
+		t.Fatalf("traces of two runs with one seed differ: hashes %x, %x", sums[0], sums[1])
 	}
 }
--- a/internal/soak/requests.go
+++ b/internal/soak/requests.go
@@ -14,15 +14,15 @@
 )
 
 const (
-	issueAddr          = "192.0.2.20:5683" // may not be repeated
-	batchAddr          = "192.0.2.20:5684" // may be repeated
+	issueAddr          = "192.0.2.20:5683" // requests that must not run twice
+	batchAddr          = "192.0.2.20:5684" // repeatable requests
 	requestLifetime    = 3 * time.Second
 	retransmitInterval = 200 * time.Millisecond
 )
 
 type (
-	// requester sends requests of a work class, one after the other, and sends
-	// each again until it has a final answer.
+	// requester is a caller of a work class. It sends one request at a time and
+	// retransmits it until it has a final answer.
 	requester struct {
 		sim           *Sim
 		domain        string
@@ -36,8 +36,8 @@
 		requestNumber int
 	}
 
-	// requestRecord is what the backend servers and the callers have seen of one
-	// request; the balancer's own opinion counts for nothing.
+	// requestRecord is what the backend servers and the caller have seen of a
+	// request, independent of what the entries report.
 	requestRecord struct {
 		runs       int
 		toldNotRun bool
@@ -45,7 +45,7 @@
 	}
 )
 
-// AddRequester starts a caller of work.
+// AddRequester starts a caller that sends requests.
 func (sim *Sim) AddRequester(domain string, repeatable bool) {
 	addr := issueAddr
 	if repeatable {
@@ -58,6 +58,7 @@
 	sim.schedule(time.Duration(sim.rng.IntN(300))*time.Millisecond, a.startRequest)
 }
 
+// startRequest starts a new request.
 func (a *requester) startRequest() {
 	sim := a.sim
 	sim.lastToken++
@@ -68,6 +69,8 @@
 	a.transmit(a.requestNumber)
 }
 
+// transmit sends a request to a random entry and schedules its retransmission. It
+// gives the request up shortly before the end of its lifetime.
 func (a *requester) transmit(requestNumber int) {
 	sim := a.sim
 	if a.requestNumber != requestNumber || a.answered {
@@ -97,13 +100,13 @@
 	sim.schedule(retransmitInterval, func() { a.transmit(requestNumber) })
 }
 
-// receive checks an answer: it must belong to the request, be whole, and never
-// deny what has run.
+// receive checks an answer: it must belong to a request of this simulation, carry
+// that request's result, and not say "not run" of a request that has run.
 func (a *requester) receive(p *packet.Packet) {
 	sim := a.sim
 	m, err := work.Decode(p.Payload())
 	if err != nil {
-		sim.violationf("a caller got what is no CoAP message")
+		sim.violationf("a caller received a malformed CoAP message")
 		return
 	}
 	if !m.IsAnswer() || len(m.Token) != 8 {
@@ -112,7 +115,7 @@
 	token := binary.BigEndian.Uint64(m.Token)
 	record := sim.requests[token]
 	if record == nil {
-		sim.violationf("a caller got an answer to a request that nobody made")
+		sim.violationf("a caller received an answer to an unknown request")
 		return
 	}
 	switch m.Code {
@@ -120,12 +123,12 @@
 		record.toldNotRun = true
 		if record.runs > 0 {
 			sim.report.FalseNotRun++
-			sim.violationf("request %d was told not run, and ran", token)
+			sim.violationf("request %d was answered as not run, but has run", token)
 		}
 	case codes.Changed:
 		if string(m.Payload) != fmt.Sprint("done ", token) {
 			sim.report.Crossed++
-			sim.violationf("request %d got the answer %q", token, m.Payload)
+			sim.violationf("request %d received the answer %q of another request", token, m.Payload)
 		}
 	}
 	if token != a.token || a.answered {
@@ -136,7 +139,7 @@
 	sim.schedule(time.Duration(sim.rng.IntN(100))*time.Millisecond, func() { a.startRequest() })
 }
 
-// receiveRequest runs a request on a backend server's endpoint.
+// receiveRequest runs a request on an endpoint and checks that it may run there.
 func (b *backend) receiveRequest(p *packet.Packet) {
 	sim := b.sim
 	m, err := work.Decode(p.Payload())
@@ -146,7 +149,7 @@
 	token := binary.BigEndian.Uint64(m.Token)
 	if since, leaving := sim.leavingSince[b.name]; leaving && sim.now.Sub(since) > maxDrainDelay && !sim.partitioned[b.domain] && sim.now.Sub(sim.reconnectedAt[b.domain]) > maxDrainDelay {
 		sim.report.NewAfterDrain++
-		sim.violationf("%s got new work %v after it began to leave", b.name, sim.now.Sub(since))
+		sim.violationf("%s received a new request %v after it began to leave", b.name, sim.now.Sub(since))
 	}
 	if b.runningRequests >= workSlots {
 		b.sendWorkAnswer(p.Tuple(), m, codes.ServiceUnavailable, "busy")
@@ -160,17 +163,18 @@
 	}
 	if record.toldNotRun {
 		sim.report.FalseNotRun++
-		sim.violationf("request %d ran after it was told not run", token)
+		sim.violationf("request %d ran after it was answered as not run", token)
 	}
 	b.runningRequests++
 	sim.schedule(time.Duration(10+sim.rng.IntN(60))*time.Millisecond, func() {
 		b.runningRequests--
-		if sim.rng.IntN(50) > 0 { // now and then a backend server dies after it ran
+		if sim.rng.IntN(50) > 0 { // some answers are lost, as if the backend server had failed
 			b.sendWorkAnswer(p.Tuple(), m, codes.Changed, fmt.Sprint("done ", token))
 		}
 	})
 }
 
+// sendWorkAnswer answers a request.
 func (b *backend) sendWorkAnswer(t packet.Tuple, m work.Message, code codes.Code, text string) {
 	answer := work.Message{Message: message.Message{Token: m.Token, Code: code, Type: message.NonConfirmable, MessageID: m.MessageID, Payload: []byte(text)}}
 	data, err := answer.Encode()
--- a/internal/soak/scenario_bench_test.go
+++ b/internal/soak/scenario_bench_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// BenchmarkScenarios counts broken flows for 100,000 and the share of relayed
-// packets, of the project's own placement and of the baseline, for each event.
-// Run with -benchtime 1x: the result is what is counted, not the time.
+// BenchmarkScenarios reports the broken flows per 100,000 and the share of relayed
+// packets for each event, with the stateful placement ("own") and with the
+// stateless baseline ("modulo"). The time is meaningless: run it with -benchtime 1x.
 func BenchmarkScenarios(b *testing.B) {
 	events := []struct {
 		name string
@@ -56,6 +56,8 @@
 	}
 }
 
+// measureEvent returns the report of a simulation with 600 callers in which one
+// event happens.
 func measureEvent(modulo bool, run func(s *Sim)) Report {
 	sim := New(Config{Seed: 7, Domains: 3, Entries: 8, Endpoints: 14, Balance: 0.8, IdleTimeout: 1500 * time.Millisecond, Modulo: modulo})
 	sim.Run(3 * time.Second)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -6,6 +6,7 @@
 	"time"
 )
 
+// newSim returns a running simulation with 60 callers of flows and 12 of requests.
 func newSim(seed uint64) *Sim {
 	sim := New(Config{Seed: seed, Domains: 3, Entries: 8, Endpoints: 6, Balance: 0.5, IdleTimeout: 1500 * time.Millisecond})
 	sim.Run(3 * time.Second)
@@ -19,6 +20,7 @@
 	return sim
 }
 
+// checkReport fails the test if the simulation found a violation.
 func checkReport(t *testing.T, sim *Sim, seed uint64) Report {
 	t.Helper()
 	r := sim.Report()
@@ -32,11 +34,12 @@
 	return r
 }
 
+// Checks the invariants in fixed sequences of faults, for three seeds each.
 func TestScenarios(t *testing.T) {
 	scenarios := map[string]func(sim *Sim){
-		"quiet": func(s *Sim) { s.Run(3 * time.Second) },
-		"drain": func(s *Sim) { s.Drain(2); s.Run(8 * time.Second) },
-		"drain and back": func(s *Sim) {
+		"no faults": func(s *Sim) { s.Run(3 * time.Second) },
+		"drain":     func(s *Sim) { s.Drain(2); s.Run(8 * time.Second) },
+		"drain and undrain": func(s *Sim) {
 			s.Drain(2)
 			s.Run(1200 * time.Millisecond)
 			s.Undrain(2)
@@ -45,7 +48,7 @@
 		"join":             func(s *Sim) { s.Join(); s.Run(6 * time.Second) },
 		"kill":             func(s *Sim) { s.Drain(1); s.Run(time.Second); s.Kill("e3"); s.Run(6 * time.Second) },
 		"kill two at once": func(s *Sim) { s.Drain(1); s.Run(time.Second); s.Kill("e3"); s.Kill("e4"); s.Run(6 * time.Second) },
-		"kill, then second": func(s *Sim) {
+		"kill two in a row": func(s *Sim) {
 			s.Drain(1)
 			s.Run(time.Second)
 			s.Kill("e3")
@@ -55,7 +58,7 @@
 		},
 		"restart": func(s *Sim) { s.Drain(1); s.Run(time.Second); s.Restart("e5"); s.Run(5 * time.Second) },
 		"pause":   func(s *Sim) { s.Drain(1); s.Run(time.Second); s.Pause("e5", 4*time.Second); s.Run(8 * time.Second) },
-		"cut": func(s *Sim) {
+		"partition": func(s *Sim) {
 			s.SetPartitioned("d2", true)
 			s.Run(8 * time.Second)
 			s.SetPartitioned("d2", false)
@@ -77,7 +80,7 @@
 				sim := newSim(seed)
 				run(sim)
 				r := checkReport(t, sim, seed)
-				t.Logf("flows %d ended %d reset %d undecided %d forwarded %d relayed %d requests %d %v unanswered %d", r.Flows, r.Ended, r.ResetByEntry, r.NotOpened, r.Forwarded, r.Relayed, r.Requests, r.Answers, r.Unanswered)
+				t.Logf("flows %d ended %d reset by an entry %d not opened %d forwarded %d relayed %d requests %d %v unanswered %d", r.Flows, r.Ended, r.ResetByEntry, r.NotOpened, r.Forwarded, r.Relayed, r.Requests, r.Answers, r.Unanswered)
 			}
 		})
 	}
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -17,19 +17,19 @@
 )
 
 type (
-	// backend is a backend server's endpoint: it accepts flows by SYN and
-	// answers a packet of a flow that it does not hold by RST.
+	// backend is an endpoint of a backend server. It accepts a flow on SYN and
+	// answers packets of unknown flows with RST.
 	backend struct {
 		sim             *Sim
 		id              uint32
 		name            string
 		domain          string
 		addr            netip.AddrPort
-		flows           map[packet.Tuple]time.Time
+		flows           map[packet.Tuple]time.Time // last packet of each open flow
 		runningRequests int
 	}
 
-	// caller holds one flow at a time.
+	// caller opens one TCP flow at a time.
 	caller struct {
 		sim        *Sim
 		domain     string
@@ -37,10 +37,10 @@
 		port       uint16
 		index      int
 		state      callerState
-		endpoint   uint32 // that accepted the flow
+		endpoint   uint32 // ID of the endpoint that accepted the flow
 		seq        uint32
 		endsAt     time.Time
-		flowNumber int // tells a timer of an old flow
+		flowNumber int // lets timers of earlier flows expire without effect
 		synsSent   int
 	}
 
@@ -54,7 +54,8 @@
 	callerDone
 )
 
-// deliverToBackend delivers a packet to an endpoint and checks what must hold there.
+// deliverToBackend sends a packet from an entry to an endpoint. It checks that a
+// UDP packet goes to the work service and a TCP packet to the flow service.
 func (sim *Sim) deliverToBackend(e *instance, endpoint *route.Endpoint, inner []byte) {
 	b := sim.backends[endpoint.ID()]
 	if b == nil {
@@ -65,7 +66,7 @@
 	p := decode(inner, nil)
 	if work := p.Tuple().Transport() == packet.UDP; work != (endpoint.Service() == sim.workServiceID()) {
 		sim.report.Crossed++
-		sim.violationf("a packet for %v went to endpoint %s", p.Tuple().Dst(), endpoint.Name())
+		sim.violationf("a packet for %v was sent to endpoint %s of another service", p.Tuple().Dst(), endpoint.Name())
 	}
 	if p.Tuple().Transport() == packet.UDP {
 		sim.sendWithoutDuplicate(e.domain, b.domain, func() { b.receiveRequest(p) })
@@ -74,6 +75,7 @@
 	sim.send(e.domain, b.domain, func() { b.receive(inner, e.name) })
 }
 
+// receive handles a TCP packet that came through the entry via.
 func (b *backend) receive(inner []byte, via string) {
 	sim := b.sim
 	p := decode(inner, nil)
@@ -97,12 +99,12 @@
 	}
 }
 
-// checkNewFlow asserts that a leaving endpoint gets no new flow after the bound.
+// checkNewFlow checks that a leaving endpoint gets no new flow after maxDrainDelay.
 func (b *backend) checkNewFlow(p *packet.Packet, via string) {
 	since, leaving := b.sim.leavingSince[b.name]
 	for _, domain := range []string{b.domain, b.sim.entries[via].domain} {
 		if mended := b.sim.reconnectedAt[domain]; mended.After(since) {
-			since = mended // a domain that was cut off could not be told before
+			since = mended // a partitioned domain learns of it only after the reconnection
 		}
 	}
 	if !leaving || b.sim.now.Sub(since) <= maxDrainDelay || b.sim.partitioned[b.domain] {
@@ -111,23 +113,24 @@
 	for _, c := range b.sim.callers {
 		if c.tuple == p.Tuple() && c.state == callerOpening {
 			b.sim.report.NewAfterDrain++
-			b.sim.violationf("%s got a new flow %v after it began to leave, via %s", b.name, b.sim.now.Sub(since), via)
+			b.sim.violationf("%s received a new flow %v after it began to leave, via %s", b.name, b.sim.now.Sub(since), via)
 		}
 	}
 }
 
-// checkFlowEndpoint asserts that a packet of a flow which another endpoint has
-// accepted, and whose caller knows it, does not come here.
+// checkFlowEndpoint checks that a packet of an established flow reaches the
+// endpoint that the flow is established with.
 func (sim *Sim) checkFlowEndpoint(p *packet.Packet, b *backend, via string) {
 	for _, c := range sim.callers {
 		if c.tuple == p.Tuple() && c.state == callerOpen && c.endpoint != b.id {
 			sim.report.Split++
-			sim.violationf("flow %v on endpoint %d got to %d via %s", p.Tuple().Src(), c.endpoint, b.id, via)
+			sim.violationf("a packet of flow %v on endpoint %d reached endpoint %d via %s", p.Tuple().Src(), c.endpoint, b.id, via)
 		}
 	}
 }
 
-// sendAnswer answers a packet of a flow; the payload names the endpoint.
+// sendAnswer answers a packet of a flow. The payload is the endpoint's ID, which
+// tells these answers from those of entries.
 func (b *backend) sendAnswer(t packet.Tuple, f packet.Flags) {
 	inner, err := packet.Build(t.Reverse(), f, 1, 1, []byte{byte(b.id)})
 	if err != nil {
@@ -136,7 +139,7 @@
 	b.sendToEntry(inner)
 }
 
-// sendToEntry hands an answer to any entry that can be reached.
+// sendToEntry sends an answer to a random reachable entry.
 func (b *backend) sendToEntry(inner []byte) {
 	sim := b.sim
 	side := sim.reachableEntries(b.domain)
@@ -149,13 +152,14 @@
 	})
 }
 
-// AddCaller starts a caller that opens one flow after the other.
+// AddCaller starts a caller that opens flows one after the other.
 func (sim *Sim) AddCaller(domain string) {
 	c := &caller{sim: sim, domain: domain, index: len(sim.callers), port: 1000}
 	sim.callers = append(sim.callers, c)
 	sim.schedule(time.Duration(sim.rng.IntN(500))*time.Millisecond, c.openFlow)
 }
 
+// openFlow starts a new flow from the next port.
 func (c *caller) openFlow() {
 	sim := c.sim
 	c.port++
@@ -168,6 +172,8 @@
 	c.sendSYN(c.flowNumber)
 }
 
+// sendSYN sends SYN, and again until the flow is accepted. After maxSYNs it gives
+// the flow up and opens another.
 func (c *caller) sendSYN(flowNumber int) {
 	if c.flowNumber != flowNumber || c.state != callerOpening {
 		return
@@ -181,6 +187,8 @@
 	c.sim.schedule(synInterval, func() { c.sendSYN(flowNumber) })
 }
 
+// sendData sends a packet of an open flow and schedules the next, or closes the
+// flow if its time is over.
 func (c *caller) sendData(flowNumber int) {
 	sim := c.sim
 	if c.flowNumber != flowNumber || c.state != callerOpen {
@@ -197,6 +205,7 @@
 	sim.schedule(time.Duration(20+sim.rng.IntN(250))*time.Millisecond, func() { c.sendData(flowNumber) })
 }
 
+// send sends a packet of the flow to a random reachable entry.
 func (c *caller) send(f packet.Flags) {
 	sim := c.sim
 	c.seq++
@@ -212,7 +221,7 @@
 	sim.send(c.domain, e.domain, func() { e.runUnpaused(func() { e.receive(netip.AddrPort{}, inner, nil) }) })
 }
 
-// deliverToCaller delivers an answer.
+// deliverToCaller sends an answer to the caller that its tuple belongs to.
 func (sim *Sim) deliverToCaller(domain string, inner []byte) {
 	p := decode(inner, nil)
 	for _, c := range sim.callers {
@@ -227,13 +236,14 @@
 	}
 }
 
+// receive handles a packet from a backend server, or an RST from an entry.
 func (c *caller) receive(p *packet.Packet) {
 	if c.tuple != p.Tuple().Reverse() {
 		return
 	}
 	switch {
 	case p.Flags().Resets() && c.state == callerOpen && len(p.Payload()) == 0:
-		c.sim.report.ResetByEntry++ // by an entry: nobody knew the flow any more
+		c.sim.report.ResetByEntry++ // no payload: sent by an entry, as no entry knew the flow
 		c.openFlow()
 	case p.Flags().Resets() && c.state == callerOpen:
 		c.sim.report.ResetByBackend++
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -1,8 +1,9 @@
-// Package soak drives the decision cores of a whole fleet in one goroutine
-// with fake packets, backend servers and a clock of its own, and checks what
-// must always hold. It is a long randomised test, not a model of a cluster:
-// messages are delayed, lost, doubled and cut, and nothing else is imitated.
-// A run depends on its seed alone, so a failure is replayed by its seed.
+// Package soak simulates a fleet of entries under faults and checks invariants,
+// such as that an established flow stays on its endpoint and a request doesn't run
+// twice. It drives the real decision cores in one goroutine, with simulated
+// callers, backend servers, network and clock. The network delays, loses and
+// duplicates messages and partitions domains; nothing else is simulated. A run
+// depends on its seed alone, so a failure can be replayed.
 package soak
 
 import (
@@ -29,23 +30,25 @@
 	probeInterval     = 200 * time.Millisecond
 	leaseDuration     = 1500 * time.Millisecond
 	clockMargin       = 150 * time.Millisecond
-	leaderDomain      = "d0"
-	maxDrainDelay     = 3 * time.Second
+	leaderDomain      = "d0"            // domain of the controller; never partitioned
+	maxDrainDelay     = 3 * time.Second // until a leaving endpoint gets nothing new
 	lossPerMille      = 10
 	duplicatePerMille = 10
 )
 
 type (
-	// event is something that happens at a time.
+	// event is a function scheduled for a time. Events at the same time run in
+	// the order of seq.
 	event struct {
 		at  time.Time
 		seq uint64
 		run func()
 	}
 
+	// eventQueue is a heap of events, the earliest first.
 	eventQueue []event
 
-	// Sim is a fleet with its callers and backend servers.
+	// Sim is a simulated fleet with its callers and backend servers.
 	Sim struct {
 		rng            *rand.Rand
 		now            time.Time
@@ -54,24 +57,24 @@
 		state          *control.State
 		log            []*wire.LogEntry
 		controller     *controller.Controller
-		entries        map[string]*instance
-		entryNames     []string
+		entries        map[string]*instance // current incarnation of each entry
+		entryNames     []string             // for a deterministic order
 		backends       map[uint32]*backend
 		backendsByAddr map[netip.AddrPort]*backend
 		callers        []*caller
 		requesters     []*requester
-		requests       map[uint64]*requestRecord
+		requests       map[uint64]*requestRecord // by token
 		lastToken      uint64
-		partitioned    map[string]bool // domains cut off from the others
-		reconnectedAt  map[string]time.Time
+		partitioned    map[string]bool      // domains cut off from the others
+		reconnectedAt  map[string]time.Time // domains, by when their last partition ended
 		changeCount    int
 		report         Report
 		config         Config
-		leavingSince   map[string]time.Time // endpoints, by when their leaving was accepted
-		trace          func(line string)    // of every step, to look into a replayed failure
+		leavingSince   map[string]time.Time // endpoint names, by when the drain began
+		trace          func(line string)    // receives every step, to examine a replayed failure; may be nil
 	}
 
-	// Config sets the size of a world.
+	// Config configures a simulation.
 	Config struct {
 		Seed        uint64
 		Domains     int
@@ -80,10 +83,16 @@
 		Callers     int
 		Balance     float64
 		IdleTimeout time.Duration
-		Modulo      bool // the baseline placement
+		Modulo      bool // stateless baseline: hash modulo the live endpoints
 	}
 
-	// Report counts what callers and backend servers have seen.
+	// Report counts events as seen by callers, backend servers and entries. Split
+	// counts packets that reached another endpoint than that of their established
+	// flow, Crossed packets and answers that reached another service or request,
+	// NewAfterDrain new flows and requests on an endpoint that left long ago,
+	// NotOpened flows that no backend server accepted, and FalseNotRun requests that
+	// were answered as not run although they ran. Answers counts by response code,
+	// Reasons by the reason of a decision.
 	Report struct {
 		Flows, Ended, Split, ResetByEntry, ResetByBackend, Crossed uint64
 		NewAfterDrain, NotOpened, Relayed, Forwarded               uint64
@@ -114,7 +123,7 @@
 	return last
 }
 
-// New returns a world whose entries have not started yet.
+// New returns a simulation at its start, before any entry has a lease.
 func New(c Config) *Sim {
 	sim := &Sim{
 		rng: rand.New(rand.NewPCG(c.Seed, 17)), now: time.Unix(1_000_000, 0), config: c,
@@ -133,6 +142,7 @@
 	return sim
 }
 
+// controllerConfig returns short timeouts, to keep the simulated time short.
 func controllerConfig() controller.Config {
 	h := health.DefaultConfig()
 	h.Ramp = time.Second
@@ -142,7 +152,7 @@
 	}
 }
 
-// Run lets time pass.
+// Run processes all events in the next d of simulated time.
 func (sim *Sim) Run(d time.Duration) {
 	end := sim.now.Add(d)
 	for len(sim.queue) > 0 && !sim.queue[0].at.After(end) {
@@ -153,14 +163,16 @@
 	sim.now = end
 }
 
-// Report returns what was counted.
+// Report returns the counts and violations so far.
 func (sim *Sim) Report() Report { return sim.report }
 
+// schedule calls run after d of simulated time.
 func (sim *Sim) schedule(d time.Duration, run func()) {
 	sim.seq++
 	heap.Push(&sim.queue, event{sim.now.Add(d), sim.seq, run})
 }
 
+// scheduleEvery calls run at an interval.
 func (sim *Sim) scheduleEvery(d time.Duration, run func()) {
 	sim.schedule(d, func() {
 		run()
@@ -168,8 +180,8 @@
 	})
 }
 
-// send delivers something from one domain to another: late, perhaps lost or
-// twice, and not at all while they are cut off from each other.
+// send sends a message from one domain to another. It may be lost or duplicated,
+// and isn't delivered if a partition separates the domains.
 func (sim *Sim) send(from, to string, deliver func()) {
 	if sim.rng.IntN(1000) < lossPerMille {
 		return
@@ -181,16 +193,17 @@
 	sim.deliver(from, to, times, deliver)
 }
 
-// sendWithoutDuplicate is send without doubling. Dispatched requests go so: a doubled
-// datagram is told apart by its CoAP message id at the backend server (RFC
-// 7252, 4.5), while these backend servers count every run, so that a request
-// that the balancer dispatches twice is seen.
+// sendWithoutDuplicate is send without duplication. It is used for dispatched
+// requests: a real backend server recognises a duplicate datagram by its CoAP
+// message ID (RFC 7252, section 4.5), but the simulated ones don't, so that they
+// count requests that the fleet dispatches twice.
 func (sim *Sim) sendWithoutDuplicate(from, to string, deliver func()) {
 	if sim.rng.IntN(1000) >= lossPerMille {
 		sim.deliver(from, to, 1, deliver)
 	}
 }
 
+// deliver schedules the deliveries, each with its own random delay.
 func (sim *Sim) deliver(from, to string, times int, deliver func()) {
 	for range times {
 		sim.schedule(time.Millisecond+time.Duration(sim.rng.IntN(4000))*time.Microsecond, func() {
@@ -201,13 +214,14 @@
 	}
 }
 
-// tracef traces one line where a trace is wanted.
+// tracef writes a line to the trace, if there is one.
 func (sim *Sim) tracef(format string, args ...any) {
 	if sim.trace != nil {
 		sim.trace(fmt.Sprintf("%v ", sim.now.Sub(time.Unix(1_000_000, 0))) + fmt.Sprintf(format, args...))
 	}
 }
 
+// violationf records a violation; only the first ones are kept.
 func (sim *Sim) violationf(format string, args ...any) {
 	const maxViolations = 20
 	if len(sim.report.Violations) < maxViolations {
@@ -215,7 +229,8 @@
 	}
 }
 
-// commit agrees on a command at once: the replicated log has its own test.
+// commit appends a command to the log and applies it at once. Replication isn't
+// simulated; it has its own test.
 func (sim *Sim) commit(c *wire.Command) control.Answer {
 	c.UnixNano = sim.now.UnixNano()
 	data, err := proto.Marshal(c)
@@ -232,6 +247,7 @@
 	return answer
 }
 
+// tickController commits the commands that the controller proposes.
 func (sim *Sim) tickController() {
 	for _, c := range sim.controller.Tick(sim.now) {
 		sim.commit(c)
@@ -239,17 +255,18 @@
 	sim.checkActiveIndex()
 }
 
-// checkActiveIndex asserts that the active index never passes an entry that
-// may still decide by its lease.
+// checkActiveIndex checks that every entry with a valid lease has applied the log
+// up to the active index.
 func (sim *Sim) checkActiveIndex() {
 	for _, name := range sim.entryNames {
 		e := sim.entries[name]
 		if e.alive && sim.now.Before(e.member.LeaseUntil()) && e.member.State().Index() < sim.controller.Active() {
-			sim.violationf("%s holds a lease at index %d, in use is %d", name, e.member.State().Index(), sim.controller.Active())
+			sim.violationf("%s holds a lease at index %d, but the active index is %d", name, e.member.State().Index(), sim.controller.Active())
 		}
 	}
 }
 
+// feed returns the source of log entries and snapshots for heartbeat replies.
 func (sim *Sim) feed() controller.Feed {
 	return controller.Feed{
 		Entries: func(from uint64, _ int) ([]*wire.LogEntry, bool) {
@@ -265,6 +282,7 @@
 	}
 }
 
+// handleHeartbeat answers a heartbeat as the leader does.
 func (sim *Sim) handleHeartbeat(r *wire.BeatRequest) *wire.BeatReply {
 	grant := sim.controller.Beat(sim.now, r, true)
 	reply := &wire.BeatReply{Leader: true, Term: 1, LeaderName: "leader", LeaseNanos: int64(grant.Lease), Active: grant.Active, Commit: sim.state.Index()}
@@ -274,7 +292,8 @@
 	return reply
 }
 
-// reachableEntries returns the entries that a packet at a domain can be handed to.
+// reachableEntries returns the running entries that a packet from a domain can
+// reach.
 func (sim *Sim) reachableEntries(domain string) []*instance {
 	var entries []*instance
 	for _, name := range sim.entryNames {
@@ -286,11 +305,12 @@
 	return entries
 }
 
-// workServiceID returns the id of the service that takes work.
+// workServiceID returns the ID of the work service.
 func (sim *Sim) workServiceID() uint32 { return 2 }
 
 func (sim *Sim) hasher() route.Hasher { return route.NewHasher([16]byte{1, 2, 3}) }
 
+// countVerdict adds a decision on a flow packet to the report.
 func (sim *Sim) countVerdict(v flow.Verdict) {
 	sim.report.Reasons[v.Reason().String()]++
 	switch v.Action() {
@@ -301,13 +321,14 @@
 	}
 }
 
-// decode turns a built packet into what an engine takes.
+// decode decodes a packet, with its relay header unless relay is nil. It panics if
+// that fails, since the simulation builds all packets.
 func decode(inner []byte, relay *packet.Relay) *packet.Packet {
 	p := &packet.Packet{}
 	var d packet.Decoder
 	if relay == nil {
 		if d.DecodeInner(inner, p) != packet.Decoded {
-			panic("soak built a packet that does not decode")
+			panic("cannot decode a simulated packet")
 		}
 		return p
 	}
@@ -316,7 +337,7 @@
 		panic(err)
 	}
 	if d.Decode(encoder.AppendRelay(nil, inner, *relay), p) != packet.Decoded {
-		panic("soak built a relay that does not decode")
+		panic("cannot decode a simulated relayed packet")
 	}
 	return p
 }
--- a/tools/experiment.go
+++ b/tools/experiment.go
@@ -13,13 +13,13 @@
 	"oxbowsaddle/internal/journal"
 )
 
-// cmdExperiment prints what the committed journal says of experiments.
+// cmdExperiment prints the results of experiments from the committed journal.
 func cmdExperiment() *cobra.Command {
 	var journalFolder, reason, baseReason, scoreReason, ablationPrefix string
 	c := &cobra.Command{
 		Use: "experiment", Short: "print scores and paired comparisons from the journal", Args: cobra.NoArgs,
-		Long: "With --why, pairs the plays that carry this reason: the sources that were played first against the others.\n" +
-			"With --scores, prints the scores that carry it, day by day. Without either, lists the reasons.",
+		Long: "With --why, compares the runs that have this reason in pairs: those of the sources that ran first with those of the others.\n" +
+			"With --scores, prints the scores that have this reason, day by day. Without --why, --ablation and --scores, lists the reasons.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			entries, err := journal.Load(journalFolder)
 			if err != nil {
@@ -41,18 +41,18 @@
 			return err
 		},
 	}
-	c.Flags().StringVar(&journalFolder, "journal", "journal", "folder of the journal")
-	c.Flags().StringVar(&reason, "why", "", "reason of the plays to compare")
-	c.Flags().StringVar(&baseReason, "base", "", "reason of the plays to compare them with; else the sources that were played first")
-	c.Flags().StringVar(&ablationPrefix, "ablation", "", "prefix of the reasons of an ablation; the one that ends in 'nothing' is the base")
+	c.Flags().StringVar(&journalFolder, "journal", "journal", "journal folder")
+	c.Flags().StringVar(&reason, "why", "", "reason of the runs to compare")
+	c.Flags().StringVar(&baseReason, "base", "", "reason of the runs to compare with, instead of those of the sources that ran first")
+	c.Flags().StringVar(&ablationPrefix, "ablation", "", "prefix of the reasons of an ablation; the reason that ends in 'nothing' is the baseline")
 	c.Flags().StringVar(&scoreReason, "scores", "", "reason of the scores to print")
 	return c
 }
 
-// printComparison prints a row for each day, as Markdown.
+// printComparison prints a Markdown table with a row for each day.
 func printComparison(out io.Writer, rows []journal.Difference) error {
 	if len(rows) == 0 {
-		return fault.New(fault.NotFound, "no pairs of plays carry that reason")
+		return fault.New(fault.NotFound, "no pairs of runs have that reason")
 	}
 	fmt.Fprintln(out, "| site | day | pairs | worth before | after | difference | better / worse | failed | worst windows | days with a broken rule |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|---|---|")
@@ -63,11 +63,11 @@
 	return nil
 }
 
-// printScores prints the days of each score, as Markdown.
+// printScores prints the days of each score as a Markdown table.
 func printScores(out io.Writer, entries []journal.Entry, reason string) error {
 	entries = slices.DeleteFunc(entries, func(e journal.Entry) bool { return e.Why != reason || e.Score == nil })
 	if len(entries) == 0 {
-		return fault.New(fault.NotFound, "no scores carry that reason")
+		return fault.New(fault.NotFound, "no scores have that reason")
 	}
 	fmt.Fprintln(out, "| site (score) | day | worth | served | refused | failed | two worst windows | prices |")
 	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|")
@@ -80,8 +80,8 @@
 	return nil
 }
 
-// printAblation prints what each thing that was switched off is worth at each
-// site, as Markdown: the difference that its absence makes.
+// printAblation prints a Markdown table of the difference that switching off each
+// feature makes at each site.
 func printAblation(out io.Writer, entries []journal.Entry, prefix string) error {
 	base := prefix + "nothing"
 	var sites, reasons []string
@@ -106,7 +106,7 @@
 		}
 	}
 	if len(cells) == 0 {
-		return fault.New(fault.NotFound, "no pairs of plays carry that prefix")
+		return fault.New(fault.NotFound, "no pairs of runs have reasons with that prefix")
 	}
 	fmt.Fprintf(out, "| switched off | %s |\n|---|%s\n", strings.Join(sites, " | "), strings.Repeat("---|", len(sites)))
 	for _, why := range reasons {
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// printReasons lists the reasons with how many plays carry each.
+// printReasons lists the reasons with the number of entries of each.
 func printReasons(out io.Writer, entries []journal.Entry) {
 	counts := map[string]int{}
 	var order []string
@@ -133,5 +133,5 @@
 	for _, why := range order {
 		fmt.Fprintf(table, "%d\t%s\n", counts[why], why)
 	}
-	_ = table.Flush() // to a terminal or a file that is full
+	_ = table.Flush() // ignores write errors, as the other output does
 }
--- a/tools/load.go
+++ b/tools/load.go
@@ -16,16 +16,16 @@
 	"oxbowsaddle/internal/settings"
 )
 
-// cmdLoad puts load on running entries.
+// cmdLoad generates load on running entries.
 func cmdLoad() *cobra.Command {
 	var config load.Config
 	var settingsFile, intentFile, plotFile, output string
 	var mix map[string]string
 	c := &cobra.Command{
 		Use:   "load --settings FILE --intent FILE",
-		Short: "put open-loop load on running entries, with stand-ins of fabric and backend servers",
-		Long: "Binds the fabric's address and every endpoint's address that the files name, so nothing else may use them.\n" +
-			"Accept the configuration first.",
+		Short: "generate open-loop load on running entries, with a simulated fabric and backend servers",
+		Long: "Binds the fabric's address and every endpoint's address in the files, so nothing else may use them.\n" +
+			"The fleet must have accepted the configuration before.",
 		Args: cobra.NoArgs,
 		RunE: func(c *cobra.Command, _ []string) error {
 			var err error
@@ -62,16 +62,16 @@
 	c.Flags().StringVar(&settingsFile, "settings", "", "settings file of the fleet")
 	c.Flags().StringVar(&intentFile, "intent", "", "configuration file with the services")
 	c.Flags().Float64Var(&config.Flows, "flows", 100, "new flows a second")
-	c.Flags().DurationVar(&config.FlowLasts, "flow-lasts", 5*time.Second, "how long a flow lasts; flows held are this times --flows")
+	c.Flags().DurationVar(&config.FlowLasts, "flow-lasts", 5*time.Second, "duration of a flow; the number of open flows is this times --flows")
 	c.Flags().DurationVar(&config.FlowEvery, "flow-every", 200*time.Millisecond, "mean time between packets of a flow")
 	c.Flags().Float64Var(&config.Requests, "requests", 100, "requests a second")
-	c.Flags().StringToStringVar(&mix, "mix", nil, "weights of classes, as class=weight; a class without one gets nothing")
+	c.Flags().StringToStringVar(&mix, "mix", nil, "weights of classes, as class=weight; a class without a weight gets no load")
 	c.Flags().DurationVar(&config.Deadline, "deadline", 2*time.Second, "deadline of a request")
-	c.Flags().DurationVar(&config.ServiceTime, "service-time", 40*time.Millisecond, "time that a backend server needs for a request")
-	c.Flags().DurationVar(&config.For, "for", 10*time.Second, "how long")
-	c.Flags().Uint64Var(&config.Seed, "seed", 1, "seed of the fabric")
-	c.Flags().StringVar(&plotFile, "plot", "", "PNG file for a plot")
-	c.Flags().StringVar(&output, "output", "text", "text or json")
+	c.Flags().DurationVar(&config.ServiceTime, "service-time", 40*time.Millisecond, "time that a backend server takes for a request")
+	c.Flags().DurationVar(&config.For, "for", 10*time.Second, "duration of the load")
+	c.Flags().Uint64Var(&config.Seed, "seed", 1, "seed of the simulated fabric")
+	c.Flags().StringVar(&plotFile, "plot", "", "write a plot to this PNG file")
+	c.Flags().StringVar(&output, "output", "text", "output format: text or json")
 	_ = c.MarkFlagRequired("settings")
 	_ = c.MarkFlagRequired("intent")
 	return c
@@ -82,7 +82,7 @@
 	for class, weight := range text {
 		w, err := strconv.ParseFloat(weight, 64)
 		if err != nil || w < 0 {
-			return nil, cmd.UsageError{Err: fmt.Errorf("--mix %s=%s: not a weight", class, weight)}
+			return nil, cmd.UsageError{Err: fmt.Errorf("--mix %s=%s: the weight must be a number of at least 0", class, weight)}
 		}
 		mix[class] = w
 	}
--- a/tools/main.go
+++ b/tools/main.go
@@ -1,7 +1,6 @@
-// Command tools has the commands of oxbowsaddle and, beside them, those of
-// development: load, slopes and manual pages. They draw plots and pages, whose
-// libraries cost each start of a process a quarter of its time; the binary
-// that serves does without them.
+// Command tools is oxbowsaddle with additional commands for development: load,
+// slopes, experiment and man. They are kept out of the main binary because their
+// libraries for plots and manual pages slow down its start.
 package main
 
 import (
--- a/tools/man.go
+++ b/tools/man.go
@@ -7,7 +7,7 @@
 	"github.com/spf13/cobra/doc"
 )
 
-// cmdMan writes the manual pages.
+// cmdMan writes a manual page for each command.
 func cmdMan() *cobra.Command {
 	return &cobra.Command{
 		Use: "man FOLDER", Short: "write a manual page in Markdown for each command", Hidden: true, Args: cobra.ExactArgs(1),
