--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -92,6 +92,7 @@
 	return f, nil
 }
 
+// close stops all instances and removes their data.
 func (f *fleet) close() error {
 	f.cancel()
 	f.goroutines.Wait()
@@ -164,6 +165,7 @@
 	return request(client)
 }
 
+// status returns the status that the target control instance reports.
 func (f *fleet) status(ctx context.Context) (s *wire.StatusReply, err error) {
 	err = f.call(ctx, func(client wire.DRPCControlClient) error {
 		s, err = client.Status(ctx, &wire.StatusRequest{})
@@ -172,6 +174,8 @@
 	return s, err
 }
 
+// submit submits a change and returns its revision. The base is higher than any
+// revision, so that the change never conflicts.
 func (f *fleet) submit(ctx context.Context, id string, objects ...*wire.Object) (revision uint64, err error) {
 	err = f.call(ctx, func(client wire.DRPCControlClient) error {
 		reply, err := client.Submit(ctx, &wire.Change{Id: id, Author: "slopes", Base: 1 << 60, Objects: objects})
--- a/internal/slopes/fleet_bench_test.go
+++ b/internal/slopes/fleet_bench_test.go
@@ -38,16 +38,16 @@
 	for b.Loop() {
 		var latencies []time.Duration
 		for n := range changes {
-			began := time.Now()
+			start := time.Now()
 			if _, err := f.submit(context.Background(), fmt.Sprint("one-", n), templateObject(n)); err != nil {
 				b.Fatal(err)
 			}
-			latencies = append(latencies, time.Since(began))
+			latencies = append(latencies, time.Since(start))
 		}
 		slices.Sort(latencies)
 		b.ReportMetric(float64(latencies[changes/2].Microseconds())/1000, "p50-ms")
 		b.ReportMetric(float64(latencies[changes*99/100].Microseconds())/1000, "p99-ms")
-		began := time.Now()
+		start := time.Now()
 		var group sync.WaitGroup
 		for worker := range concurrency {
 			group.Go(func() {
@@ -59,7 +59,7 @@
 			})
 		}
 		group.Wait()
-		b.ReportMetric(float64(changes/concurrency*concurrency)/time.Since(began).Seconds(), "changes/s")
+		b.ReportMetric(float64(changes/concurrency*concurrency)/time.Since(start).Seconds(), "changes/s")
 	}
 }
 
@@ -79,16 +79,16 @@
 				f.controlInstances[n].Kill()
 			}
 		}
-		began := time.Now()
+		start := time.Now()
 		for {
 			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 			_, err := f.submit(ctx, "after", templateObject(1))
 			cancel()
-			if err == nil || time.Since(began) > time.Minute {
+			if err == nil || time.Since(start) > time.Minute {
 				break
 			}
 		}
-		b.ReportMetric(time.Since(began).Seconds(), "s-to-accept")
+		b.ReportMetric(time.Since(start).Seconds(), "s-to-accept")
 		revision, err := f.submit(context.Background(), "in-force", templateObject(2))
 		if err == nil {
 			err = f.awaitActive(revision)
@@ -96,7 +96,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(time.Since(began).Seconds(), "s-to-in-force")
+		b.ReportMetric(time.Since(start).Seconds(), "s-to-in-force")
 	}
 }
 
@@ -115,12 +115,12 @@
 	for b.Loop() {
 		ctx, cancel := context.WithCancel(context.Background())
 		joining := &lightInstance{name: "late", domain: "d0"}
-		began := time.Now()
+		start := time.Now()
 		f.goroutines.Go(func() { joining.run(ctx, f.settings, time.Now) })
-		for joining.appliedIndex.Load() < revision && time.Since(began) < time.Minute {
+		for joining.appliedIndex.Load() < revision && time.Since(start) < time.Minute {
 			time.Sleep(pollInterval)
 		}
-		b.ReportMetric(float64(time.Since(began).Milliseconds()), "ms-to-catch-up")
+		b.ReportMetric(float64(time.Since(start).Milliseconds()), "ms-to-catch-up")
 		cancel()
 	}
 }
--- a/internal/slopes/measure.go
+++ b/internal/slopes/measure.go
@@ -106,15 +106,15 @@
 	if err := applyCommand(s, &wire.Command{Body: &wire.Command_Members{Members: members}}); err != nil {
 		return nil, err
 	}
-	k := controller.New(controller.Config{
+	ctl := controller.New(controller.Config{
 		Lease: time.Hour, ClockMargin: time.Second, SettleAfter: time.Second, ReturnTimeout: time.Second, MaxMovesPerRound: 8, Health: health.DefaultConfig(),
 	}, startTime, s, 0)
-	for _, c := range k.Tick(startTime) {
+	for _, c := range ctl.Tick(startTime) {
 		if err := applyCommand(s, c); err != nil {
 			return nil, err
 		}
 	}
-	return k, nil
+	return ctl, nil
 }
 
 // newEngine returns the flow engine of an entry that holds a lease.
@@ -342,25 +342,26 @@
 	if err != nil {
 		return nil, 0, err
 	}
-	k, err := placeBuckets(s, entries)
-	return k, s.Index(), err
+	ctl, err := placeBuckets(s, entries)
+	return ctl, s.Index(), err
 }
 
 // tickTime measures controller ticks that are one millisecond apart.
-func tickTime(m *meter, k *controller.Controller) float64 {
+func tickTime(m *meter, ctl *controller.Controller) float64 {
 	now := startTime
 	return m.timePerCall(func() {
 		now = now.Add(time.Millisecond)
-		k.Tick(now)
+		ctl.Tick(now)
 	})
 }
 
+// tickByServices measures controller ticks that find nothing to place.
 func tickByServices(m *meter, services int) (float64, error) {
-	k, _, err := newPlacedController(services*endpointsPerService, 8)
+	ctl, _, err := newPlacedController(services*endpointsPerService, 8)
 	if err != nil {
 		return 0, err
 	}
-	return tickTime(m, k), nil
+	return tickTime(m, ctl), nil
 }
 
 // heartbeatRequest returns a heartbeat of entry n that has applied and counted
@@ -371,27 +372,27 @@
 
 // heartbeatCost measures the handling of a heartbeat by the controller.
 func heartbeatCost(m *meter, entries int) (float64, error) {
-	k, index, err := newPlacedController(membershipEndpoints, entries)
+	ctl, index, err := newPlacedController(membershipEndpoints, entries)
 	if err != nil {
 		return 0, err
 	}
 	n := 0
 	return m.timePerCall(func() {
 		n = (n + 1) % entries
-		k.Beat(startTime, heartbeatRequest(n, index), true)
+		ctl.Beat(startTime, heartbeatRequest(n, index), true)
 	}), nil
 }
 
 // tickByEntries measures controller ticks after a heartbeat of every entry.
 func tickByEntries(m *meter, entries int) (float64, error) {
-	k, index, err := newPlacedController(membershipEndpoints, entries)
+	ctl, index, err := newPlacedController(membershipEndpoints, entries)
 	if err != nil {
 		return 0, err
 	}
 	for n := range entries {
-		k.Beat(startTime, heartbeatRequest(n, index), true)
+		ctl.Beat(startTime, heartbeatRequest(n, index), true)
 	}
-	return tickTime(m, k), nil
+	return tickTime(m, ctl), nil
 }
 
 // heartbeatBytes returns the size of a heartbeat and its reply together.
--- a/internal/soak/entry.go
+++ b/internal/soak/entry.go
@@ -144,7 +144,9 @@
 	}
 }
 
-// receive handles a packet; relay is nil unless another entry relayed it.
+// receive handles a packet. The source is the address of the sending endpoint, or
+// zero for a packet from a caller or another entry; relay is nil unless another
+// entry relayed the packet.
 func (e *instance) receive(source netip.AddrPort, inner []byte, relay *packet.Relay) {
 	e.updateView()
 	e.entry.Take(e.sim.now, source, decode(inner, relay))
--- a/internal/soak/mix.go
+++ b/internal/soak/mix.go
@@ -115,8 +115,8 @@
 		if behind := sim.state.Index() - e.member.State().Index(); behind > 20 {
 			sim.violationf("after recovery: %s is %d commands behind", name, behind)
 		}
-		if broken := e.entry.Flow().Stats().InvariantViolations + e.entry.Work().Stats().Broken; broken > 0 {
-			sim.violationf("%s counted %d invariant violations", name, broken)
+		if violations := e.entry.Flow().Stats().InvariantViolations + e.entry.Work().Stats().Broken; violations > 0 {
+			sim.violationf("%s counted %d invariant violations", name, violations)
 		}
 	}
 }
--- a/internal/soak/mix_test.go
+++ b/internal/soak/mix_test.go
@@ -16,8 +16,8 @@
 	trace  = flag.String("soak.trace", "", "file for the trace of every step")
 	rounds = flag.Int("soak.rounds", 25, "number of random faults in a run")
 
-	// regressionSeeds holds seeds that failed before; docs/design/flows.md
-	// describes the fixes.
+	// regressionSeeds holds the seeds that failed before, whose fixes are described
+	// in docs/design/flows.md, and 1178, the seed of TestDeterministicReplay.
 	regressionSeeds = []uint64{36, 797, 1089, 1102, 1178, 1242}
 )
 
@@ -40,7 +40,7 @@
 	}
 }
 
-// Checks the random runs that failed before.
+// Guards against the return of failures that random runs have found.
 func TestRegressionSeeds(t *testing.T) {
 	for _, seed := range regressionSeeds {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/internal/soak/requests.go
+++ b/internal/soak/requests.go
@@ -51,59 +51,59 @@
 	if repeatable {
 		addr = batchAddr
 	}
-	a := &requester{sim: sim, domain: domain, index: len(sim.requesters), addr: netip.MustParseAddrPort(addr), repeatable: repeatable}
-	sim.requesters = append(sim.requesters, a)
-	src := netip.AddrPortFrom(netip.MustParseAddr(fmt.Sprintf("10.1.0.%d", a.index+1)), 4000)
-	a.tuple = packet.NewTuple(src, a.addr, packet.UDP)
-	sim.schedule(time.Duration(sim.rng.IntN(300))*time.Millisecond, a.startRequest)
+	r := &requester{sim: sim, domain: domain, index: len(sim.requesters), addr: netip.MustParseAddrPort(addr), repeatable: repeatable}
+	sim.requesters = append(sim.requesters, r)
+	src := netip.AddrPortFrom(netip.MustParseAddr(fmt.Sprintf("10.1.0.%d", r.index+1)), 4000)
+	r.tuple = packet.NewTuple(src, r.addr, packet.UDP)
+	sim.schedule(time.Duration(sim.rng.IntN(300))*time.Millisecond, r.startRequest)
 }
 
 // startRequest starts a new request.
-func (a *requester) startRequest() {
-	sim := a.sim
+func (r *requester) startRequest() {
+	sim := r.sim
 	sim.lastToken++
-	a.token, a.sentAt, a.answered = sim.lastToken, sim.now, false
-	a.requestNumber++
-	sim.requests[a.token] = &requestRecord{repeatable: a.repeatable}
+	r.token, r.sentAt, r.answered = sim.lastToken, sim.now, false
+	r.requestNumber++
+	sim.requests[r.token] = &requestRecord{repeatable: r.repeatable}
 	sim.report.Requests++
-	a.transmit(a.requestNumber)
+	r.transmit(r.requestNumber)
 }
 
 // transmit sends a request to a random entry and schedules its retransmission. It
 // gives the request up shortly before the end of its lifetime.
-func (a *requester) transmit(requestNumber int) {
-	sim := a.sim
-	if a.requestNumber != requestNumber || a.answered {
+func (r *requester) transmit(requestNumber int) {
+	sim := r.sim
+	if r.requestNumber != requestNumber || r.answered {
 		return
 	}
-	if sim.now.Sub(a.sentAt) > requestLifetime-500*time.Millisecond {
+	if sim.now.Sub(r.sentAt) > requestLifetime-500*time.Millisecond {
 		sim.report.Unanswered++
-		a.startRequest()
+		r.startRequest()
 		return
 	}
 	m := work.Message{Message: message.Message{
-		Token: binary.BigEndian.AppendUint64(nil, a.token), Code: codes.POST, Type: message.Confirmable, MessageID: int32(a.token & 0xffff),
+		Token: binary.BigEndian.AppendUint64(nil, r.token), Code: codes.POST, Type: message.Confirmable, MessageID: int32(r.token & 0xffff),
 	}}
 	m = m.WithLeft(800 * time.Millisecond)
 	data, err := m.Encode()
 	if err != nil {
 		panic(err)
 	}
-	inner, err := packet.Build(a.tuple, packet.Flags{}, 0, 0, data)
+	inner, err := packet.Build(r.tuple, packet.Flags{}, 0, 0, data)
 	if err != nil {
 		panic(err)
 	}
-	if side := sim.reachableEntries(a.domain); len(side) > 0 {
-		e := side[sim.rng.IntN(len(side))]
-		sim.send(a.domain, e.domain, func() { e.runUnpaused(func() { e.receive(netip.AddrPort{}, inner, nil) }) })
+	if entries := sim.reachableEntries(r.domain); len(entries) > 0 {
+		e := entries[sim.rng.IntN(len(entries))]
+		sim.send(r.domain, e.domain, func() { e.runUnpaused(func() { e.receive(netip.AddrPort{}, inner, nil) }) })
 	}
-	sim.schedule(retransmitInterval, func() { a.transmit(requestNumber) })
+	sim.schedule(retransmitInterval, func() { r.transmit(requestNumber) })
 }
 
 // receive checks an answer: it must belong to a request of this simulation, carry
 // that request's result, and not say "not run" of a request that has run.
-func (a *requester) receive(p *packet.Packet) {
-	sim := a.sim
+func (r *requester) receive(p *packet.Packet) {
+	sim := r.sim
 	m, err := work.Decode(p.Payload())
 	if err != nil {
 		sim.violationf("a caller received a malformed CoAP message")
@@ -131,12 +131,12 @@
 			sim.violationf("request %d received the answer %q of another request", token, m.Payload)
 		}
 	}
-	if token != a.token || a.answered {
+	if token != r.token || r.answered {
 		return
 	}
-	a.answered = true
+	r.answered = true
 	sim.report.Answers[m.Code.String()]++
-	sim.schedule(time.Duration(sim.rng.IntN(100))*time.Millisecond, func() { a.startRequest() })
+	sim.schedule(time.Duration(sim.rng.IntN(100))*time.Millisecond, func() { r.startRequest() })
 }
 
 // receiveRequest runs a request on an endpoint and checks that it may run there.
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -103,8 +103,8 @@
 func (b *backend) checkNewFlow(p *packet.Packet, via string) {
 	since, leaving := b.sim.leavingSince[b.name]
 	for _, domain := range []string{b.domain, b.sim.entries[via].domain} {
-		if mended := b.sim.reconnectedAt[domain]; mended.After(since) {
-			since = mended // a partitioned domain learns of it only after the reconnection
+		if reconnected := b.sim.reconnectedAt[domain]; reconnected.After(since) {
+			since = reconnected // a partitioned domain learns of it only after the reconnection
 		}
 	}
 	if !leaving || b.sim.now.Sub(since) <= maxDrainDelay || b.sim.partitioned[b.domain] {
@@ -142,11 +142,11 @@
 // sendToEntry sends an answer to a random reachable entry.
 func (b *backend) sendToEntry(inner []byte) {
 	sim := b.sim
-	side := sim.reachableEntries(b.domain)
-	if len(side) == 0 {
+	entries := sim.reachableEntries(b.domain)
+	if len(entries) == 0 {
 		return
 	}
-	e := side[sim.rng.IntN(len(side))]
+	e := entries[sim.rng.IntN(len(entries))]
 	sim.send(b.domain, e.domain, func() {
 		e.runUnpaused(func() { e.receive(b.addr, inner, nil) })
 	})
@@ -213,11 +213,11 @@
 	if err != nil {
 		panic(err)
 	}
-	side := sim.reachableEntries(c.domain)
-	if len(side) == 0 {
+	entries := sim.reachableEntries(c.domain)
+	if len(entries) == 0 {
 		return
 	}
-	e := side[sim.rng.IntN(len(side))]
+	e := entries[sim.rng.IntN(len(entries))]
 	sim.send(c.domain, e.domain, func() { e.runUnpaused(func() { e.receive(netip.AddrPort{}, inner, nil) }) })
 }
 
@@ -229,9 +229,9 @@
 			sim.send(domain, c.domain, func() { c.receive(p) })
 		}
 	}
-	for _, a := range sim.requesters {
-		if a.tuple == p.Tuple().Reverse() {
-			sim.send(domain, a.domain, func() { a.receive(p) })
+	for _, r := range sim.requesters {
+		if r.tuple == p.Tuple().Reverse() {
+			sim.send(domain, r.domain, func() { r.receive(p) })
 		}
 	}
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -81,7 +81,7 @@
 		Entries     int
 		Endpoints   int
 		Callers     int
-		Balance     float64
+		Balance     float64 // "balance" parameter of the team
 		IdleTimeout time.Duration
 		Modulo      bool // stateless baseline: hash modulo the live endpoints
 	}
@@ -89,10 +89,11 @@
 	// Report counts events as seen by callers, backend servers and entries. Split
 	// counts packets that reached another endpoint than that of their established
 	// flow, Crossed packets and answers that reached another service or request,
-	// NewAfterDrain new flows and requests on an endpoint that left long ago,
-	// NotOpened flows that no backend server accepted, and FalseNotRun requests that
-	// were answered as not run although they ran. Answers counts by response code,
-	// Reasons by the reason of a decision.
+	// NewAfterDrain new flows and requests on an endpoint that began to leave more
+	// than maxDrainDelay ago, NotOpened flows whose caller gave up, and FalseNotRun
+	// requests that were answered as not run although they ran. Relayed and
+	// Forwarded count decisions of entries, Answers the answers by response code, and
+	// Reasons the decisions by reason.
 	Report struct {
 		Flows, Ended, Split, ResetByEntry, ResetByBackend, Crossed uint64
 		NewAfterDrain, NotOpened, Relayed, Forwarded               uint64
