--- a/internal/slopes/fleet_bench_test.go
+++ b/internal/slopes/fleet_bench_test.go
@@ -11,11 +11,12 @@
 	"oxbowsaddle/internal/wire"
 )
 
-func newBenchFleet(b *testing.B) *lightFleet {
+// newBenchFleet starts a fleet with eight light instances for a benchmark.
+func newBenchFleet(b *testing.B) *fleet {
 	b.Helper()
 	f, err := startFleet(8, time.Now)
 	if err == nil {
-		err = f.settle(context.Background())
+		err = f.awaitReady(context.Background())
 	}
 	if err != nil {
 		b.Fatal(err)
@@ -28,28 +29,29 @@
 	return &wire.Object{Kind: "template", Name: fmt.Sprint("t", n), Body: []byte(`{"parameters":{}}`)}
 }
 
-// BenchmarkAccept measures acceptance by three instances on disk: one change
-// after the other, and sixteen at a time. Run with -benchtime 1x.
+// BenchmarkAccept measures how fast three control instances accept changes,
+// logged on disk: one change at a time, and sixteen concurrently. Run it with
+// -benchtime 1x.
 func BenchmarkAccept(b *testing.B) {
-	const changes, together = 300, 16
+	const changes, concurrency = 300, 16
 	f := newBenchFleet(b)
 	for b.Loop() {
-		var took []time.Duration
+		var latencies []time.Duration
 		for n := range changes {
-			began := time.Now()
+			start := time.Now()
 			if _, err := f.submit(context.Background(), fmt.Sprint("one-", n), templateObject(n)); err != nil {
 				b.Fatal(err)
 			}
-			took = append(took, time.Since(began))
+			latencies = append(latencies, time.Since(start))
 		}
-		slices.Sort(took)
-		b.ReportMetric(float64(took[changes/2].Microseconds())/1000, "p50-ms")
-		b.ReportMetric(float64(took[changes*99/100].Microseconds())/1000, "p99-ms")
-		began := time.Now()
+		slices.Sort(latencies)
+		b.ReportMetric(float64(latencies[changes/2].Microseconds())/1000, "p50-ms")
+		b.ReportMetric(float64(latencies[changes*99/100].Microseconds())/1000, "p99-ms")
+		start := time.Now()
 		var group sync.WaitGroup
-		for worker := range together {
+		for worker := range concurrency {
 			group.Go(func() {
-				for n := range changes / together {
+				for n := range changes / concurrency {
 					if _, err := f.submit(context.Background(), fmt.Sprint("many-", worker, "-", n), templateObject(worker)); err != nil {
 						b.Error(err)
 					}
@@ -57,12 +59,13 @@
 			})
 		}
 		group.Wait()
-		b.ReportMetric(float64(changes/together*together)/time.Since(began).Seconds(), "changes/s")
+		b.ReportMetric(float64(changes/concurrency*concurrency)/time.Since(start).Seconds(), "changes/s")
 	}
 }
 
-// BenchmarkFailOver measures from the loss of the leader to the next accepted
-// change. Run with -benchtime 1x.
+// BenchmarkFailOver measures the time from the loss of the leader until a change
+// is accepted, and until one is active on all light instances. Run it with
+// -benchtime 1x.
 func BenchmarkFailOver(b *testing.B) {
 	for b.Loop() {
 		f := newBenchFleet(b)
@@ -72,20 +75,20 @@
 		}
 		for n, i := range f.settings.Instances {
 			if i.Name == s.LeaderName {
-				f.asked = (n + 1) % len(f.settings.Instances)
-				f.control[n].Kill()
+				f.target = (n + 1) % len(f.settings.Instances)
+				f.controlInstances[n].Kill()
 			}
 		}
-		began := time.Now()
+		start := time.Now()
 		for {
 			ctx, cancel := context.WithTimeout(context.Background(), 300*time.Millisecond)
 			_, err := f.submit(ctx, "after", templateObject(1))
 			cancel()
-			if err == nil || time.Since(began) > time.Minute {
+			if err == nil || time.Since(start) > time.Minute {
 				break
 			}
 		}
-		b.ReportMetric(time.Since(began).Seconds(), "s-to-accept")
+		b.ReportMetric(time.Since(start).Seconds(), "s-to-accept")
 		revision, err := f.submit(context.Background(), "in-force", templateObject(2))
 		if err == nil {
 			err = f.awaitActive(revision)
@@ -93,12 +96,12 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		b.ReportMetric(time.Since(began).Seconds(), "s-to-in-force")
+		b.ReportMetric(time.Since(start).Seconds(), "s-to-in-force")
 	}
 }
 
-// BenchmarkCatchUp measures how long an entry that begins with nothing needs
-// after 500 changes. Run with -benchtime 1x.
+// BenchmarkCatchUp measures how long a new entry takes to apply 500 earlier
+// changes. Run it with -benchtime 1x.
 func BenchmarkCatchUp(b *testing.B) {
 	const changes = 500
 	f := newBenchFleet(b)
@@ -111,13 +114,13 @@
 	}
 	for b.Loop() {
 		ctx, cancel := context.WithCancel(context.Background())
-		late := &lightInstance{name: "late", domain: "d0"}
-		began := time.Now()
-		f.group.Go(func() { late.run(ctx, f.settings, time.Now) })
-		for late.index.Load() < revision && time.Since(began) < time.Minute {
-			time.Sleep(watchEvery)
+		joining := &lightInstance{name: "late", domain: "d0"}
+		start := time.Now()
+		f.goroutines.Go(func() { joining.run(ctx, f.settings, time.Now) })
+		for joining.appliedIndex.Load() < revision && time.Since(start) < time.Minute {
+			time.Sleep(pollInterval)
 		}
-		b.ReportMetric(float64(time.Since(began).Milliseconds()), "ms-to-catch-up")
+		b.ReportMetric(float64(time.Since(start).Milliseconds()), "ms-to-catch-up")
 		cancel()
 	}
 }
