--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -82,14 +82,14 @@
 	c.view = v
 	c.flow.SetView(v)
 	c.work.SetView(now, &work.View{
-		Table: v.Table, Steps: v.MembershipTables, LeaseUntil: v.LeaseUntil,
-		Island: v.Isolated, Reachable: v.Reachable, Domains: v.ReachableDomains,
+		Table: v.Table, MembershipTables: v.MembershipTables, LeaseUntil: v.LeaseUntil,
+		Isolated: v.Isolated, Reachable: v.Reachable, ReachableDomains: v.ReachableDomains,
 	})
 }
 
 // TakeSends returns what is to be sent and forgets it; valid until the next call.
 func (c *Core) TakeSends(now time.Time) []Send {
-	c.collect(now)
+	c.collectOutput(now)
 	sends := c.sends
 	c.sends = c.sends[:0]
 	return sends
@@ -104,7 +104,7 @@
 // TakePeer takes a message from another entry.
 func (c *Core) TakePeer(now time.Time, m *wire.Peer) {
 	c.flow.HandlePeer(now, m)
-	c.work.Peer(now, m)
+	c.work.HandlePeer(now, m)
 }
 
 // Take takes a packet from the fabric, a backend server or another entry.
@@ -112,7 +112,7 @@
 	tuple := p.Tuple()
 	table := c.view.Table
 	if service, class := table.Lookup(route.ServiceKey{Addr: tuple.Dst(), Transport: tuple.Transport()}); service != nil {
-		c.inbound(now, service, class, p)
+		c.handleInbound(now, service, class, p)
 		return
 	}
 	service, class := table.Lookup(route.ServiceKey{Addr: tuple.Src(), Transport: tuple.Transport()})
@@ -120,23 +120,23 @@
 	case service == nil:
 		c.config.OnFlow(now, c.flow.Inbound(now, p), p, false) // counted there as unknown
 	case class.Work:
-		c.work.Answer(now, from, service, p)
+		c.work.HandleAnswer(now, from, service, p)
 	default:
-		c.answer(now, from, p)
+		c.handleAnswer(now, from, p)
 	}
 }
 
-func (c *Core) inbound(now time.Time, service *route.Service, class *route.Class, p *packet.Packet) {
+func (c *Core) handleInbound(now time.Time, service *route.Service, class *route.Class, p *packet.Packet) {
 	if class.Work {
-		c.work.Request(now, service, class, p)
+		c.work.HandleRequest(now, service, class, p)
 		return
 	}
 	v := c.flow.Inbound(now, p)
 	c.config.OnFlow(now, v, p, false)
-	c.carryOut(v, p)
+	c.applyVerdict(v, p)
 }
 
-func (c *Core) answer(now time.Time, from netip.AddrPort, p *packet.Packet) {
+func (c *Core) handleAnswer(now time.Time, from netip.AddrPort, p *packet.Packet) {
 	v := c.flow.Answer(now, from, p)
 	c.config.OnFlow(now, v, p, true)
 	switch v.Action() {
@@ -148,8 +148,8 @@
 	}
 }
 
-// carryOut turns a verdict on a caller's packet into what is sent.
-func (c *Core) carryOut(v flow.Verdict, p *packet.Packet) {
+// applyVerdict turns a verdict on a caller's packet into what is sent.
+func (c *Core) applyVerdict(v flow.Verdict, p *packet.Packet) {
 	switch v.Action() {
 	case flow.Forward:
 		c.sends = append(c.sends, Send{Target: ToBackend, Endpoint: v.Endpoint(), Inner: p.Inner()})
@@ -163,25 +163,25 @@
 	}
 }
 
-// collect adds what the engines want sent beside the packet at hand.
-func (c *Core) collect(now time.Time) {
+// collectOutput adds what the engines want sent beside the packet at hand.
+func (c *Core) collectOutput(now time.Time) {
 	for _, o := range c.flow.TakeOutput() {
 		if o.Message != nil {
 			c.sends = append(c.sends, Send{Target: ToPeer, Peer: o.Peer, Message: o.Message})
 			continue
 		}
 		c.config.OnFlow(now, o.Verdict, o.Packet, false)
-		c.carryOut(o.Verdict, o.Packet)
+		c.applyVerdict(o.Verdict, o.Packet)
 	}
-	for _, o := range c.work.TakeOut() {
-		c.sends = append(c.sends, workSend(o))
+	for _, o := range c.work.TakeOutput() {
+		c.sends = append(c.sends, sendFromWork(o))
 	}
 	for _, e := range c.work.TakeEvents() {
 		c.config.OnWork(now, e)
 	}
 }
 
-func workSend(o work.Out) Send {
+func sendFromWork(o work.Output) Send {
 	switch o.Kind {
 	case work.ToBackend:
 		return Send{Target: ToBackend, Endpoint: o.Endpoint, Inner: o.Inner, Until: o.Until}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -39,7 +39,7 @@
 	return c
 }
 
-func take(t *testing.T, c *Core, from netip.AddrPort, tuple packet.Tuple, f packet.Flags) ([]Send, []byte) {
+func handlePacket(t *testing.T, c *Core, from netip.AddrPort, tuple packet.Tuple, f packet.Flags) ([]Send, []byte) {
 	t.Helper()
 	inner, err := packet.Build(tuple, f, 1, 1, []byte("payload"))
 	if err != nil {
@@ -54,7 +54,7 @@
 	return c.TakeSends(start), inner
 }
 
-func TestBothTransportsAndFamiliesGoTheWholeWay(t *testing.T) {
+func TestForwardAllTransportsAndFamilies(t *testing.T) {
 	for id, addr := range map[uint16]string{1: "192.0.2.1:443", 2: "[2001:db8::1]:443"} {
 		caller := netip.MustParseAddrPort("10.0.0.1:4000")
 		if id == 2 {
@@ -64,30 +64,30 @@
 			g := gomega.NewWithT(t)
 			c := newCore(t)
 			tuple := packet.NewTuple(caller, netip.MustParseAddrPort(addr), transport)
-			sends, inner := take(t, c, netip.AddrPort{}, tuple, packet.NewFlags(true, false, false, false))
+			sends, inner := handlePacket(t, c, netip.AddrPort{}, tuple, packet.NewFlags(true, false, false, false))
 			g.Expect(sends).To(gomega.HaveLen(1), "%s %s", addr, transport)
 			g.Expect(sends[0].Target).To(gomega.Equal(ToBackend))
 			g.Expect(sends[0].Inner).To(gomega.Equal(inner), "unchanged")
 			backend := sends[0].Endpoint.Addr()
 			g.Expect(backend.Port()).To(gomega.Equal(9000 + id))
-			sends, inner = take(t, c, backend, tuple.Reverse(), packet.NewFlags(true, true, false, false))
+			sends, inner = handlePacket(t, c, backend, tuple.Reverse(), packet.NewFlags(true, true, false, false))
 			g.Expect(sends).To(gomega.HaveLen(1))
 			g.Expect(sends[0].Target).To(gomega.Equal(ToFabric))
 			g.Expect(sends[0].Inner).To(gomega.Equal(inner))
 			other := netip.AddrPortFrom(backend.Addr(), 9003-id)
-			sends, _ = take(t, c, other, tuple.Reverse(), packet.NewFlags(false, true, false, false))
+			sends, _ = handlePacket(t, c, other, tuple.Reverse(), packet.NewFlags(false, true, false, false))
 			g.Expect(sends).To(gomega.BeEmpty(), "the other service's backend server may not answer")
 		}
 	}
 }
 
-func TestUnknownServicesAreDroppedAndCounted(t *testing.T) {
+func TestUnknownServiceDropped(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var seen []flow.Reason
 	c := newCore(t)
 	c.config.OnFlow = func(_ time.Time, v flow.Verdict, _ *packet.Packet, _ bool) { seen = append(seen, v.Reason()) }
 	tuple := packet.NewTuple(netip.MustParseAddrPort("10.0.0.1:1"), netip.MustParseAddrPort("203.0.113.1:1"), packet.TCP)
-	sends, _ := take(t, c, netip.AddrPort{}, tuple, packet.NewFlags(true, false, false, false))
+	sends, _ := handlePacket(t, c, netip.AddrPort{}, tuple, packet.NewFlags(true, false, false, false))
 	g.Expect(sends).To(gomega.BeEmpty())
 	g.Expect(seen).To(gomega.Equal([]flow.Reason{flow.UnknownService}))
 }
--- a/internal/instance/batch.go
+++ b/internal/instance/batch.go
@@ -14,19 +14,19 @@
 )
 
 const (
-	batchSize  = 64
-	packetSize = 9216 // a jumbo frame with its tunnel header
+	batchSize        = 64
+	maxDatagramBytes = 9216 // a jumbo frame with its tunnel header
 )
 
 // batchConn reads and writes datagrams many at a time, over IPv4 or IPv6.
 type batchConn struct {
-	udp   *net.UDPConn
-	read  func([]ipv4.Message, int) (int, error)
-	write func([]ipv4.Message, int) (int, error)
-	in    []ipv4.Message
-	out   []ipv4.Message
-	used  int
-	addrs map[netip.AddrPort]*net.UDPAddr
+	udp    *net.UDPConn
+	read   func([]ipv4.Message, int) (int, error)
+	write  func([]ipv4.Message, int) (int, error)
+	in     []ipv4.Message
+	out    []ipv4.Message
+	queued int
+	addrs  map[netip.AddrPort]*net.UDPAddr
 }
 
 func newBatchConn(addr netip.AddrPort, queueBytes int) (*batchConn, error) {
@@ -52,7 +52,7 @@
 func newMessages() []ipv4.Message {
 	messages := make([]ipv4.Message, batchSize)
 	for i := range messages {
-		messages[i].Buffers = [][]byte{make([]byte, packetSize)}
+		messages[i].Buffers = [][]byte{make([]byte, maxDatagramBytes)}
 	}
 	return messages
 }
@@ -73,27 +73,27 @@
 	return b.in[:n], nil
 }
 
-// next returns the buffer of the next datagram to be sent, empty.
-func (b *batchConn) next() []byte { return b.out[b.used].Buffers[0][:0] }
+// nextBuffer returns the buffer of the nextBuffer datagram to be sent, empty.
+func (b *batchConn) nextBuffer() []byte { return b.out[b.queued].Buffers[0][:0] }
 
-// queue sends a datagram that was appended to the buffer of next.
-func (b *batchConn) queue(data []byte, to netip.AddrPort) error {
-	m := &b.out[b.used]
+// enqueue sends a datagram that was appended to the buffer of next.
+func (b *batchConn) enqueue(data []byte, to netip.AddrPort) error {
+	m := &b.out[b.queued]
 	m.Buffers[0] = data
-	m.Addr = b.addr(to)
-	b.used++
-	if b.used == len(b.out) {
+	m.Addr = b.udpAddr(to)
+	b.queued++
+	if b.queued == len(b.out) {
 		return b.flush()
 	}
 	return nil
 }
 
-// addr returns the address as the socket wants it, made once for each.
-func (b *batchConn) addr(to netip.AddrPort) *net.UDPAddr {
-	const most = 1 << 16
+// udpAddr returns the address as the socket wants it, made once for each.
+func (b *batchConn) udpAddr(to netip.AddrPort) *net.UDPAddr {
+	const maxAddrs = 1 << 16
 	a := b.addrs[to]
 	if a == nil {
-		if len(b.addrs) >= most {
+		if len(b.addrs) >= maxAddrs {
 			clear(b.addrs)
 		}
 		a = net.UDPAddrFromAddrPort(to)
@@ -106,13 +106,13 @@
 // the network may lose it as well.
 func (b *batchConn) flush() error {
 	sent := 0
-	for sent < b.used {
-		n, err := b.write(b.out[sent:b.used], 0)
+	for sent < b.queued {
+		n, err := b.write(b.out[sent:b.queued], 0)
 		if errors.Is(err, net.ErrClosed) {
 			return err
 		}
 		sent += max(n, 1)
 	}
-	b.used = 0
+	b.queued = 0
 	return nil
 }
--- a/internal/instance/budget_test.go
+++ b/internal/instance/budget_test.go
@@ -15,33 +15,33 @@
 	return newBudget(settings.Limits{ControlBytes: 1000, CoreThousandths: 13, MemoryMegabytes: 64}, c), c
 }
 
-func TestBeatsAreNeverSlowedByTheByteBudget(t *testing.T) {
+func TestHeartbeatsIgnoreByteBudget(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b, counters := newTestBudget()
 	now := time.Unix(100, 0)
 	for range 100 {
-		b.must(now, 400)
+		b.charge(now, 400)
 	}
 	g.Expect(counters.Counter("control_bytes").Count()).To(gomega.Equal(int64(40_000)), "what must be sent is sent and metered")
-	g.Expect(b.may(now, 10)).To(gomega.BeFalse(), "counts and probes wait")
-	g.Expect(b.may(now.Add(time.Minute), 10)).To(gomega.BeTrue())
+	g.Expect(b.tryCharge(now, 10)).To(gomega.BeFalse(), "counts and probes wait")
+	g.Expect(b.tryCharge(now.Add(time.Minute), 10)).To(gomega.BeTrue())
 }
 
-func TestChecksAreSlowedWhenProcessorTimeRunsShort(t *testing.T) {
+func TestChecksSlowDownAboveCoreLimit(t *testing.T) {
 	g := gomega.NewWithT(t)
 	b, counters := newTestBudget()
 	now := time.Unix(100, 0)
-	b.judge(now, 0)
+	b.evaluate(now, 0)
 	for range 6 {
-		now = now.Add(busyWindow)
-		b.busy(busyWindow / 10)
-		b.judge(now, 0)
+		now = now.Add(budgetWindow)
+		b.addBusy(budgetWindow / 10)
+		b.evaluate(now, 0)
 	}
-	g.Expect(b.slow()).To(gomega.BeEquivalentTo(slowest))
+	g.Expect(b.checkSlowdown()).To(gomega.BeEquivalentTo(maxCheckSlowdown))
 	for range 6 {
-		now = now.Add(busyWindow)
-		b.judge(now, 128<<20)
+		now = now.Add(budgetWindow)
+		b.evaluate(now, 128<<20)
 	}
-	g.Expect(b.slow()).To(gomega.BeEquivalentTo(1))
+	g.Expect(b.checkSlowdown()).To(gomega.BeEquivalentTo(1))
 	g.Expect(counters.Counter("budget_exceeded").Count()).To(gomega.BeNumerically(">=", 12), "memory above the limit is counted too")
 }
--- a/internal/instance/checker.go
+++ b/internal/instance/checker.go
@@ -15,9 +15,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// checkersEach is how many entries check one endpoint, so that one of them
+// checkersPerEndpoint is how many entries check one endpoint, so that one of them
 // that lies or is cut off does not decide.
-const checkersEach = 2
+const checkersPerEndpoint = 2
 
 type (
 	// checker asks backend servers how they are. It decides nothing.
@@ -28,8 +28,8 @@
 		share    []*route.Endpoint // what this entry checks
 	}
 
-	// healthAnswer is what a backend server tells of one endpoint.
-	healthAnswer struct {
+	// healthReport is what a backend server tells of one endpoint.
+	healthReport struct {
 		Healthy     bool   `json:"healthy"`
 		Leaving     bool   `json:"leaving"`
 		Shedding    bool   `json:"shedding"`
@@ -46,17 +46,17 @@
 func (c *checker) run(ctx context.Context) error {
 	ticker := time.NewTicker(c.instance.config.Settings.Times.Check.Std())
 	defer ticker.Stop()
-	turn := 0
+	round := 0
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if turn++; turn%int(c.instance.budget.slow()) != 0 {
+		if round++; round%int(c.instance.budget.checkSlowdown()) != 0 {
 			continue
 		}
-		loads := c.check(ctx, c.mine())
+		loads := c.checkAll(ctx, c.currentShare())
 		select {
 		case c.instance.control.loads <- loads:
 		case <-ctx.Done():
@@ -64,9 +64,9 @@
 	}
 }
 
-// mine returns the endpoints that this entry checks, worked out once for each
+// currentShare returns the endpoints that this entry checks, worked out once for each
 // table.
-func (c *checker) mine() []*route.Endpoint {
+func (c *checker) currentShare() []*route.Endpoint {
 	if table := c.instance.view.Load().Table; table != c.table {
 		c.table, c.share = table, c.shareOf(table)
 	}
@@ -85,50 +85,50 @@
 	var found []*route.Endpoint
 	table.Services(func(s *route.Service) {
 		for _, e := range table.EndpointsOf(s.ID()) {
-			if e.Health().IsValid() && e.Domain() == c.instance.self.Domain && c.amongFirst(local, e.ID()) {
+			if e.Health().IsValid() && e.Domain() == c.instance.self.Domain && c.isChecker(local, e.ID()) {
 				found = append(found, e)
 			}
 		}
 	})
-	most := int(float64(c.instance.config.Settings.Limits.ChecksASecond) * c.instance.config.Settings.Times.Check.Std().Seconds())
-	return found[:min(len(found), max(most, 1))]
+	limit := int(float64(c.instance.config.Settings.Limits.ChecksASecond) * c.instance.config.Settings.Times.Check.Std().Seconds())
+	return found[:min(len(found), max(limit, 1))]
 }
 
-func (c *checker) amongFirst(local []route.Member, endpoint uint32) bool {
-	mine := siphash.Hash(uint64(endpoint), 0, []byte(c.instance.self.Name))
-	better := 0
+func (c *checker) isChecker(local []route.Member, endpoint uint32) bool {
+	own := siphash.Hash(uint64(endpoint), 0, []byte(c.instance.self.Name))
+	higher := 0
 	for _, m := range local {
-		if siphash.Hash(uint64(endpoint), 0, []byte(m.Name())) <= mine {
+		if siphash.Hash(uint64(endpoint), 0, []byte(m.Name())) <= own {
 			continue
 		}
-		if better++; better == checkersEach {
+		if higher++; higher == checkersPerEndpoint {
 			return false // most are told by a few of the entries
 		}
 	}
 	return true
 }
 
-// check asks the endpoints, a few at a time.
-func (c *checker) check(ctx context.Context, endpoints []*route.Endpoint) []*wire.EndpointLoad {
-	const atOnce = 16
+// checkAll asks the endpoints, a few at a time.
+func (c *checker) checkAll(ctx context.Context, endpoints []*route.Endpoint) []*wire.EndpointLoad {
+	const maxConcurrent = 16
 	loads := make([]*wire.EndpointLoad, len(endpoints))
-	slots := make(chan struct{}, atOnce)
+	semaphore := make(chan struct{}, maxConcurrent)
 	var wait sync.WaitGroup
 	for n, e := range endpoints {
-		slots <- struct{}{}
+		semaphore <- struct{}{}
 		wait.Go(func() {
-			defer func() { <-slots }()
-			loads[n] = c.ask(ctx, e)
+			defer func() { <-semaphore }()
+			loads[n] = c.checkOne(ctx, e)
 		})
 	}
 	wait.Wait()
 	return loads
 }
 
-func (c *checker) ask(ctx context.Context, e *route.Endpoint) *wire.EndpointLoad {
-	const mostBytes = 4096
-	var a healthAnswer
-	err := getJSON(ctx, c.client, fmt.Sprintf("http://%s/health", e.Health()), mostBytes, &a)
+func (c *checker) checkOne(ctx context.Context, e *route.Endpoint) *wire.EndpointLoad {
+	const maxBytes = 4096
+	var a healthReport
+	err := getJSON(ctx, c.client, fmt.Sprintf("http://%s/health", e.Health()), maxBytes, &a)
 	if err != nil {
 		c.instance.counters.Counter("check_failures").Inc(1)
 		return &wire.EndpointLoad{Endpoint: e.ID()}
@@ -140,18 +140,18 @@
 }
 
 // getJSON decodes a JSON document of at most so many bytes.
-func getJSON(ctx context.Context, client *http.Client, url string, most int64, into any) error {
+func getJSON(ctx context.Context, client *http.Client, url string, limit int64, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
 		return err
 	}
-	answer, err := client.Do(request)
+	response, err := client.Do(request)
 	if err != nil {
 		return err
 	}
-	defer func() { _ = answer.Body.Close() }()
-	if answer.StatusCode != http.StatusOK {
-		return fmt.Errorf("get %s: status %d", url, answer.StatusCode)
+	defer func() { _ = response.Body.Close() }()
+	if response.StatusCode != http.StatusOK {
+		return fmt.Errorf("get %s: status %d", url, response.StatusCode)
 	}
-	return json.NewDecoder(io.LimitReader(answer.Body, most)).Decode(into)
+	return json.NewDecoder(io.LimitReader(response.Body, limit)).Decode(into)
 }
--- a/internal/instance/checker_test.go
+++ b/internal/instance/checker_test.go
@@ -12,8 +12,8 @@
 	"oxbowsaddle/internal/settings"
 )
 
-// oneDomain returns the table of one failure domain, 4 endpoints a service.
-func oneDomain(entries, services int) *route.Table {
+// newDomainTable returns the table of one failure domain, 4 endpoints a service.
+func newDomainTable(entries, services int) *route.Table {
 	const endpointsEach = 4
 	b := route.NewBuilder(route.Empty(), 1)
 	for n := range entries {
@@ -31,38 +31,38 @@
 	return b.Table()
 }
 
-func checkerOf(name string, table *route.Table) *checker {
+func newTestChecker(name string, table *route.Table) *checker {
 	i := &Instance{config: Config{Settings: settings.Default()}, self: settings.Instance{Name: name, Domain: "d"}}
 	i.view.Store(&flow.View{Table: table})
 	return &checker{instance: i}
 }
 
-func TestEveryEndpointHasTwoCheckers(t *testing.T) {
+func TestEndpointHasTwoCheckers(t *testing.T) {
 	g := gomega.NewWithT(t)
 	const entries, services = 9, 3
-	table := oneDomain(entries, services)
+	table := newDomainTable(entries, services)
 	checkers := map[string]int{}
 	for n := range entries {
-		c := checkerOf(fmt.Sprint("e", n), table)
-		for _, e := range c.mine() {
+		c := newTestChecker(fmt.Sprint("e", n), table)
+		for _, e := range c.currentShare() {
 			checkers[e.Addr().String()]++
 		}
 		c.instance.view.Store(&flow.View{Table: route.Empty()})
-		g.Expect(c.mine()).To(gomega.BeEmpty(), "a new table has a share of its own")
+		g.Expect(c.currentShare()).To(gomega.BeEmpty(), "a new table has a share of its own")
 	}
 	g.Expect(checkers).To(gomega.HaveLen(4 * services))
-	g.Expect(checkers).To(gomega.HaveEach(checkersEach))
+	g.Expect(checkers).To(gomega.HaveEach(checkersPerEndpoint))
 }
 
 // BenchmarkCheckerShare takes one failure domain of the size to design for.
 func BenchmarkCheckerShare(b *testing.B) {
-	c := checkerOf("e7", oneDomain(425, 860))
+	c := newTestChecker("e7", newDomainTable(425, 860))
 	b.Run("same table", func(b *testing.B) {
 		b.ReportAllocs()
 		for b.Loop() {
-			c.mine()
+			c.currentShare()
 		}
-		b.ReportMetric(float64(len(c.mine())), "endpoints")
+		b.ReportMetric(float64(len(c.currentShare())), "endpoints")
 	})
 	b.Run("new table", func(b *testing.B) {
 		b.ReportAllocs()
--- a/internal/instance/dial.go
+++ b/internal/instance/dial.go
@@ -90,7 +90,7 @@
 }
 
 // client returns a connection to an address, dialled if need be.
-func (d *dialer) clientOf(ctx context.Context, addr netip.AddrPort, purpose string) (wire.DRPCControlClient, error) {
+func (d *dialer) connect(ctx context.Context, addr netip.AddrPort, purpose string) (wire.DRPCControlClient, error) {
 	if d.blocked(addr) {
 		return nil, fault.New(fault.Unreachable, "%s cannot be reached", addr)
 	}
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -40,24 +40,24 @@
 
 	// Instance is one entry instance.
 	Instance struct {
-		config   Config
-		self     settings.Instance
-		log      *log.Logger
-		now      func() time.Time
-		counters *telemetry.Counters
-		tracer   *telemetry.Tracer
-		ring     *explain.Ring[*wire.Decision]
-		view     atomic.Pointer[flow.View]
-		traffic  *traffic
-		control  *controlLoop
-		leader   *leaderLoop // nil without a data folder
-		dialer   *dialer
-		checker  *checker
-		listener net.Listener
-		budget   *budget
-		stop     context.CancelFunc
-		done     chan struct{}
-		stopped  atomic.Bool
+		config    Config
+		self      settings.Instance
+		log       *log.Logger
+		now       func() time.Time
+		counters  *telemetry.Counters
+		tracer    *telemetry.Tracer
+		decisions *explain.Ring[*wire.Decision]
+		view      atomic.Pointer[flow.View]
+		traffic   *traffic
+		control   *controlLoop
+		leader    *leaderLoop // nil without a data folder
+		dialer    *dialer
+		checker   *checker
+		listener  net.Listener
+		budget    *budget
+		stop      context.CancelFunc
+		done      chan struct{}
+		stopped   atomic.Bool
 	}
 )
 
@@ -72,7 +72,7 @@
 	}
 	i := &Instance{
 		config: c, self: self, log: c.Log, now: c.Now, counters: telemetry.NewCounters(),
-		ring: explain.NewRing[*wire.Decision](c.Settings.Limits.Decisions), done: make(chan struct{}),
+		decisions: explain.NewRing[*wire.Decision](c.Settings.Limits.Decisions), done: make(chan struct{}),
 	}
 	i.view.Store(&flow.View{Table: emptyTable})
 	i.budget = newBudget(c.Settings.Limits, i.counters)
@@ -89,7 +89,7 @@
 		return nil, errors.Join(err, i.traffic.close())
 	}
 	incarnation := uint64(c.Now().UnixNano())
-	i.traffic.build(incarnation)
+	i.traffic.buildCore(incarnation)
 	i.control = newControlLoop(i, incarnation)
 	i.checker = newChecker(i)
 	if self.Data != "" {
@@ -126,12 +126,12 @@
 	}
 	i.log.Info("started", "domain", i.self.Domain, "packets", i.self.Packets, "control", i.self.Control, "control_instance", i.leader != nil)
 	err := group.Wait()
-	err = errors.Join(ignoreEnd(err), i.closeAll())
+	err = errors.Join(ignoreShutdown(err), i.closeAll())
 	i.log.Info("ended", "error", err)
 	return err
 }
 
-func ignoreEnd(err error) error {
+func ignoreShutdown(err error) error {
 	if errors.Is(err, context.Canceled) || errors.Is(err, net.ErrClosed) {
 		return nil
 	}
@@ -139,10 +139,10 @@
 }
 
 func (i *Instance) closeAll() error {
-	const patience = 2 * time.Second
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	const timeout = 2 * time.Second
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
-	err := errors.Join(ignoreEnd(i.traffic.close()), ignoreEnd(i.listener.Close()), i.tracer.Close(ctx))
+	err := errors.Join(ignoreShutdown(i.traffic.close()), ignoreShutdown(i.listener.Close()), i.tracer.Close(ctx))
 	i.dialer.close()
 	if i.leader != nil {
 		err = errors.Join(err, i.leader.close())
--- a/internal/instance/leader.go
+++ b/internal/instance/leader.go
@@ -94,9 +94,9 @@
 		case <-ticker.C:
 			l.replica.Tick(l.instance.now())
 		}
-		began := l.instance.now()
-		err := l.pump(ctx)
-		l.instance.budget.busy(l.instance.now().Sub(began))
+		start := l.instance.now()
+		err := l.process(ctx)
+		l.instance.budget.addBusy(l.instance.now().Sub(start))
 		if err != nil {
 			l.instance.log.Error("control instance ends", "error", err, "next", fault.KindOf(err).Answer().NextStep())
 			return err
@@ -104,9 +104,9 @@
 	}
 }
 
-// pump persists, sends and applies, in this order, and lets the controller
+// process persists, sends and applies, in this order, and lets the controller
 // decide while this instance leads.
-func (l *leaderLoop) pump(ctx context.Context) error {
+func (l *leaderLoop) process(ctx context.Context) error {
 	for {
 		now := l.instance.now()
 		ready := l.replica.Ready(now)
@@ -114,7 +114,7 @@
 			return err
 		}
 		for _, m := range ready.Messages {
-			l.post(ctx, m)
+			l.enqueue(ctx, m)
 		}
 		for _, e := range ready.Committed {
 			if err := l.apply(e); err != nil {
@@ -124,7 +124,7 @@
 		if err := l.compact(); err != nil {
 			return err
 		}
-		if !l.lead(now) && len(ready.Committed) == 0 {
+		if !l.runController(now) && len(ready.Committed) == 0 {
 			return nil
 		}
 	}
@@ -161,8 +161,8 @@
 	return nil
 }
 
-// lead lets the controller decide; it reports whether something was proposed.
-func (l *leaderLoop) lead(now time.Time) bool {
+// runController lets the controller decide; it reports whether something was proposed.
+func (l *leaderLoop) runController(now time.Time) bool {
 	role := l.replica.Role()
 	if role != l.lastRole {
 		l.lastRole = role
@@ -218,8 +218,8 @@
 
 // compact saves a snapshot when the log has grown.
 func (l *leaderLoop) compact() error {
-	first := l.state.Index() - l.snapshot.index
-	if first < uint64(l.instance.config.Settings.Limits.LogEntries) {
+	grown := l.state.Index() - l.snapshot.index
+	if grown < uint64(l.instance.config.Settings.Limits.LogEntries) {
 		return nil
 	}
 	data, err := l.state.Snapshot()
@@ -232,8 +232,8 @@
 
 // currentSnapshot returns a snapshot for an entry that lags far behind.
 func (l *leaderLoop) currentSnapshot() (uint64, []byte, error) {
-	const freshEnough = 64
-	if l.snapshot.data == nil || l.state.Index()-l.snapshot.index > freshEnough {
+	const maxLag = 64
+	if l.snapshot.data == nil || l.state.Index()-l.snapshot.index > maxLag {
 		data, err := l.state.Snapshot()
 		if err != nil {
 			return 0, nil, err
@@ -243,9 +243,9 @@
 	return l.snapshot.index, l.snapshot.data, nil
 }
 
-// post hands a message to the goroutine that sends to its receiver. A full
+// enqueue hands a message to the goroutine that sends to its receiver. A full
 // outbox drops it: the log sends again what is not answered.
-func (l *leaderLoop) post(ctx context.Context, m *wire.LogMessage) {
+func (l *leaderLoop) enqueue(ctx context.Context, m *wire.LogMessage) {
 	const queue = 64
 	outbox := l.outboxes[m.To]
 	if outbox == nil {
@@ -276,9 +276,9 @@
 	if err != nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(ctx, beatTimeout)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	client, err := l.instance.dialer.clientOf(ctx, target.Control, "log")
+	client, err := l.instance.dialer.connect(ctx, target.Control, "log")
 	if err == nil {
 		_, err = client.Step(ctx, m)
 	}
@@ -287,8 +287,8 @@
 	}
 }
 
-// beat answers an entry's beat.
-func (l *leaderLoop) beat(now time.Time, r *wire.BeatRequest) *wire.BeatReply {
+// handleHeartbeat answers an entry's handleHeartbeat.
+func (l *leaderLoop) handleHeartbeat(now time.Time, r *wire.BeatRequest) *wire.BeatReply {
 	reply := &wire.BeatReply{LeaderName: l.replica.Leader(), Term: l.replica.Term(), Commit: l.replica.Commit()}
 	if l.ctl == nil || !l.replica.Current(now) {
 		return reply
--- a/internal/instance/server.go
+++ b/internal/instance/server.go
@@ -18,7 +18,7 @@
 const (
 	// submitTimeout bounds how long an operator waits for a majority.
 	submitTimeout = 5 * time.Second
-	mostDecisions = 20
+	maxDecisions  = 20
 )
 
 // server answers calls on the control address.
@@ -44,7 +44,7 @@
 		return &wire.BeatReply{}, nil
 	}
 	var reply *wire.BeatReply
-	err := l.calls.call(ctx, func(now time.Time) { reply = l.beat(now, r) })
+	err := l.calls.call(ctx, func(now time.Time) { reply = l.handleHeartbeat(now, r) })
 	return reply, err
 }
 
@@ -58,8 +58,8 @@
 	return &wire.StepReply{}, err
 }
 
-// enter takes one of the bounded places for operators' calls.
-func (s *server) enter(ctx context.Context) (func(), error) {
+// acquireSlot takes one of the bounded places for operators' calls.
+func (s *server) acquireSlot(ctx context.Context) (func(), error) {
 	select {
 	case s.slots <- struct{}{}:
 		return func() { <-s.slots }, nil
@@ -70,21 +70,21 @@
 
 // Submit offers an operator's change to the leader, here or elsewhere.
 func (s *server) Submit(ctx context.Context, c *wire.Change) (*wire.SubmitReply, error) {
-	leave, err := s.enter(ctx)
+	release, err := s.acquireSlot(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer leave()
+	defer release()
 	ctx, cancel := context.WithTimeout(ctx, submitTimeout)
 	defer cancel()
-	if answer, err := s.submitHere(ctx, c); err == nil || c.Forwarded {
+	if answer, err := s.submitLocal(ctx, c); err == nil || c.Forwarded {
 		return submitReply(answer, err), nil
 	}
 	forwarded := &wire.Change{
 		Id: c.Id, Author: c.Author, Base: c.Base, Confirmed: c.Confirmed, Objects: c.Objects, Plan: c.Plan, Forwarded: true,
 	}
 	reply := submitReply(control.Answer{}, fault.New(fault.NoQuorum, "no control instance could decide"))
-	s.decideElsewhere(ctx, func(client wire.DRPCControlClient) bool {
+	s.askOthers(ctx, func(client wire.DRPCControlClient) bool {
 		got, err := client.Submit(ctx, forwarded)
 		decided := err == nil && got.Kind != fault.NotCurrent.Name()
 		if decided {
@@ -95,11 +95,11 @@
 	return reply, nil
 }
 
-// decideElsewhere asks the other control instances, the leader first, until
+// askOthers asks the other control instances, the leader first, until
 // one has decided.
-func (s *server) decideElsewhere(ctx context.Context, ask func(wire.DRPCControlClient) bool) {
+func (s *server) askOthers(ctx context.Context, ask func(wire.DRPCControlClient) bool) {
 	for _, target := range s.controlTargets(ctx) {
-		client, err := s.instance.dialer.clientOf(ctx, target, "operator")
+		client, err := s.instance.dialer.connect(ctx, target, "operator")
 		if err == nil && ask(client) {
 			return
 		}
@@ -129,7 +129,7 @@
 	return targets
 }
 
-func (s *server) submitHere(ctx context.Context, c *wire.Change) (control.Answer, error) {
+func (s *server) submitLocal(ctx context.Context, c *wire.Change) (control.Answer, error) {
 	l := s.instance.leader
 	if l == nil {
 		return control.Answer{}, fault.New(fault.NotCurrent, "%s is no control instance", s.instance.self.Name)
@@ -163,20 +163,20 @@
 
 // Status tells what this instance holds and, by the leader, who lags.
 func (s *server) Status(ctx context.Context, r *wire.StatusRequest) (*wire.StatusReply, error) {
-	leave, err := s.enter(ctx)
+	release, err := s.acquireSlot(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer leave()
+	defer release()
 	reply := &wire.StatusReply{Name: s.instance.self.Name, Domain: s.instance.self.Domain, Role: "entry"}
 	err = s.instance.control.calls.call(ctx, func(now time.Time) { s.fillEntry(reply, now, r.History) })
 	if err != nil {
 		return nil, err
 	}
-	if s.fillLeader(ctx, reply) || r.Forwarded {
+	if s.fillFromLeader(ctx, reply) || r.Forwarded {
 		return reply, nil
 	}
-	s.askLeader(ctx, reply, r.History)
+	s.fillFromRemoteLeader(ctx, reply, r.History)
 	return reply, nil
 }
 
@@ -198,8 +198,8 @@
 	}
 }
 
-// fillLeader adds what only the leader knows; false where this is not it.
-func (s *server) fillLeader(ctx context.Context, reply *wire.StatusReply) bool {
+// fillFromLeader adds what only the leader knows; false where this is not it.
+func (s *server) fillFromLeader(ctx context.Context, reply *wire.StatusReply) bool {
 	l := s.instance.leader
 	if l == nil {
 		return false
@@ -220,18 +220,18 @@
 				Name: m.Name, Domain: m.Domain, Applied: m.Applied, SilentNanos: int64(m.SinceHeartbeat), Leased: m.Leased,
 			})
 		}
-		reply.Drains = l.drains(now)
+		reply.Drains = l.drainStatus(now)
 	})
 	return leads
 }
 
-// askLeader adds what the leader knows to the status of another instance.
-func (s *server) askLeader(ctx context.Context, reply *wire.StatusReply, history bool) {
+// fillFromRemoteLeader adds what the leader knows to the status of another instance.
+func (s *server) fillFromRemoteLeader(ctx context.Context, reply *wire.StatusReply, history bool) {
 	leader, err := s.instance.config.Settings.Instance(reply.LeaderName)
 	if err != nil {
 		return
 	}
-	client, err := s.instance.dialer.clientOf(ctx, leader.Control, "operator")
+	client, err := s.instance.dialer.connect(ctx, leader.Control, "operator")
 	if err != nil {
 		return
 	}
@@ -245,23 +245,23 @@
 	}
 }
 
-// drains tells what each leaving endpoint still waits for.
-func (l *leaderLoop) drains(now time.Time) []*wire.DrainStatus {
+// drainStatus tells what each leaving endpoint still waits for.
+func (l *leaderLoop) drainStatus(now time.Time) []*wire.DrainStatus {
 	table := l.state.Table()
-	waits := map[uint32]*wire.DrainStatus{}
+	byEndpoint := map[uint32]*wire.DrainStatus{}
 	var order []uint32
 	table.Services(func(s *route.Service) {
 		for _, e := range table.EndpointsOf(s.ID()) {
 			if since, leaving := l.state.LeavingSince(e.ID()); leaving {
-				waits[e.ID()] = &wire.DrainStatus{Service: s.Name(), Endpoint: e.Name(), SinceNanos: int64(now.Sub(since))}
+				byEndpoint[e.ID()] = &wire.DrainStatus{Service: s.Name(), Endpoint: e.Name(), SinceNanos: int64(now.Sub(since))}
 				order = append(order, e.ID())
 			}
 		}
 		for bucket, t := range s.Transitions() {
-			if d := waits[t.Default]; d != nil && !t.Flipped() {
+			if d := byEndpoint[t.Default]; d != nil && !t.Flipped() {
 				d.Buckets++
 				d.Flows += l.ctl.FlowsElsewhere(s.ID(), bucket)
-			} else if d := waits[t.Previous]; d != nil {
+			} else if d := byEndpoint[t.Previous]; d != nil {
 				d.Buckets++
 				d.Flows += l.ctl.FlowsElsewhere(s.ID(), bucket)
 			}
@@ -269,18 +269,18 @@
 	})
 	var all []*wire.DrainStatus
 	for _, id := range order {
-		all = append(all, waits[id])
+		all = append(all, byEndpoint[id])
 	}
 	return all
 }
 
 // Stats returns every counter.
 func (s *server) Stats(ctx context.Context, _ *wire.StatsRequest) (*wire.StatsReply, error) {
-	leave, err := s.enter(ctx)
+	release, err := s.acquireSlot(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer leave()
+	defer release()
 	s.instance.refreshGauges()
 	reply := &wire.StatsReply{}
 	s.instance.counters.Each(func(name string, value int64) {
@@ -300,9 +300,9 @@
 	for name, value := range map[string]int{
 		"flows_cached": r.flows.Flows, "flows_half_open": r.flows.HalfOpen, "flow_records": r.flows.Records,
 		"packets_waiting": r.flows.Waiting, "push_backlog": int(r.flows.PushBacklog), "requests_held": r.work.Requests,
-		"requests_queued": r.work.Queue, "request_keys_kept": r.work.Kept, "flow_table_full": int(r.flows.TableFull),
+		"requests_queued": r.work.Queued, "request_keys_kept": r.work.StoredKeys, "flow_table_full": int(r.flows.TableFull),
 		"push_bytes": int(r.flows.PushBytes), "hold_bytes": int(r.work.HoldBytes),
-		"broken_rules": int(r.flows.InvariantViolations + r.work.Broken), "requests_late_answers": int(r.work.Late),
+		"broken_rules": int(r.flows.InvariantViolations + r.work.Broken), "requests_late_answers": int(r.work.LateAnswers),
 		"requests_duplicate": int(r.work.Duplicates), "requests_retried": int(r.work.Retries), "requests_shed": int(r.work.Shed),
 	} {
 		i.counters.Gauge(name).Update(int64(value))
--- a/internal/instance/stop_test.go
+++ b/internal/instance/stop_test.go
@@ -12,9 +12,9 @@
 
 // A planned stop that may not wait ends the instance all the same, and says
 // that not everything was handed over.
-func TestStopThatCannotWaitSaysSo(t *testing.T) {
+func TestStopReportsUnfinishedHandover(t *testing.T) {
 	g := gomega.NewWithT(t)
-	i := oneEntry(t, netip.MustParseAddrPort("127.0.0.1:9"))
+	i := startEntry(t, netip.MustParseAddrPort("127.0.0.1:9"))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	err := i.Stop(ctx)
--- a/internal/instance/tls_test.go
+++ b/internal/instance/tls_test.go
@@ -85,14 +85,14 @@
 }
 
 // Only those with a certificate of the fleet's authority may speak to control.
-func TestControlNeedsACertificate(t *testing.T) {
+func TestControlRequiresCertificate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ours, theirs := newAuthority(t, "ours"), newAuthority(t, "theirs")
 	s := settings.Default()
 	s.HashKey = "000102030405060708090a0b0c0d0e0f"
-	s.Fabric = loopback(t, "udp")
+	s.Fabric = freeAddr(t, "udp")
 	s.TLS = ours.issue("one")
-	s.Instances = []settings.Instance{{Name: "one", Domain: "d", Packets: loopback(t, "udp"), Control: loopback(t, "tcp"), Data: filepath.Join(t.TempDir(), "one")}}
+	s.Instances = []settings.Instance{{Name: "one", Domain: "d", Packets: freeAddr(t, "udp"), Control: freeAddr(t, "tcp"), Data: filepath.Join(t.TempDir(), "one")}}
 	logger, err := telemetry.NewLogger(io.Discard, "error", "one")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	i, err := New(Config{Settings: s, Name: "one", Log: logger, Now: time.Now})
--- a/internal/instance/traffic_bench_test.go
+++ b/internal/instance/traffic_bench_test.go
@@ -22,8 +22,8 @@
 
 const benchFlows = 256
 
-// loopback is an address of a port that is free now.
-func loopback(tb testing.TB, network string) netip.AddrPort {
+// freeAddr is an address of a port that is free now.
+func freeAddr(tb testing.TB, network string) netip.AddrPort {
 	tb.Helper()
 	addr, err := standin.FreeAddr(network)
 	if err != nil {
@@ -32,14 +32,14 @@
 	return addr
 }
 
-// oneEntry runs one entry that is its own control instance, with one endpoint.
-func oneEntry(tb testing.TB, endpoint netip.AddrPort) *Instance {
+// startEntry runs one entry that is its own control instance, with one endpoint.
+func startEntry(tb testing.TB, endpoint netip.AddrPort) *Instance {
 	tb.Helper()
 	s := settings.Default()
 	s.HashKey = "000102030405060708090a0b0c0d0e0f"
-	s.Fabric = loopback(tb, "udp")
+	s.Fabric = freeAddr(tb, "udp")
 	s.Instances = []settings.Instance{{
-		Name: "one", Domain: "d", Packets: loopback(tb, "udp"), Control: loopback(tb, "tcp"), Data: filepath.Join(tb.TempDir(), "one"),
+		Name: "one", Domain: "d", Packets: freeAddr(tb, "udp"), Control: freeAddr(tb, "tcp"), Data: filepath.Join(tb.TempDir(), "one"),
 	}}
 	logger, err := telemetry.NewLogger(io.Discard, "error", "one")
 	if err != nil {
@@ -51,11 +51,11 @@
 	}
 	go func() { _ = i.Run(context.Background()) }()
 	tb.Cleanup(i.Kill)
-	accept(tb, s, endpoint)
+	submitConfig(tb, s, endpoint)
 	return i
 }
 
-func accept(tb testing.TB, s settings.Settings, endpoint netip.AddrPort) {
+func submitConfig(tb testing.TB, s settings.Settings, endpoint netip.AddrPort) {
 	tb.Helper()
 	service := fmt.Sprintf(`{"classes":[{"name":"c","address":"192.0.2.1:443","protocol":"tcp","kind":"flow"}],`+
 		`"endpoints":[{"name":"b","address":%q,"domain":"d","slots":1,"connections":100000}]}`, endpoint)
@@ -79,8 +79,8 @@
 	tb.Fatal("the entry did not come up")
 }
 
-// sender sends batches of data segments of several flows as fast as it can.
-func sender(tb testing.TB, to netip.AddrPort) (send func(), stop func()) {
+// startSender sends batches of data segments of several flows as fast as it can.
+func startSender(tb testing.TB, to netip.AddrPort) (send func(), stop func()) {
 	tb.Helper()
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	if err != nil {
@@ -106,8 +106,8 @@
 	return func() { _, _ = p.WriteBatch(messages, 0) }, func() { _ = conn.Close() }
 }
 
-// receiver counts what arrives.
-func receiver(tb testing.TB) (netip.AddrPort, *atomic.Int64) {
+// startReceiver counts what arrives.
+func startReceiver(tb testing.TB) (netip.AddrPort, *atomic.Int64) {
 	tb.Helper()
 	b, err := newBatchConn(netip.MustParseAddrPort("127.0.0.1:0"), 4<<20)
 	if err != nil {
@@ -127,9 +127,9 @@
 	return netip.MustParseAddrPort(b.udp.LocalAddr().String()), &count
 }
 
-// echo reads and writes the same batches as an entry and decides nothing: what
+// startEcho reads and writes the same batches as an entry and decides nothing: what
 // the sockets alone carry.
-func echo(tb testing.TB, to netip.AddrPort) netip.AddrPort {
+func startEcho(tb testing.TB, to netip.AddrPort) netip.AddrPort {
 	tb.Helper()
 	b, err := newBatchConn(netip.MustParseAddrPort("127.0.0.1:0"), 4<<20)
 	if err != nil {
@@ -143,7 +143,7 @@
 				return
 			}
 			for n := range messages {
-				_ = b.queue(append(b.next(), messages[n].Buffers[0][:messages[n].N]...), to)
+				_ = b.enqueue(append(b.nextBuffer(), messages[n].Buffers[0][:messages[n].N]...), to)
 			}
 			_ = b.flush()
 		}
@@ -156,7 +156,7 @@
 func BenchmarkLoopback(b *testing.B) {
 	const seconds = 2
 	measure := func(b *testing.B, to netip.AddrPort, count *atomic.Int64) {
-		send, stop := sender(b, to)
+		send, stop := startSender(b, to)
 		defer stop()
 		for b.Loop() {
 			before, began := count.Load(), time.Now()
@@ -167,12 +167,12 @@
 		}
 	}
 	b.Run("sockets alone", func(b *testing.B) {
-		at, count := receiver(b)
-		measure(b, echo(b, at), count)
+		at, count := startReceiver(b)
+		measure(b, startEcho(b, at), count)
 	})
 	b.Run("one entry", func(b *testing.B) {
-		at, count := receiver(b)
-		i := oneEntry(b, at)
+		at, count := startReceiver(b)
+		i := startEntry(b, at)
 		measure(b, i.self.Packets, count)
 	})
 }
--- a/internal/instance/voters.go
+++ b/internal/instance/voters.go
@@ -11,17 +11,17 @@
 
 // Voters shows or changes the control instances.
 func (s *server) Voters(ctx context.Context, r *wire.VotersRequest) (*wire.VotersReply, error) {
-	leave, err := s.enter(ctx)
+	release, err := s.acquireSlot(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer leave()
-	if reply, err := s.votersHere(ctx, r); err == nil || r.Forwarded {
+	defer release()
+	if reply, err := s.votersLocal(ctx, r); err == nil || r.Forwarded {
 		return reply, nil
 	}
 	forwarded := &wire.VotersRequest{Add: r.Add, Remove: r.Remove, Forwarded: true}
 	reply := &wire.VotersReply{Kind: fault.NoQuorum.Name(), Detail: "no control instance could decide"}
-	s.decideElsewhere(ctx, func(client wire.DRPCControlClient) bool {
+	s.askOthers(ctx, func(client wire.DRPCControlClient) bool {
 		got, err := client.Voters(ctx, forwarded)
 		decided := err == nil && got.Kind != fault.NotCurrent.Name()
 		if decided {
@@ -32,7 +32,7 @@
 	return reply, nil
 }
 
-func (s *server) votersHere(ctx context.Context, r *wire.VotersRequest) (*wire.VotersReply, error) {
+func (s *server) votersLocal(ctx context.Context, r *wire.VotersRequest) (*wire.VotersReply, error) {
 	err := fault.New(fault.NotCurrent, "%s is no control instance", s.instance.self.Name)
 	reply := &wire.VotersReply{}
 	if l := s.instance.leader; l != nil {
--- a/internal/instance/why.go
+++ b/internal/instance/why.go
@@ -14,41 +14,41 @@
 // Why explains. The asked entry asks the others too; of a flow each tells what
 // it has kept and what it would decide now.
 func (s *server) Why(ctx context.Context, r *wire.WhyRequest) (*wire.WhyReply, error) {
-	leave, err := s.enter(ctx)
+	release, err := s.acquireSlot(ctx)
 	if err != nil {
 		return nil, err
 	}
-	defer leave()
+	defer release()
 	reply := &wire.WhyReply{}
 	switch r.Matter {
 	case "flow":
 		s.whyFlow(ctx, r, reply)
 	case "request":
-		reply.Decisions = s.instance.ring.Find(mostDecisions, func(d *wire.Decision) bool { return d.Subject == r.Target })
+		reply.Decisions = s.instance.decisions.Find(maxDecisions, func(d *wire.Decision) bool { return d.Subject == r.Target })
 	case "refused":
-		reply.Decisions = s.instance.ring.Find(mostDecisions, refused)
+		reply.Decisions = s.instance.decisions.Find(maxDecisions, isRefusal)
 	default:
 		return nil, fault.New(fault.Usage, "unknown matter %q", r.Matter)
 	}
 	if !r.Local {
-		s.whyElsewhere(ctx, r, reply)
+		s.whyOthers(ctx, r, reply)
 	}
 	slices.SortStableFunc(reply.Decisions, func(a, b *wire.Decision) int { return int(a.UnixNano/1000 - b.UnixNano/1000) })
 	return reply, nil
 }
 
-func refused(d *wire.Decision) bool {
+func isRefusal(d *wire.Decision) bool {
 	return d.Action == "drop" || d.Action == "reset" || d.Action == "refused" || d.Action == "unknown"
 }
 
-func (s *server) whyElsewhere(ctx context.Context, r *wire.WhyRequest, reply *wire.WhyReply) {
+func (s *server) whyOthers(ctx context.Context, r *wire.WhyRequest, reply *wire.WhyReply) {
 	ask := &wire.WhyRequest{Matter: r.Matter, Source: r.Source, Target: r.Target, Protocol: r.Protocol, Local: true}
 	same := 0
 	for _, other := range s.instance.config.Settings.Instances {
 		if other.Name == s.instance.self.Name {
 			continue
 		}
-		client, err := s.instance.dialer.clientOf(ctx, other.Control, "operator")
+		client, err := s.instance.dialer.connect(ctx, other.Control, "operator")
 		if err != nil {
 			reply.Lines = append(reply.Lines, other.Name+" could not be asked: "+err.Error())
 			continue
@@ -59,7 +59,7 @@
 			continue
 		}
 		for _, d := range got.Decisions {
-			if slices.ContainsFunc(reply.Decisions, func(told *wire.Decision) bool { return workedOutAlike(told, d) }) {
+			if slices.ContainsFunc(reply.Decisions, func(told *wire.Decision) bool { return sameRecomputation(told, d) }) {
 				same++
 				continue
 			}
@@ -71,9 +71,9 @@
 	}
 }
 
-// workedOutAlike reports whether two entries would decide the same now by the
+// sameRecomputation reports whether two entries would decide the same now by the
 // same configuration; only where they differ does an operator need both.
-func workedOutAlike(a, b *wire.Decision) bool {
+func sameRecomputation(a, b *wire.Decision) bool {
 	return a.Recomputed && b.Recomputed && a.Subject == b.Subject && a.Action == b.Action && a.Reason == b.Reason &&
 		a.Endpoint == b.Endpoint && a.Index == b.Index && a.Active == b.Active && slices.Equal(a.Hops, b.Hops)
 }
@@ -82,7 +82,7 @@
 // now.
 func (s *server) whyFlow(ctx context.Context, r *wire.WhyRequest, reply *wire.WhyReply) {
 	subject := r.Protocol + " " + r.Source + " " + r.Target
-	reply.Decisions = s.instance.ring.Find(mostDecisions, func(d *wire.Decision) bool { return d.Subject == subject })
+	reply.Decisions = s.instance.decisions.Find(maxDecisions, func(d *wire.Decision) bool { return d.Subject == subject })
 	answer := make(chan *wire.Decision, 1)
 	query := func(core *entry.Core) {
 		answer <- explain.Recompute(s.instance.now(), s.instance.self.Name, core.Flow(), r)
--- a/internal/instance/why_test.go
+++ b/internal/instance/why_test.go
@@ -10,7 +10,7 @@
 )
 
 // Entries that disagree are all told of; what was kept is never left out.
-func TestWorkedOutAlike(t *testing.T) {
+func TestSameRecomputation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := &wire.Decision{Entry: "a", Subject: "s", Action: "forward", Reason: "by_settled", Endpoint: "e1", Index: 4, Active: 4, Recomputed: true}
 	other := func(change func(*wire.Decision)) *wire.Decision {
@@ -19,7 +19,7 @@
 		change(d)
 		return d
 	}
-	g.Expect(workedOutAlike(now, other(func(*wire.Decision) {}))).To(gomega.BeTrue())
+	g.Expect(sameRecomputation(now, other(func(*wire.Decision) {}))).To(gomega.BeTrue())
 	for name, change := range map[string]func(*wire.Decision){
 		"kept":     func(d *wire.Decision) { d.Recomputed = false },
 		"endpoint": func(d *wire.Decision) { d.Endpoint = "e2" },
@@ -29,6 +29,6 @@
 		"in use":   func(d *wire.Decision) { d.Active = 3 },
 		"hops":     func(d *wire.Decision) { d.Hops = []string{"elsewhere"} },
 	} {
-		g.Expect(workedOutAlike(now, other(change))).To(gomega.BeFalse(), name)
+		g.Expect(sameRecomputation(now, other(change))).To(gomega.BeFalse(), name)
 	}
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -147,26 +147,26 @@
 }
 
 func (g *generator) run(ctx context.Context) (Report, error) {
-	traffic, stop := context.WithTimeout(ctx, g.config.For)
+	loadCtx, stop := context.WithTimeout(ctx, g.config.For)
 	defer stop()
 	for _, class := range g.classes {
 		share := g.share(class)
 		if class.Kind == intent.ClassWork {
-			g.group.Go(func() { g.offer(traffic, g.config.Requests*share, func() { g.request(ctx, class) }) })
+			g.group.Go(func() { g.generate(loadCtx, g.config.Requests*share, func() { g.sendRequest(ctx, class) }) })
 		} else {
-			g.group.Go(func() { g.offer(traffic, g.config.Flows*share, func() { g.flow(ctx, class) }) })
+			g.group.Go(func() { g.generate(loadCtx, g.config.Flows*share, func() { g.startFlow(ctx, class) }) })
 		}
 	}
 	report := Report{Seconds: g.config.For.Seconds(), Latencies: map[string]Latency{}}
-	began := g.config.Now()
+	start := g.config.Now()
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
-	for traffic.Err() == nil {
+	for loadCtx.Err() == nil {
 		select {
-		case <-traffic.Done():
+		case <-loadCtx.Done():
 		case <-ticker.C:
 			counts := g.ledger.Counts()
-			second := g.config.Now().Sub(began).Seconds()
+			second := g.config.Now().Sub(start).Seconds()
 			report.Held = append(report.Held, Sample{second, counts.FlowsOpen, counts.Answered})
 			fmt.Fprintf(g.config.Progress, "%4.0fs  flows held %d of %d  broken %d  requests %d answered %d not run %d unknown %d\n", second,
 				counts.FlowsOpen, counts.Flows, counts.BrokenPlanned+counts.BrokenUnplanned, counts.Requests, counts.Answered, counts.NotRun, counts.Unknown)
@@ -205,9 +205,9 @@
 	return g.config.Mix[c.Name]
 }
 
-// offer starts one thing after the other at a rate, whether the earlier ones
+// generate starts one thing after the other at a rate, whether the earlier ones
 // are done or not.
-func (g *generator) offer(ctx context.Context, perSecond float64, start func()) {
+func (g *generator) generate(ctx context.Context, perSecond float64, start func()) {
 	if perSecond <= 0 {
 		return
 	}
@@ -217,17 +217,17 @@
 	}
 }
 
-func (g *generator) flow(ctx context.Context, class intent.Class) {
+func (g *generator) startFlow(ctx context.Context, class intent.Class) {
 	g.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: g.config.FlowEvery, Lasts: g.config.FlowLasts})
 }
 
-func (g *generator) request(ctx context.Context, class intent.Class) {
+func (g *generator) sendRequest(ctx context.Context, class intent.Class) {
 	g.callers.Request(ctx, standin.RequestConfig{Class: class.Name, To: class.Address, Once: !class.Repeatable, Deadline: g.config.Deadline})
 }
 
 // imbalance returns the highest flows of an endpoint over the mean, by service.
 func (g *generator) imbalance() map[string]float64 {
-	all := map[string]float64{}
+	ratios := map[string]float64{}
 	for service, backends := range g.backends {
 		highest, sum := 0, 0
 		for _, b := range backends {
@@ -235,10 +235,10 @@
 			highest, sum = max(highest, flows), sum+flows
 		}
 		if sum > 0 {
-			all[service] = float64(highest) * float64(len(backends)) / float64(sum)
+			ratios[service] = float64(highest) * float64(len(backends)) / float64(sum)
 		}
 	}
-	return all
+	return ratios
 }
 
 // Summarise returns the percentiles of a histogram of microseconds.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -22,54 +22,54 @@
 		IslandAfter time.Duration
 	}
 
-	heard struct {
-		at     time.Time
-		leased bool
+	peerState struct {
+		lastProbe time.Time
+		leased    bool
 	}
 
 	// Tracker holds what was heard last. One goroutine uses it.
 	Tracker struct {
-		config             Config
-		peers              map[string]heard
-		gone               map[string]bool
-		looked, aloneSince time.Time
+		config                Config
+		peers                 map[string]peerState
+		unlisted              map[string]bool
+		lastCheck, aloneSince time.Time
 	}
 )
 
 // New returns a tracker that has heard nobody.
 func New(c Config) *Tracker {
-	return &Tracker{config: c, peers: map[string]heard{}, gone: map[string]bool{}}
+	return &Tracker{config: c, peers: map[string]peerState{}, unlisted: map[string]bool{}}
 }
 
 // Heard notes a probe.
 func (t *Tracker) Heard(now time.Time, name string, leased bool) {
-	t.peers[name] = heard{now, leased}
+	t.peers[name] = peerState{now, leased}
 }
 
-// SetGone takes the platform's list of instances that are no more. It may lag
+// SetUnlisted takes the platform's list of instances that are no more. It may lag
 // and be wrong, so a peer that is heard counts as there whatever it says.
-func (t *Tracker) SetGone(names []string) {
-	clear(t.gone)
+func (t *Tracker) SetUnlisted(names []string) {
+	clear(t.unlisted)
 	for _, n := range names {
-		t.gone[n] = true
+		t.unlisted[n] = true
 	}
 }
 
 // Reachable returns the live entries that were heard lately, in order.
 func (t *Tracker) Reachable(now time.Time, table *route.Table) []string {
-	return t.filter(now, table, func(heard) bool { return true })
+	return t.filter(now, table, func(peerState) bool { return true })
 }
 
 // Leased returns those of them that said they hold a lease.
 func (t *Tracker) Leased(now time.Time, table *route.Table) []string {
-	return t.filter(now, table, func(h heard) bool { return h.leased })
+	return t.filter(now, table, func(h peerState) bool { return h.leased })
 }
 
-func (t *Tracker) filter(now time.Time, table *route.Table, keep func(heard) bool) []string {
+func (t *Tracker) filter(now time.Time, table *route.Table, keep func(peerState) bool) []string {
 	var names []string
 	for _, m := range table.Members() {
 		h, ok := t.peers[m.Name()]
-		if ok && m.Name() != t.config.Self && now.Sub(h.at) <= t.config.HeardFor && keep(h) {
+		if ok && m.Name() != t.config.Self && now.Sub(h.lastProbe) <= t.config.HeardFor && keep(h) {
 			names = append(names, m.Name())
 		}
 	}
@@ -97,9 +97,9 @@
 // a pause makes one, the time counts anew, since what is heard right after a
 // pause was said long before.
 func (t *Tracker) Island(now, leaseUntil time.Time, table *route.Table) bool {
-	gap := now.Sub(t.looked) > t.config.HeardFor/2
-	t.looked = now
-	if gap || !t.alone(now, leaseUntil, table) {
+	paused := now.Sub(t.lastCheck) > t.config.HeardFor/2
+	t.lastCheck = now
+	if paused || !t.seemsIsolated(now, leaseUntil, table) {
 		t.aloneSince = time.Time{}
 		return false
 	}
@@ -109,8 +109,8 @@
 	return now.Sub(t.aloneSince) >= t.config.IslandAfter
 }
 
-// alone reports whether the domain seems to be cut off as a whole right now.
-func (t *Tracker) alone(now, leaseUntil time.Time, table *route.Table) bool {
+// seemsIsolated reports whether the domain seems to be cut off as a whole right now.
+func (t *Tracker) seemsIsolated(now, leaseUntil time.Time, table *route.Table) bool {
 	if leaseUntil.IsZero() || now.Before(leaseUntil) || len(t.Leased(now, table)) > 0 {
 		return false
 	}
@@ -119,7 +119,7 @@
 		if m.Domain() != t.config.Domain || m.Name() == t.config.Self {
 			continue
 		}
-		if !slices.Contains(reachable, m.Name()) && !t.gone[m.Name()] {
+		if !slices.Contains(reachable, m.Name()) && !t.unlisted[m.Name()] {
 			return false
 		}
 	}
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,46 +21,46 @@
 	return New(Config{Self: "a1", Domain: "a", HeardFor: time.Second, IslandAfter: 800 * time.Millisecond})
 }
 
-// look asks every 100 ms, as the control goroutine does, and hears a2 each time.
-func look(t *Tracker, from time.Time, d time.Duration, leased bool) (last time.Time, island bool) {
-	for now := from; now.Before(from.Add(d)); now = now.Add(100 * time.Millisecond) {
+// checkRepeatedly asks every 100 ms, as the control goroutine does, and hears a2 each time.
+func checkRepeatedly(t *Tracker, from time.Time, duration time.Duration, leased bool) (last time.Time, isolated bool) {
+	for now := from; now.Before(from.Add(duration)); now = now.Add(100 * time.Millisecond) {
 		t.Heard(now, "a2", leased)
-		last, island = now, t.Island(now, from.Add(-time.Second), newTable())
+		last, isolated = now, t.Island(now, from.Add(-time.Second), newTable())
 	}
-	return last, island
+	return last, isolated
 }
 
-func TestADomainCutOffServesByItself(t *testing.T) {
+func TestPartitionedDomainIsIsolated(t *testing.T) {
 	g := gomega.NewWithT(t)
-	_, island := look(newTracker(), time.Unix(100, 0), 2*time.Second, false)
-	g.Expect(island).To(gomega.BeTrue())
-	_, island = look(newTracker(), time.Unix(100, 0), 2*time.Second, true)
-	g.Expect(island).To(gomega.BeFalse(), "a peer holds a lease, so the others go on")
+	_, isolated := checkRepeatedly(newTracker(), time.Unix(100, 0), 2*time.Second, false)
+	g.Expect(isolated).To(gomega.BeTrue())
+	_, isolated = checkRepeatedly(newTracker(), time.Unix(100, 0), 2*time.Second, true)
+	g.Expect(isolated).To(gomega.BeFalse(), "a peer holds a lease, so the others go on")
 }
 
-func TestAnEntryAloneDoesNot(t *testing.T) {
+func TestSingleSilentEntryIsNotIsolated(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tracker := newTracker()
-	island := false
+	isolated := false
 	for n := range 30 {
 		now := time.Unix(100, 0).Add(time.Duration(n) * 100 * time.Millisecond)
-		island = tracker.Island(now, time.Unix(99, 0), newTable())
+		isolated = tracker.Island(now, time.Unix(99, 0), newTable())
 	}
-	g.Expect(island).To(gomega.BeFalse(), "it may be the one that is cut off")
-	tracker.SetGone([]string{"a2"})
+	g.Expect(isolated).To(gomega.BeFalse(), "it may be the one that is cut off")
+	tracker.SetUnlisted([]string{"a2"})
 	for n := range 30 {
 		now := time.Unix(104, 0).Add(time.Duration(n) * 100 * time.Millisecond)
-		island = tracker.Island(now, time.Unix(99, 0), newTable())
+		isolated = tracker.Island(now, time.Unix(99, 0), newTable())
 	}
-	g.Expect(island).To(gomega.BeTrue(), "the platform says that nobody else is there")
+	g.Expect(isolated).To(gomega.BeTrue(), "the platform says that nobody else is there")
 }
 
 // What is heard right after a pause was said long before.
-func TestAPauseCountsAnew(t *testing.T) {
+func TestPauseRestartsIsolationDelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tracker := newTracker()
-	last, island := look(tracker, time.Unix(100, 0), 700*time.Millisecond, false)
-	g.Expect(island).To(gomega.BeFalse())
+	last, isolated := checkRepeatedly(tracker, time.Unix(100, 0), 700*time.Millisecond, false)
+	g.Expect(isolated).To(gomega.BeFalse())
 	awake := last.Add(10 * time.Second)
 	tracker.Heard(awake, "a2", false)
 	g.Expect(tracker.Island(awake, time.Unix(99, 0), newTable())).To(gomega.BeFalse())
--- a/internal/work/engine.go
+++ b/internal/work/engine.go
@@ -12,22 +12,25 @@
 )
 
 const (
-	// mostEarly bounds the packets that wait for a handover.
-	mostEarly = 1024
-	// mostHops bounds how often one packet is relayed between owners.
-	mostHops = 3
-	// refusalFactor is how many refusals are remembered for one request held:
-	// a caller that was told "not run" must never see it run.
-	refusalFactor = 4
+	// maxEarlyPackets is the maximum number of packets of a service that are buffered
+	// during a handover.
+	maxEarlyPackets = 1024
+	// maxRelayHops is the maximum number of times a packet is relayed between entries
+	// that disagree on the owner.
+	maxRelayHops = 3
+	// requestsFactor limits the remembered requests, finished ones included, to this
+	// multiple of Config.Requests. A refused request has to be remembered, since it
+	// must not run if its packet arrives again.
+	requestsFactor = 4
 )
 
-// Request takes a packet from a caller to a class of work.
-func (e *Engine) Request(now time.Time, service *route.Service, class *route.Class, p *packet.Packet) {
-	e.touched = true
-	owner, island := e.ownerOf(service)
-	if !island && !now.Before(e.view.LeaseUntil) {
-		// It may have lain here through a pause: an old packet must not come
-		// to the owner after the request's life. The caller sends it again.
+// HandleRequest processes a caller's packet to a class that takes requests.
+func (e *Engine) HandleRequest(now time.Time, service *route.Service, class *route.Class, p *packet.Packet) {
+	e.dirty = true
+	owner, isolated := e.ownerOf(service)
+	if !isolated && !now.Before(e.view.LeaseUntil) {
+		// The packet may have been delayed here by a pause of the process. It must
+		// not reach the owner after the request was forgotten there.
 		e.stats.NoLease++
 		return
 	}
@@ -37,28 +40,29 @@
 	}
 	m, err := Decode(p.Payload())
 	if err != nil {
-		return // counted by the shell; nobody can be told without a token
+		return // without a token there is no way to answer
 	}
-	if island && !class.Repeatable {
-		// The other side may run it: this one can neither run it nor deny it.
+	if isolated && !class.Repeatable {
+		// An entry outside the partition may run it, so it can be neither run nor
+		// refused here.
 		if m.IsRequest() {
-			e.toCaller(p.Tuple(), UnknownMessage(m.Token, m.MessageID))
+			e.sendToCaller(p.Tuple(), UnknownMessage(m.Token, m.MessageID))
 			e.events = append(e.events, Event{Service: service.ID(), Token: m.Token, Caller: p.Tuple(), State: Unknown, Cause: CutOff})
 		}
 		return
 	}
-	o := e.ownedFor(now, service, island)
+	o := e.ownershipFor(now, service, isolated)
 	if o.phase != serving {
-		o.keepEarly(0, p.Inner())
+		o.bufferEarly(0, p.Inner())
 		return
 	}
-	e.take(now, service, o, class, p.Tuple(), m)
+	e.handleCaller(now, service, o, class, p.Tuple(), m)
 }
 
-// ownerOf returns the owner of a service's work; in a domain that is cut off
-// it is one of the entries that can be reached.
-func (e *Engine) ownerOf(s *route.Service) (owner string, island bool) {
-	if !e.view.Island {
+// ownerOf returns the owner of a service's requests. In an isolated failure domain
+// it is chosen among the reachable entries.
+func (e *Engine) ownerOf(s *route.Service) (owner string, isolated bool) {
+	if !e.view.Isolated {
 		owner, _ = e.view.rank(s.ID())
 		return owner, false
 	}
@@ -72,37 +76,39 @@
 	return owner, true
 }
 
-func (e *Engine) ownedFor(now time.Time, s *route.Service, island bool) *ownership {
+// ownershipFor returns this entry's ownership of a service, and creates it if needed.
+func (e *Engine) ownershipFor(now time.Time, s *route.Service, isolated bool) *ownership {
 	o := e.owned[s.ID()]
 	if o == nil {
-		o = e.takeOver(now, s, nil, "", false) // on an island: who owned it before cannot be asked
+		o = e.takeOver(now, s, nil, "", false) // only if isolated, where the former owner may be unreachable
 		o.endpoints = workEndpoints(e.view.Table, s)
-		e.chooseSecond(o)
+		e.updateSecond(o)
 	}
-	if island && o.phase != serving {
-		o.phase = serving // only what may be repeated is served here
+	if isolated && o.phase != serving {
+		o.phase = serving // isolated entries serve repeatable requests only
 	}
 	return o
 }
 
-func (o *ownership) keepEarly(endpoint uint32, inner []byte) {
-	if len(o.early) < mostEarly {
-		o.early = append(o.early, earlyPacket{endpoint, slices.Clone(inner)})
+// bufferEarly keeps a packet until the handover is complete.
+func (o *ownership) bufferEarly(endpoint uint32, inner []byte) {
+	if len(o.earlyPackets) < maxEarlyPackets {
+		o.earlyPackets = append(o.earlyPackets, earlyPacket{endpoint, slices.Clone(inner)})
 	}
 }
 
-func (e *Engine) relay(kind OutKind, owner string, p *packet.Packet, endpoint uint32) {
+func (e *Engine) relay(kind OutputKind, owner string, p *packet.Packet, endpoint uint32) {
 	previous, _ := p.Relay()
-	if owner == "" || previous.Hops() >= mostHops {
+	if owner == "" || previous.Hops() >= maxRelayHops {
 		e.stats.Overflow++
 		return
 	}
 	r := packet.NewRelay(packet.RelayWork, endpoint, e.view.Table.Index(), 0).After(previous)
-	e.out = append(e.out, Out{Kind: kind, Peer: owner, Inner: slices.Clone(p.Inner()), Relay: r})
+	e.out = append(e.out, Output{Kind: kind, Peer: owner, Inner: slices.Clone(p.Inner()), Relay: r})
 }
 
-// take decides on a message from a caller, as the owner.
-func (e *Engine) take(now time.Time, s *route.Service, o *ownership, class *route.Class, tuple packet.Tuple, m Message) {
+// handleCaller processes a caller's message at the owner.
+func (e *Engine) handleCaller(now time.Time, s *route.Service, o *ownership, class *route.Class, tuple packet.Tuple, m Message) {
 	if m.IsReset() {
 		e.cancel(now, o, tuple, m.MessageID)
 		return
@@ -112,39 +118,39 @@
 	}
 	id := e.config.Hasher.Request(tuple, m.Token)
 	if r := o.requests[id]; r != nil {
-		e.duplicate(r, tuple, m)
+		e.answerDuplicate(r, tuple, m)
 		return
 	}
 	if m.Type == message.Confirmable {
-		e.toCaller(tuple, AckMessage(m.MessageID))
+		e.sendToCaller(tuple, AckMessage(m.MessageID))
 	}
-	life := s.Policy().RequestLife
-	left, said := m.Left()
-	if !said || left > life {
-		left = life
+	requestLife := s.Policy().RequestLife
+	left, hasDeadline := m.Left()
+	if !hasDeadline || left > requestLife {
+		left = requestLife
 	}
 	r := &request{
 		id: id, class: class, tuple: tuple, message: m.clone(), received: now,
-		deadline: now.Add(left), expires: now.Add(life + e.config.Linger),
+		deadline: now.Add(left), expires: now.Add(requestLife + e.config.Linger),
 	}
-	if len(o.requests) >= e.config.Requests*refusalFactor {
+	if len(o.requests) >= e.config.Requests*requestsFactor {
 		e.stats.Overflow++
-		return // no room even to remember a refusal: silence is the only true answer
+		return // a refusal couldn't be remembered, so none is sent
 	}
 	o.add(r)
 	r.key = messageKey{e.config.Hasher.Flow(tuple), m.MessageID}
 	o.byMessage[r.key] = id
-	e.step(o, r, Received, Arrived, 0)
-	if now.Before(o.blankUntil) && !class.Repeatable {
+	e.transition(o, r, Received, Arrived, 0)
+	if now.Before(o.keysUnknownUntil) && !class.Repeatable {
 		e.finish(o, r, Unknown, BothHoldersLost, UnknownMessage(m.Token, m.MessageID))
 		return
 	}
 	if class.Repeatable {
-		r.held = true
+		r.keyHeld = true
 	} else {
-		e.hold(o, r)
+		e.holdKey(o, r)
 	}
-	if r.held {
+	if r.keyHeld {
 		e.admit(now, o, r)
 		e.dispatch(now, o)
 	}
@@ -162,39 +168,39 @@
 	return c
 }
 
-// duplicate answers a request that is known: the same answer again, or none
-// yet. It never dispatches anything.
-func (e *Engine) duplicate(r *request, tuple packet.Tuple, m Message) {
+// answerDuplicate responds to a repeated request with the answer if there is one
+// already. It never dispatches.
+func (e *Engine) answerDuplicate(r *request, tuple packet.Tuple, m Message) {
 	e.stats.Duplicates++
 	switch {
 	case r.state == Lost:
-		e.toCaller(tuple, UnknownMessage(m.Token, m.MessageID))
+		e.sendToCaller(tuple, UnknownMessage(m.Token, m.MessageID))
 	case r.answer != nil:
-		again := *r.answer
-		again.MessageID = m.MessageID
-		e.toCaller(tuple, again)
+		repeated := *r.answer
+		repeated.MessageID = m.MessageID
+		e.sendToCaller(tuple, repeated)
 	case m.Type == message.Confirmable:
-		e.toCaller(tuple, AckMessage(m.MessageID))
+		e.sendToCaller(tuple, AckMessage(m.MessageID))
 	}
 }
 
-// admit queues a request, or refuses it at once where its deadline cannot be
-// met. A full queue gives up the last of the lowest class.
+// admit queues a request, or refuses it at once if it can't meet its deadline. If
+// the queue is full, the last request of the lowest class is displaced.
 func (e *Engine) admit(now time.Time, o *ownership, r *request) {
 	policy := e.view.Table.Service(o.service).Policy()
 	if number, asked := r.message.Block(); asked && number > 0 {
-		t, ok := o.transfers[e.transferOf(r)]
+		t, ok := o.transfers[e.transferKeyOf(r)]
 		if !ok {
 			e.finish(o, r, Refused, AnswerGone, RestartMessage(r.message.Token, r.message.MessageID))
 			return
 		}
-		r.pinned = t.endpoint
+		r.pinnedEndpoint = t.endpoint
 	}
 	if len(o.endpoints) == 0 {
 		e.refuse(now, o, r, NoEndpoint)
 		return
 	}
-	if now.Add(o.wait(r.class.Priority, policy.LowestShare)).After(r.deadline) {
+	if now.Add(o.estimateWait(r.class.Priority, policy.LowestShare)).After(r.deadline) {
 		e.refuse(now, o, r, CannotMeetDeadline)
 		return
 	}
@@ -207,11 +213,11 @@
 		o.queue.remove(last)
 		e.refuse(now, o, last, Displaced)
 	}
-	e.step(o, r, Queued, KeyHeld, 0)
+	e.transition(o, r, Queued, KeyHeld, 0)
 	o.queue.push(r)
 }
 
-func (e *Engine) transferOf(r *request) transferKey {
+func (e *Engine) transferKeyOf(r *request) transferKey {
 	path, err := r.message.Options.Path()
 	if err != nil {
 		path = ""
@@ -219,16 +225,16 @@
 	return transferKey{e.config.Hasher.Flow(r.tuple), path}
 }
 
-// wait estimates how long a new request of a priority waits for its slot and
-// runs. While the first class could take every slot, later ones have only
-// their floor.
-func (o *ownership) wait(priority int, floor float64) time.Duration {
+// estimateWait estimates the time until a new request of the given priority has run.
+// While the requests of higher priority could fill all slots, only the lowest share
+// of the capacity is available to the given priority.
+func (o *ownership) estimateWait(priority int, lowestShare float64) time.Duration {
 	capacity := max(o.grants.capacity(o.endpoints), 1)
 	ahead := float64(o.queue.ahead(priority))
 	if priority > 0 && float64(o.queue.ahead(priority-1)) > capacity {
-		ahead = float64(o.queue.ahead(priority)-o.queue.ahead(priority-1)) / max(floor, 0.01)
+		ahead = float64(o.queue.ahead(priority)-o.queue.ahead(priority-1)) / max(lowestShare, 0.01)
 	}
-	return time.Duration((ahead/capacity + 1) * float64(o.grants.mean))
+	return time.Duration((ahead/capacity + 1) * float64(o.grants.serviceTime))
 }
 
 // dispatch grants free slots to waiting requests.
@@ -239,70 +245,72 @@
 	policy := e.view.Table.Service(o.service).Policy()
 	for o.grants.anyFree(o.endpoints) {
 		r := o.queue.next(policy.LowestShare, func(r *request) bool {
-			return o.grants.choose(o.endpoints, func(c *route.Endpoint) bool { return e.may(r, c) }) != nil
+			return o.grants.choose(o.endpoints, func(ep *route.Endpoint) bool { return e.eligible(r, ep) }) != nil
 		})
-		if r == nil || !e.mayDispatch(now, r) {
+		if r == nil || !e.dispatchAllowed(now, r) {
 			return
 		}
-		endpoint := o.grants.choose(o.endpoints, func(c *route.Endpoint) bool { return e.may(r, c) })
+		endpoint := o.grants.choose(o.endpoints, func(c *route.Endpoint) bool { return e.eligible(r, c) })
 		o.queue.remove(r)
-		o.queue.granted(r, policy.LowestShare)
-		e.send(now, o, r, endpoint)
+		o.queue.recordGrant(r, policy.LowestShare)
+		e.sendToBackend(now, o, r, endpoint)
 	}
 }
 
-// mayDispatch is the last check before a request leaves: this entry holds a
-// lease, or the request may be repeated and the domain serves by itself.
-func (e *Engine) mayDispatch(now time.Time, r *request) bool {
-	return now.Before(e.view.LeaseUntil) || e.view.Island && r.repeatable()
+// dispatchAllowed reports whether this entry holds a lease, or is isolated and the
+// request is repeatable.
+func (e *Engine) dispatchAllowed(now time.Time, r *request) bool {
+	return now.Before(e.view.LeaseUntil) || e.view.Isolated && r.repeatable()
 }
 
-// may reports whether an endpoint may get a request: it was not tried yet, is
-// the one that began a block-wise answer, and can be reached.
-func (e *Engine) may(r *request, c *route.Endpoint) bool {
-	if r.pinned != 0 {
-		return c.ID() == r.pinned
-	}
-	return !r.tried(c.ID()) && slices.Contains(e.view.Domains, c.Domain())
+// eligible reports whether an endpoint may receive a request. Later blocks of a
+// block-wise transfer go only to the endpoint that served the first one; any other
+// request to a reachable endpoint that it has not been sent to yet.
+func (e *Engine) eligible(r *request, endpoint *route.Endpoint) bool {
+	if r.pinnedEndpoint != 0 {
+		return endpoint.ID() == r.pinnedEndpoint
+	}
+	return !r.tried(endpoint.ID()) && slices.Contains(e.view.ReachableDomains, endpoint.Domain())
 }
 
-func (e *Engine) send(now time.Time, o *ownership, r *request, endpoint *route.Endpoint) {
-	if endpoint.Service() != o.service || !r.held || !r.repeatable() && len(r.attempts) > 0 && r.openAttempt() != nil {
-		e.stats.Broken++ // asserted: right service, key held, no second attempt beside an open one
+// sendToBackend dispatches a request to an endpoint.
+func (e *Engine) sendToBackend(now time.Time, o *ownership, r *request, endpoint *route.Endpoint) {
+	if endpoint.Service() != o.service || !r.keyHeld || !r.repeatable() && len(r.attempts) > 0 && r.openAttempt() != nil {
+		e.stats.Broken++ // wrong service, key not held, or another attempt is still open
 		return
 	}
-	until := r.deadline
+	timeoutAt := r.deadline
 	if r.repeatable() {
-		until = now.Add(r.deadline.Sub(now) / 2)
+		timeoutAt = now.Add(r.deadline.Sub(now) / 2)
 	}
 	m := r.message.WithLeft(r.deadline.Sub(now))
-	inner, err := wrap(r.tuple, m)
+	inner, err := buildPacket(r.tuple, m)
 	if err != nil {
 		e.refuse(now, o, r, BadMessage)
 		return
 	}
 	o.grants.take(endpoint)
-	r.attempts = append(r.attempts, attempt{endpoint: endpoint.ID(), messageID: m.MessageID, at: now, until: until, open: true})
-	e.step(o, r, Dispatched, SlotGranted, endpoint.ID())
+	r.attempts = append(r.attempts, attempt{endpoint: endpoint.ID(), messageID: m.MessageID, sentAt: now, timeoutAt: timeoutAt, open: true})
+	e.transition(o, r, Dispatched, SlotGranted, endpoint.ID())
 	if len(r.attempts) == 1 {
-		o.retries.earn(e.view.Table.Service(o.service).Policy().RetryShare)
+		o.retries.deposit(e.view.Table.Service(o.service).Policy().RetryShare)
 	}
-	out := Out{Kind: ToBackend, Endpoint: endpoint, Inner: inner}
+	out := Output{Kind: ToBackend, Endpoint: endpoint, Inner: inner}
 	if !r.repeatable() {
 		out.Until = e.view.LeaseUntil
 	}
 	e.out = append(e.out, out)
 }
 
-// Answer takes a packet from a backend server.
-func (e *Engine) Answer(now time.Time, from netip.AddrPort, service *route.Service, p *packet.Packet) {
-	e.touched = true
+// HandleAnswer processes a packet from a backend server.
+func (e *Engine) HandleAnswer(now time.Time, from netip.AddrPort, service *route.Service, p *packet.Packet) {
+	e.dirty = true
 	endpoint := e.view.Table.EndpointAt(from)
 	if relay, ok := p.Relay(); ok {
 		endpoint = e.view.Table.Endpoint(relay.Endpoint())
 	}
 	if endpoint == nil || endpoint.Service() != service.ID() {
-		e.stats.Late++
+		e.stats.LateAnswers++
 		return
 	}
 	owner, _ := e.ownerOf(service)
@@ -313,31 +321,32 @@
 	}
 	if o == nil || o.phase != serving {
 		if o != nil {
-			o.keepEarly(endpoint.ID(), p.Inner())
+			o.bufferEarly(endpoint.ID(), p.Inner())
 		}
 		return
 	}
 	m, err := Decode(p.Payload())
 	if err != nil {
-		e.stats.Late++
+		e.stats.LateAnswers++
 		return
 	}
-	e.takeAnswer(now, o, endpoint.ID(), p.Tuple().Reverse(), m)
+	e.matchAnswer(now, o, endpoint.ID(), p.Tuple().Reverse(), m)
 }
 
-// takeAnswer matches an answer to the request and the attempt that it belongs
-// to; any other is dropped and counted.
-func (e *Engine) takeAnswer(now time.Time, o *ownership, endpoint uint32, tuple packet.Tuple, m Message) {
+// matchAnswer applies an answer to its request. Answers that match no open attempt
+// are counted and dropped.
+func (e *Engine) matchAnswer(now time.Time, o *ownership, endpoint uint32, tuple packet.Tuple, m Message) {
 	if !m.IsAnswer() {
 		return
 	}
 	r := o.requests[e.config.Hasher.Request(tuple, m.Token)]
 	if r == nil {
-		e.stats.Late++
+		e.stats.LateAnswers++
 		return
 	}
 	if r.state == Lost {
-		// The former owner dispatched it: the answer is whole and its own.
+		// Dispatched by the former owner, so there is no attempt to match. The tuple
+		// and token of the answer are those of the request.
 		r.tuple, r.message = tuple, Message{message.Message{Token: slices.Clone(m.Token), MessageID: m.MessageID}}
 		if m.MaxAge() == 0 {
 			e.finish(o, r, Answered, BackendAnswered, m.clone())
@@ -346,26 +355,27 @@
 	}
 	a := r.openAttempt()
 	if a == nil || a.endpoint != endpoint || r.state != Dispatched {
-		e.stats.Late++
+		e.stats.LateAnswers++
 		return
 	}
 	a.open = false
 	o.grants.release(endpoint)
 	if isRefusal(m) {
 		e.stats.Shed++
-		o.grants.shed(endpoint)
-		e.again(now, o, r, BackendRefused)
+		o.grants.recordRefusal(endpoint)
+		e.retry(now, o, r, BackendRefused)
 	} else {
-		o.grants.answered(endpoint, now.Sub(a.at))
-		e.noteTransfer(now, o, r, endpoint, m)
+		o.grants.recordAnswer(endpoint, now.Sub(a.sentAt))
+		e.pinTransfer(now, o, r, endpoint, m)
 		e.finish(o, r, Answered, BackendAnswered, m.clone())
 	}
 	e.dispatch(now, o)
 }
 
-// noteTransfer pins the later blocks of an answer to the endpoint that began it.
-func (e *Engine) noteTransfer(now time.Time, o *ownership, r *request, endpoint uint32, m Message) {
-	if _, blocks := m.Block(); blocks {
-		o.transfers[e.transferOf(r)] = transfer{endpoint, now.Add(r.expires.Sub(r.received))}
+// pinTransfer pins the later blocks of a block-wise transfer to the endpoint that
+// served the first one.
+func (e *Engine) pinTransfer(now time.Time, o *ownership, r *request, endpoint uint32, m Message) {
+	if _, blockwise := m.Block(); blockwise {
+		o.transfers[e.transferKeyOf(r)] = transfer{endpoint, now.Add(r.expires.Sub(r.received))}
 	}
 }
--- a/internal/work/finish.go
+++ b/internal/work/finish.go
@@ -11,58 +11,58 @@
 	"oxbowsaddle/internal/wire"
 )
 
-const mostTransfers = 4096
+const maxTransfers = 4096
 
-// refuse gives a request that was not run its final answer at once, with when
-// to come back.
+// refuse answers "not run" with a time to retry after, or "unknown" if it can't be
+// excluded that the request has run.
 func (e *Engine) refuse(now time.Time, o *ownership, r *request, cause Cause) {
 	if r.mayHaveRun || r.openAttempt() != nil {
-		e.stats.Broken++ // asserted: "not run" is said only while it is provable
+		e.stats.Broken++ // callers refuse only requests that haven't run
 		e.finish(o, r, Unknown, cause, UnknownMessage(r.message.Token, r.message.MessageID))
 		return
 	}
 	if !now.Before(e.view.LeaseUntil) {
-		// Another owner may have run it since this one's lease ran out, or on
-		// the other side of a cut.
+		// Another entry may own the service since the lease ended, and may have run
+		// the request.
 		e.finish(o, r, Unknown, LeaseLost, UnknownMessage(r.message.Token, r.message.MessageID))
 		return
 	}
-	if r.repeatable() && (now.Before(o.doubtUntil) || e.view.Table.Uncertain()) {
-		// A lost owner or a domain that is cut off may have dispatched it;
-		// nobody holds keys of such requests.
+	if r.repeatable() && (now.Before(o.uncertainUntil) || e.view.Table.Uncertain()) {
+		// A lost owner or an isolated failure domain may have dispatched it, and the
+		// second holder stores no keys of repeatable requests.
 		e.finish(o, r, Unknown, OwnerLost, UnknownMessage(r.message.Token, r.message.MessageID))
 		return
 	}
-	floor := e.view.Table.Service(o.service).Policy().LowestShare
-	again := max(o.wait(r.class.Priority, floor), time.Second)
-	e.finish(o, r, Refused, cause, NotRunMessage(r.message.Token, r.message.MessageID, again))
+	lowestShare := e.view.Table.Service(o.service).Policy().LowestShare
+	retryAfter := max(o.estimateWait(r.class.Priority, lowestShare), time.Second)
+	e.finish(o, r, Refused, cause, NotRunMessage(r.message.Token, r.message.MessageID, retryAfter))
 }
 
-// finish gives a request its final answer and keeps it for repetitions.
+// finish sends a request's final answer and stores it for duplicates.
 func (e *Engine) finish(o *ownership, r *request, s State, cause Cause, answer Message) {
 	answer.Token = r.message.Token
 	answer.Type = message.NonConfirmable
 	answer.MessageID = r.message.MessageID
 	r.answer = &answer
-	e.step(o, r, s, cause, 0)
-	e.toCaller(r.tuple, answer)
+	e.transition(o, r, s, cause, 0)
+	e.sendToCaller(r.tuple, answer)
 }
 
-func (e *Engine) toCaller(caller packet.Tuple, m Message) {
-	inner, err := wrap(caller.Reverse(), m)
+func (e *Engine) sendToCaller(caller packet.Tuple, m Message) {
+	inner, err := buildPacket(caller.Reverse(), m)
 	if err != nil {
 		e.stats.Overflow++
 		return
 	}
-	o := Out{Kind: ToCaller, Inner: inner}
-	if m.Code == codes.ServiceUnavailable && !e.view.Island {
+	o := Output{Kind: ToCaller, Inner: inner}
+	if m.Code == codes.ServiceUnavailable && !e.view.Isolated {
 		o.Until = e.view.LeaseUntil
 	}
 	e.out = append(e.out, o)
 }
 
-// cancel ends a request by its caller's word: its slot is free at once, and
-// the backend server is told.
+// cancel ends the request with the caller's message ID and sends a cancellation to
+// its backend server.
 func (e *Engine) cancel(now time.Time, o *ownership, tuple packet.Tuple, id int32) {
 	r := o.requests[o.byMessage[messageKey{e.config.Hasher.Flow(tuple), id}]]
 	if r == nil || r.state.final() {
@@ -71,13 +71,14 @@
 	if r.state == Queued {
 		o.queue.remove(r)
 	}
-	e.abandon(o, r)
-	e.step(o, r, Cancelled, CallerCancelled, 0)
+	e.abandonAttempt(o, r)
+	e.transition(o, r, Cancelled, CallerCancelled, 0)
 	e.dispatch(now, o)
 }
 
-// abandon closes the open attempt and tells its backend server.
-func (e *Engine) abandon(o *ownership, r *request) {
+// abandonAttempt gives up on the open attempt, frees its slot and sends a
+// cancellation to the backend server.
+func (e *Engine) abandonAttempt(o *ownership, r *request) {
 	a := r.openAttempt()
 	if a == nil {
 		return
@@ -89,48 +90,49 @@
 	if endpoint == nil {
 		return
 	}
-	if inner, err := wrap(r.tuple, CancelMessage(a.messageID)); err == nil {
-		e.out = append(e.out, Out{Kind: ToBackend, Endpoint: endpoint, Inner: inner})
+	if inner, err := buildPacket(r.tuple, CancelMessage(a.messageID)); err == nil {
+		e.out = append(e.out, Output{Kind: ToBackend, Endpoint: endpoint, Inner: inner})
 	}
 }
 
-// Tick does what is due.
+// Tick runs the engine's timers.
 func (e *Engine) Tick(now time.Time) {
-	e.touched = true
-	for _, o := range e.inOrder() {
-		e.tickOwned(now, o)
+	e.dirty = true
+	for _, o := range e.sortedOwnerships() {
+		e.tickOwnership(now, o)
 	}
-	for id, k := range e.kept {
+	for id, k := range e.keptKeys {
 		k.expire(now)
 		if len(k.keys) == 0 && e.view.Table.Service(id) == nil {
-			delete(e.kept, id)
+			delete(e.keptKeys, id)
 		}
 	}
 }
 
-func (e *Engine) tickOwned(now time.Time, o *ownership) {
-	if o.phase == waiting && !now.Before(o.wantedAt) {
-		o.wantedAt = now.Add(e.config.HoldRetry)
-		e.peer(o.before, &wire.Peer{Body: &wire.Peer_Wanted{Wanted: &wire.Wanted{Service: o.service, Index: o.index}}})
+func (e *Engine) tickOwnership(now time.Time, o *ownership) {
+	if o.phase == waiting && !now.Before(o.nextWanted) {
+		o.nextWanted = now.Add(e.config.HoldRetry)
+		e.sendToPeer(o.formerOwner, &wire.Peer{Body: &wire.Peer_Wanted{Wanted: &wire.Wanted{Service: o.service, Index: o.index}}})
 	}
-	if o.absorb != "" && e.lives(o.absorb) && !now.Before(o.wantedAt) {
-		o.wantedAt = now.Add(e.config.HoldRetry)
-		e.peer(o.absorb, &wire.Peer{Body: &wire.Peer_Wanted{Wanted: &wire.Wanted{Service: o.service, Index: o.index}}})
+	if o.interimOwner != "" && e.isMember(o.interimOwner) && !now.Before(o.nextWanted) {
+		o.nextWanted = now.Add(e.config.HoldRetry)
+		e.sendToPeer(o.interimOwner, &wire.Peer{Body: &wire.Peer_Wanted{Wanted: &wire.Wanted{Service: o.service, Index: o.index}}})
 	}
 	if o.handover != nil {
 		e.runHandover(now, o)
 	}
 	if o.phase == serving {
-		e.chooseSecond(o)
+		e.updateSecond(o)
 		e.resendHolds(now, o)
-		e.expireActive(now, o)
+		e.expireRequests(now, o)
 		e.dispatch(now, o)
 	}
 	o.expire(now)
 }
 
-// expireActive ends what has run out of time.
-func (e *Engine) expireActive(now time.Time, o *ownership) {
+// expireRequests finishes requests whose deadline has passed, and retries repeatable
+// ones whose attempt has timed out.
+func (e *Engine) expireRequests(now time.Time, o *ownership) {
 	for _, r := range slices.Clone(o.active) {
 		a := r.openAttempt()
 		switch {
@@ -140,31 +142,31 @@
 			}
 			e.giveUp(now, o, r, DeadlinePassed)
 		case r.state == Dispatched && !now.Before(r.deadline):
-			e.abandon(o, r)
+			e.abandonAttempt(o, r)
 			e.finish(o, r, Unknown, DeadlinePassed, UnknownMessage(r.message.Token, r.message.MessageID))
-		case r.state == Dispatched && a != nil && !now.Before(a.until) && r.repeatable():
-			e.abandon(o, r)
-			e.again(now, o, r, DeadlinePassed)
+		case r.state == Dispatched && a != nil && !now.Before(a.timeoutAt) && r.repeatable():
+			e.abandonAttempt(o, r)
+			e.retry(now, o, r, DeadlinePassed)
 		}
 	}
 }
 
-// expire forgets requests after their longest life.
+// expire forgets requests and transfers that have expired.
 func (o *ownership) expire(now time.Time) {
 	for len(o.expiry) > 0 && now.After(o.expiry[0].expires) {
 		r := o.expiry[0]
 		if !r.state.final() {
-			break // its final answer comes first
+			break // not answered yet
 		}
 		o.expiry = o.expiry[1:]
 		delete(o.requests, r.id)
-		delete(o.unheld, r.id)
+		delete(o.unconfirmed, r.id)
 		if o.byMessage[r.key] == r.id {
 			delete(o.byMessage, r.key)
 		}
 	}
 	for key, t := range o.transfers {
-		if now.After(t.until) || len(o.transfers) > mostTransfers {
+		if now.After(t.expires) || len(o.transfers) > maxTransfers {
 			delete(o.transfers, key)
 		}
 	}
--- a/internal/work/hold.go
+++ b/internal/work/hold.go
@@ -9,79 +9,79 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// holdKeys bounds the keys of one message, to stay under a packet's size.
 const (
-	holdKeys     = 32
-	keyBytes     = 26
-	holdOverhead = 60
+	maxHoldKeys       = 32 // per message, to fit in one packet
+	bytesPerKey       = 26 // estimate for Stats.HoldBytes
+	holdOverheadBytes = 60 // estimate for Stats.HoldBytes, of a message without keys
 )
 
 type (
-	// sentHold is a message to the second holder that is not answered.
-	sentHold struct {
+	// unackedHold is a message to the second holder that isn't acknowledged yet.
+	unackedHold struct {
 		hold     *wire.Hold
 		requests []*request
-		due      time.Time
+		resendAt time.Time
 	}
 
-	// keptKeys is what a second holder keeps for the owner of a service.
+	// keptKeys holds the request keys that a second holder stores for the owner of a
+	// service.
 	keptKeys struct {
 		owner    string
-		index    uint64
-		complete bool
-		keys     map[route.FlowID]time.Time
+		index    uint64                     // of the table at which the owner took over
+		complete bool                       // the owner has sent all its keys
+		keys     map[route.FlowID]time.Time // request IDs and when they expire
 	}
 )
 
-// chooseSecond follows the second holder: the next in rank, reachable or not.
-// While it is silent no key is held and nothing is dispatched; another one in
-// its place would leave it to believe, should it take over, that it has every
-// key. A new one is told every key that is alive before it counts as complete.
-func (e *Engine) chooseSecond(o *ownership) {
+// updateSecond makes the entry next in rank the second holder, reachable or not,
+// and queues all live keys for a new one. An unreachable second holder is not
+// replaced, although no requests can be dispatched meanwhile: if it took over later,
+// it would wrongly assume that it has all keys.
+func (e *Engine) updateSecond(o *ownership) {
 	if o.phase != serving {
 		return
 	}
 	_, next := e.view.rank(o.service)
-	if next == o.second {
+	if next == o.secondHolder {
 		return
 	}
-	o.second, o.complete = next, false
-	o.holds = nil
-	o.toHold = nil
+	o.secondHolder, o.secondComplete = next, false
+	o.unackedHolds = nil
+	o.holdQueue = nil
 	for _, r := range o.requests {
 		if r.repeatable() {
 			continue
 		}
 		if next == "" {
-			r.held = true // nobody else is there to hold it
+			r.keyHeld = true // there is no other entry
 			continue
 		}
-		o.unheld[r.id] = r
-		o.toHold = append(o.toHold, r)
+		o.unconfirmed[r.id] = r
+		o.holdQueue = append(o.holdQueue, r)
 	}
-	slices.SortFunc(o.toHold, func(a, b *request) int { return cmp.Or(a.received.Compare(b.received), compareIDs(a.id, b.id)) })
+	slices.SortFunc(o.holdQueue, func(a, b *request) int { return cmp.Or(a.received.Compare(b.received), compareIDs(a.id, b.id)) })
 }
 
-// hold asks the second holder to keep the key of a request.
-func (e *Engine) hold(o *ownership, r *request) {
-	if o.second == "" {
-		r.held = true
+// holdKey queues the key of a request to be sent to the second holder.
+func (e *Engine) holdKey(o *ownership, r *request) {
+	if o.secondHolder == "" {
+		r.keyHeld = true
 		return
 	}
-	o.unheld[r.id] = r
-	o.toHold = append(o.toHold, r)
+	o.unconfirmed[r.id] = r
+	o.holdQueue = append(o.holdQueue, r)
 }
 
-// flushHolds sends the keys that wait, as many as fit in one message.
+// flushHolds sends the queued keys, and tells the second holder once it has all.
 func (e *Engine) flushHolds() {
-	for _, o := range e.inOrder() {
-		for len(o.toHold) > 0 && o.second != "" {
-			n := min(len(o.toHold), holdKeys)
-			e.sendHold(o, o.toHold[:n], false)
-			o.toHold = o.toHold[n:]
+	for _, o := range e.sortedOwnerships() {
+		for len(o.holdQueue) > 0 && o.secondHolder != "" {
+			n := min(len(o.holdQueue), maxHoldKeys)
+			e.sendHold(o, o.holdQueue[:n], false)
+			o.holdQueue = o.holdQueue[n:]
 		}
-		if !o.complete && o.phase == serving && o.second != "" && len(o.unheld) == 0 && len(o.holds) == 0 {
-			o.complete = true
+		if !o.secondComplete && o.phase == serving && o.secondHolder != "" && len(o.unconfirmed) == 0 && len(o.unackedHolds) == 0 {
+			o.secondComplete = true
 			e.sendHold(o, nil, true)
 		}
 	}
@@ -93,38 +93,38 @@
 	for _, r := range requests {
 		h.Keys = append(h.Keys, &wire.HeldKey{High: r.id.High, Low: r.id.Low, LifeNanos: int64(r.expires.Sub(r.received))})
 	}
-	o.holds = append(o.holds, &sentHold{hold: h, requests: slices.Clone(requests)})
+	o.unackedHolds = append(o.unackedHolds, &unackedHold{hold: h, requests: slices.Clone(requests)})
 	e.transmitHold(o, h)
 }
 
 func (e *Engine) transmitHold(o *ownership, h *wire.Hold) {
 	e.stats.Holds++
-	e.stats.HoldBytes += uint64(holdOverhead + len(h.Keys)*keyBytes)
-	e.peer(o.second, &wire.Peer{Body: &wire.Peer_Hold{Hold: h}})
+	e.stats.HoldBytes += uint64(holdOverheadBytes + len(h.Keys)*bytesPerKey)
+	e.sendToPeer(o.secondHolder, &wire.Peer{Body: &wire.Peer_Hold{Hold: h}})
 }
 
 func (e *Engine) resendHolds(now time.Time, o *ownership) {
-	for _, h := range o.holds {
-		if h.due.IsZero() {
-			h.due = now.Add(e.config.HoldRetry)
+	for _, h := range o.unackedHolds {
+		if h.resendAt.IsZero() {
+			h.resendAt = now.Add(e.config.HoldRetry)
 		}
-		if !now.Before(h.due) {
-			h.due = now.Add(e.config.HoldRetry)
+		if !now.Before(h.resendAt) {
+			h.resendAt = now.Add(e.config.HoldRetry)
 			e.transmitHold(o, h.hold)
 		}
 	}
 }
 
-// takeHold keeps keys for the owner of a service. Keys of an earlier owner
-// stay for their life; whether they are all is said by the present one.
-func (e *Engine) takeHold(now time.Time, from string, h *wire.Hold) {
-	k := e.kept[h.Service]
+// handleHold stores keys for the owner of a service. Keys of an earlier owner are
+// kept until they expire, but the set is complete only when the current owner says so.
+func (e *Engine) handleHold(now time.Time, from string, h *wire.Hold) {
+	k := e.keptKeys[h.Service]
 	if k == nil {
 		k = &keptKeys{keys: map[route.FlowID]time.Time{}}
-		e.kept[h.Service] = k
+		e.keptKeys[h.Service] = k
 	}
 	if h.Index < k.index {
-		return // an owner that was, its message late
+		return // a late message of a former owner
 	}
 	if h.Index > k.index || k.owner != from {
 		k.owner, k.index, k.complete = from, h.Index, false
@@ -136,7 +136,7 @@
 		}
 		k.complete = k.complete || h.Complete
 	}
-	e.peer(from, &wire.Peer{Body: &wire.Peer_Held{Held: &wire.Held{Service: h.Service, Sequence: h.Sequence, Refused: refused}}})
+	e.sendToPeer(from, &wire.Peer{Body: &wire.Peer_Held{Held: &wire.Held{Service: h.Service, Sequence: h.Sequence, Refused: refused}}})
 }
 
 func (k *keptKeys) expire(now time.Time) {
@@ -147,26 +147,27 @@
 	}
 }
 
-// takeHeld lets requests go on whose keys the second holder has confirmed.
-func (e *Engine) takeHeld(now time.Time, from string, h *wire.Held) {
+// handleHeld admits the requests whose keys the second holder has stored, and
+// refuses those it had no room for.
+func (e *Engine) handleHeld(now time.Time, from string, h *wire.Held) {
 	o := e.owned[h.Service]
-	if o == nil || o.second != from {
+	if o == nil || o.secondHolder != from {
 		return
 	}
-	i := slices.IndexFunc(o.holds, func(s *sentHold) bool { return s.hold.Sequence == h.Sequence })
+	i := slices.IndexFunc(o.unackedHolds, func(s *unackedHold) bool { return s.hold.Sequence == h.Sequence })
 	if i < 0 {
 		return
 	}
-	sent := o.holds[i]
-	o.holds = slices.Delete(o.holds, i, i+1)
+	sent := o.unackedHolds[i]
+	o.unackedHolds = slices.Delete(o.unackedHolds, i, i+1)
 	for _, r := range sent.requests {
-		delete(o.unheld, r.id)
+		delete(o.unconfirmed, r.id)
 		switch {
 		case r.state != Received:
 		case h.Refused:
 			e.refuse(now, o, r, TableFull)
 		default:
-			r.held = true
+			r.keyHeld = true
 			e.admit(now, o, r)
 		}
 	}
--- a/internal/work/message.go
+++ b/internal/work/message.go
@@ -13,41 +13,41 @@
 )
 
 const (
-	// DeadlineOption carries the milliseconds that are left of a request's
-	// time. Its number is of the range for experiments (RFC 7252, 12.2);
-	// being even it is elective, so a server that does not know it ignores it.
+	// DeadlineOption carries the milliseconds left until the request's deadline.
+	// Its number is in the range for experiments (RFC 7252, section 12.2), and even,
+	// which makes the option elective: servers that don't know it ignore it.
 	DeadlineOption message.OptionID = 65000
 
-	mostOptions   = 24
-	mostHeader    = 512
-	unknownText   = "unknown: it may have run, do not assume either"
-	notRunText    = "not run"
-	badText       = "bad request"
-	restartText   = "block-wise answer is gone, start again"
-	responseClass = 2 // codes of class 2 and up are answers
+	maxOptions     = 24
+	maxHeaderBytes = 512
+	unknownText    = "unknown: it may have run, do not assume either"
+	notRunText     = "not run"
+	badRequestText = "bad request"
+	restartText    = "block-wise answer is gone, start again"
+	minAnswerClass = 2 // codes of class 2 (success) and above are responses
 )
 
-// Message is a CoAP message as the core sees it.
+// Message is a CoAP message.
 type Message struct {
 	message.Message
 }
 
-// Decode reads a CoAP message; the result shares the data.
+// Decode decodes a CoAP message. The result aliases data.
 func Decode(data []byte) (Message, error) {
-	m := Message{message.Message{Options: make(message.Options, 0, mostOptions)}}
+	m := Message{message.Message{Options: make(message.Options, 0, maxOptions)}}
 	n, err := coder.DefaultCoder.Decode(data, &m.Message)
 	if err != nil {
 		return Message{}, fmt.Errorf("decode coap: %w", err)
 	}
 	if n != len(data) {
-		return Message{}, errors.New("decode coap: bytes left over")
+		return Message{}, errors.New("decode coap: trailing bytes")
 	}
 	return m, nil
 }
 
-// Encode writes the message.
+// Encode returns the wire format of the message.
 func (m Message) Encode() ([]byte, error) {
-	buf := make([]byte, mostHeader+len(m.Payload))
+	buf := make([]byte, maxHeaderBytes+len(m.Payload))
 	n, err := coder.DefaultCoder.Encode(m.Message, buf)
 	if err != nil {
 		return nil, fmt.Errorf("encode coap: %w", err)
@@ -55,27 +55,28 @@
 	return buf[:n], nil
 }
 
-// IsRequest reports whether the message asks for something.
+// IsRequest reports whether the message is a request.
 func (m Message) IsRequest() bool { return m.Code >= codes.GET && m.Code>>5 == 0 }
 
-// IsAnswer reports whether the message answers a request.
-func (m Message) IsAnswer() bool { return m.Code>>5 >= responseClass }
+// IsAnswer reports whether the message is a response.
+func (m Message) IsAnswer() bool { return m.Code>>5 >= minAnswerClass }
 
-// IsReset reports whether the message cancels the one with its message id.
+// IsReset reports whether the message is a reset, which cancels the request with
+// its message ID.
 func (m Message) IsReset() bool { return m.Type == message.Reset && m.Code == codes.Empty }
 
-// Left returns the time that a request says is left of its deadline.
+// Left returns the time left until the deadline, and whether the request has one.
 func (m Message) Left() (time.Duration, bool) {
 	ms, err := m.Options.GetUint32(DeadlineOption)
 	return time.Duration(ms) * time.Millisecond, err == nil
 }
 
-// WithLeft returns the message with the time that is left.
+// WithLeft returns the message with the time left until its deadline.
 func (m Message) WithLeft(left time.Duration) Message {
-	return m.withUint(DeadlineOption, uint32(max(left.Milliseconds(), 1)))
+	return m.withUint32(DeadlineOption, uint32(max(left.Milliseconds(), 1)))
 }
 
-func (m Message) withUint(id message.OptionID, value uint32) Message {
+func (m Message) withUint32(id message.OptionID, value uint32) Message {
 	options, err := m.Options.Clone()
 	if err != nil {
 		return m
@@ -88,14 +89,15 @@
 	return m
 }
 
-// Block returns the number of the block that a request asks for by Block2.
+// Block returns the block number of the Block2 option, and whether there is one.
 func (m Message) Block() (number uint32, asked bool) {
 	const numberShift = 4
 	value, err := m.Options.GetUint32(message.Block2)
 	return value >> numberShift, err == nil
 }
 
-// MaxAge returns after how long a refused caller may come again.
+// MaxAge returns the Max-Age option, the time after which a refused caller may
+// retry, or zero.
 func (m Message) MaxAge() time.Duration {
 	s, err := m.Options.GetUint32(message.MaxAge)
 	if err != nil {
@@ -104,25 +106,26 @@
 	return time.Duration(s) * time.Second
 }
 
-// NotRunMessage returns the answer that says that a request was not run.
-func NotRunMessage(token message.Token, id int32, again time.Duration) Message {
-	m := answer(token, id, codes.ServiceUnavailable, notRunText)
-	return m.withUint(message.MaxAge, uint32((again+time.Second-1)/time.Second))
+// NotRunMessage returns the response to a request that was not run.
+func NotRunMessage(token message.Token, id int32, retryAfter time.Duration) Message {
+	m := newAnswer(token, id, codes.ServiceUnavailable, notRunText)
+	return m.withUint32(message.MaxAge, uint32((retryAfter+time.Second-1)/time.Second))
 }
 
-// UnknownMessage returns the answer that says that a request may have run.
+// UnknownMessage returns the response to a request that may have run.
 func UnknownMessage(token message.Token, id int32) Message {
-	return answer(token, id, codes.GatewayTimeout, unknownText)
+	return newAnswer(token, id, codes.GatewayTimeout, unknownText)
 }
 
-// BadRequestMessage returns the answer to a request that cannot be understood.
+// BadRequestMessage returns the response to a malformed request.
 func BadRequestMessage(token message.Token, id int32) Message {
-	return answer(token, id, codes.BadRequest, badText)
+	return newAnswer(token, id, codes.BadRequest, badRequestText)
 }
 
-// RestartMessage returns the answer to a block of an answer that is gone.
+// RestartMessage returns the response to a request for a block of a block-wise
+// transfer that is no longer known. The caller has to restart the transfer.
 func RestartMessage(token message.Token, id int32) Message {
-	return answer(token, id, codes.RequestEntityIncomplete, restartText)
+	return newAnswer(token, id, codes.RequestEntityIncomplete, restartText)
 }
 
 // AckMessage returns the empty acknowledgement of a confirmable request.
@@ -130,17 +133,17 @@
 	return Message{message.Message{Code: codes.Empty, Type: message.Acknowledgement, MessageID: id}}
 }
 
-// CancelMessage returns the reset that cancels the message with this id.
+// CancelMessage returns the reset that cancels the message with the given ID.
 func CancelMessage(id int32) Message {
 	return Message{message.Message{Code: codes.Empty, Type: message.Reset, MessageID: id}}
 }
 
-func answer(token message.Token, id int32, code codes.Code, text string) Message {
+func newAnswer(token message.Token, id int32, code codes.Code, text string) Message {
 	return Message{message.Message{Token: token, Code: code, Type: message.NonConfirmable, MessageID: id, Payload: []byte(text)}}
 }
 
-// wrap builds the IP packet that carries a message.
-func wrap(t packet.Tuple, m Message) ([]byte, error) {
+// buildPacket returns the IP packet that carries a message.
+func buildPacket(t packet.Tuple, m Message) ([]byte, error) {
 	data, err := m.Encode()
 	if err != nil {
 		return nil, err
@@ -148,10 +151,10 @@
 	return packet.Build(t, packet.Flags{}, 0, 0, data)
 }
 
-// WithBlock returns the message with a Block2 option of this raw value.
-func (m Message) WithBlock(value uint32) Message { return m.withUint(message.Block2, value) }
+// WithBlock returns the message with the raw value as its Block2 option.
+func (m Message) WithBlock(value uint32) Message { return m.withUint32(message.Block2, value) }
 
-// MoreBlocks reports whether more blocks follow the one in an answer.
+// MoreBlocks reports whether the Block2 option says that more blocks follow.
 func (m Message) MoreBlocks() bool {
 	const moreBit = 1 << 3
 	value, err := m.Options.GetUint32(message.Block2)
--- a/internal/work/overload_test.go
+++ b/internal/work/overload_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	benchEndpoints = 14
-	benchSlots     = 3
-	benchService   = 40 * time.Millisecond
-	benchDeadline  = time.Second
-	benchSeconds   = 20
-	firstShare     = 0.25
+	benchEndpoints   = 14
+	benchSlots       = 3
+	benchServiceTime = 40 * time.Millisecond
+	benchDeadline    = time.Second
+	benchSeconds     = 20
+	maxFirstShare    = 0.25
 )
 
 type (
@@ -35,24 +35,24 @@
 	}
 	simQueue []simEvent
 
-	// overload offers requests at a multiple of what the slots can run, to
-	// one owner or to the baseline, in a time of its own.
-	overload struct {
-		rng      *rand.Rand
-		now      time.Time
-		queue    simQueue
-		seq      int
-		engine   *Engine
-		table    *route.Table
-		began    map[uint64]time.Time
-		runs     map[uint64]int
-		running  map[uint32]int
-		waiting  map[uint32][]func()
-		latency  [2]*hdrhistogram.Histogram
-		answered int
-		refused  int
-		unknown  int
-		busy     int
+	// overloadSim simulates requests at a multiple of the capacity, in simulated time,
+	// to an Engine or to a baseline without admission control.
+	overloadSim struct {
+		rng           *rand.Rand
+		now           time.Time
+		queue         simQueue
+		seq           int
+		engine        *Engine
+		table         *route.Table
+		startedAt     map[uint64]time.Time
+		runs          map[uint64]int
+		running       map[uint32]int
+		waiting       map[uint32][]func()
+		latency       [2]*hdrhistogram.Histogram
+		answered      int
+		refused       int
+		unknown       int
+		overcommitted int
 	}
 )
 
@@ -73,9 +73,9 @@
 	return netip.AddrPortFrom(netip.MustParseAddr("192.0.2.1"), uint16(5683+priority))
 }
 
-func newOverload() *overload {
-	o := &overload{
-		rng: rand.New(rand.NewPCG(3, 4)), now: time.Unix(1000, 0), began: map[uint64]time.Time{}, runs: map[uint64]int{},
+func newOverload() *overloadSim {
+	o := &overloadSim{
+		rng: rand.New(rand.NewPCG(3, 4)), now: time.Unix(1000, 0), startedAt: map[uint64]time.Time{}, runs: map[uint64]int{},
 		running: map[uint32]int{}, waiting: map[uint32][]func(){},
 	}
 	for i := range o.latency {
@@ -97,21 +97,22 @@
 	b.PutMember(route.NewMember("e0", "d", 1, false, 1))
 	o.table = b.Table()
 	o.engine = New(Config{Self: "e0", Domain: "d", Incarnation: 1, Requests: 100_000, HeldKeys: 1000, HoldRetry: time.Second, RetryFloor: 5, Linger: 3 * time.Second})
-	o.engine.SetView(o.now, &View{Table: o.table, LeaseUntil: o.now.Add(time.Hour), Domains: []string{"d"}})
+	o.engine.SetView(o.now, &View{Table: o.table, LeaseUntil: o.now.Add(time.Hour), ReachableDomains: []string{"d"}})
 	return o
 }
 
-func (o *overload) after(d time.Duration, run func()) {
+func (o *overloadSim) schedule(d time.Duration, run func()) {
 	o.seq++
 	heap.Push(&o.queue, simEvent{o.now.Add(d), o.seq, run})
 }
 
-// serviceTime is spread: half of it at least, with an exponential rest.
-func (o *overload) serviceTime() time.Duration {
-	return benchService/2 + time.Duration(o.rng.ExpFloat64()*float64(benchService/2))
+// serviceTime returns a random service time: half of the mean plus an exponentially
+// distributed rest.
+func (o *overloadSim) serviceTime() time.Duration {
+	return benchServiceTime/2 + time.Duration(o.rng.ExpFloat64()*float64(benchServiceTime/2))
 }
 
-func (o *overload) request(number uint64, class int) *packet.Packet {
+func (o *overloadSim) request(number uint64, class int) *packet.Packet {
 	m := Message{message.Message{Token: binary.BigEndian.AppendUint64(nil, number), Code: codes.POST, Type: message.NonConfirmable, MessageID: int32(number & 0xffff)}}
 	data, err := m.WithLeft(benchDeadline).Encode()
 	if err != nil {
@@ -130,9 +131,9 @@
 	return p
 }
 
-// offer runs the load; ask sends one request.
-func (o *overload) offer(load float64, ask func(number uint64, class int)) {
-	perSecond := load * benchEndpoints * benchSlots / benchService.Seconds()
+// generate runs the simulation and calls send for each new request.
+func (o *overloadSim) generate(load float64, send func(number uint64, class int)) {
+	perSecond := load * benchEndpoints * benchSlots / benchServiceTime.Seconds()
 	end := o.now.Add(benchSeconds * time.Second)
 	number := uint64(0)
 	var next func()
@@ -142,12 +143,12 @@
 		}
 		number++
 		class := 1
-		if o.rng.Float64() < firstShare*min(1, 1/load) {
-			class = 0 // the first class alone never asks for more than a quarter
+		if o.rng.Float64() < maxFirstShare*min(1, 1/load) {
+			class = 0 // keeps the first class at a quarter of the capacity at most
 		}
-		o.began[number] = o.now
-		ask(number, class)
-		o.after(time.Duration(o.rng.ExpFloat64()/perSecond*float64(time.Second)), next)
+		o.startedAt[number] = o.now
+		send(number, class)
+		o.schedule(time.Duration(o.rng.ExpFloat64()/perSecond*float64(time.Second)), next)
 	}
 	next()
 	for len(o.queue) > 0 && o.queue[0].at.Before(end.Add(3*time.Second)) {
@@ -157,23 +158,24 @@
 	}
 }
 
-func (o *overload) own(load float64) {
+// runEngine simulates the load with the Engine.
+func (o *overloadSim) runEngine(load float64) {
 	var tick func()
 	tick = func() {
 		o.engine.Tick(o.now)
-		o.flush()
-		o.after(10*time.Millisecond, tick)
+		o.deliver()
+		o.schedule(10*time.Millisecond, tick)
 	}
 	tick()
-	o.offer(load, func(number uint64, class int) {
+	o.generate(load, func(number uint64, class int) {
 		service := o.table.Service(1)
-		o.engine.Request(o.now, service, &service.Classes()[class], o.request(number, class))
-		o.flush()
+		o.engine.HandleRequest(o.now, service, &service.Classes()[class], o.request(number, class))
+		o.deliver()
 	})
 }
 
-func (o *overload) flush() {
-	for _, out := range o.engine.TakeOut() {
+func (o *overloadSim) deliver() {
+	for _, out := range o.engine.TakeOutput() {
 		var d packet.Decoder
 		p := &packet.Packet{}
 		if d.DecodeInner(out.Inner, p) != packet.Decoded {
@@ -185,49 +187,49 @@
 		}
 		switch out.Kind {
 		case ToBackend:
-			o.backend(out.Endpoint, p, m)
+			o.handleBackend(out.Endpoint, p, m)
 		case ToCaller:
-			o.caller(p, m)
+			o.handleCaller(p, m)
 		}
 	}
 	o.engine.TakeEvents()
 }
 
-func (o *overload) backend(e *route.Endpoint, p *packet.Packet, m Message) {
+func (o *overloadSim) handleBackend(e *route.Endpoint, p *packet.Packet, m Message) {
 	if !m.IsRequest() {
 		return
 	}
 	number := binary.BigEndian.Uint64(m.Token)
 	answer := func(code codes.Code) {
 		reply := Message{message.Message{Token: m.Token, Code: code, Type: message.NonConfirmable, MessageID: m.MessageID, Payload: []byte("x")}}
-		inner, err := wrap(p.Tuple().Reverse(), reply)
+		inner, err := buildPacket(p.Tuple().Reverse(), reply)
 		if err != nil {
 			panic(err)
 		}
 		var d packet.Decoder
 		back := &packet.Packet{}
 		d.DecodeInner(inner, back)
-		o.engine.Answer(o.now, e.Addr(), o.table.Service(1), back)
-		o.flush()
+		o.engine.HandleAnswer(o.now, e.Addr(), o.table.Service(1), back)
+		o.deliver()
 	}
 	if o.running[e.ID()] >= benchSlots {
-		o.busy++
-		o.after(time.Millisecond, func() { answer(codes.ServiceUnavailable) })
+		o.overcommitted++
+		o.schedule(time.Millisecond, func() { answer(codes.ServiceUnavailable) })
 		return
 	}
 	o.running[e.ID()]++
 	o.runs[number]++
-	o.after(o.serviceTime(), func() {
+	o.schedule(o.serviceTime(), func() {
 		o.running[e.ID()]--
 		answer(codes.Content)
 	})
 }
 
-func (o *overload) caller(p *packet.Packet, m Message) {
+func (o *overloadSim) handleCaller(p *packet.Packet, m Message) {
 	number := binary.BigEndian.Uint64(m.Token)
 	switch m.Code {
 	case codes.Content:
-		o.answer(number, int(p.Tuple().Src().Port())-5683)
+		o.recordAnswer(number, int(p.Tuple().Src().Port())-5683)
 	case codes.ServiceUnavailable:
 		o.refused++
 	default:
@@ -235,18 +237,18 @@
 	}
 }
 
-func (o *overload) answer(number uint64, class int) {
-	took := o.now.Sub(o.began[number])
+func (o *overloadSim) recordAnswer(number uint64, class int) {
+	took := o.now.Sub(o.startedAt[number])
 	if took <= benchDeadline {
 		o.answered++
 	}
 	_ = o.latency[class].RecordValue(max(took.Microseconds(), 1))
 }
 
-// baseline dispatches by hash to a backend server that queues, and sends again
-// after a time-out, to another one.
-func (o *overload) baseline(load float64) {
-	const patience, tries = 300 * time.Millisecond, 3
+// runBaseline simulates the load without an Engine: requests are hashed to backend
+// servers that queue them, and callers retry after a timeout at another one.
+func (o *overloadSim) runBaseline(load float64) {
+	const timeout, maxTries = 300 * time.Millisecond, 3
 	done := map[uint64]bool{}
 	var try func(number uint64, class, n int)
 	serve := func(endpoint uint32, run func()) {
@@ -261,10 +263,10 @@
 		endpoint := uint32((number*2654435761 + uint64(n)) % benchEndpoints)
 		serve(endpoint, func() {
 			o.runs[number]++
-			o.after(o.serviceTime(), func() {
+			o.schedule(o.serviceTime(), func() {
 				if !done[number] {
 					done[number] = true
-					o.answer(number, class)
+					o.recordAnswer(number, class)
 				}
 				if next := o.waiting[endpoint]; len(next) > 0 {
 					o.waiting[endpoint] = next[1:]
@@ -274,16 +276,17 @@
 				}
 			})
 		})
-		o.after(patience, func() {
-			if !done[number] && n+1 < tries {
+		o.schedule(timeout, func() {
+			if !done[number] && n+1 < maxTries {
 				try(number, class, n+1)
 			}
 		})
 	}
-	o.offer(load, func(number uint64, class int) { try(number, class, 0) })
+	o.generate(load, func(number uint64, class int) { try(number, class, 0) })
 }
 
-func (o *overload) twice() int {
+// ranTwice returns the number of requests that ran more than once.
+func (o *overloadSim) ranTwice() int {
 	n := 0
 	for _, runs := range o.runs {
 		if runs > 1 {
@@ -293,8 +296,8 @@
 	return n
 }
 
-// BenchmarkOverload counts what callers get at multiples of the capacity, from
-// the project's own admission and from the baseline. Run with -benchtime 1x.
+// BenchmarkOverload compares the Engine with the baseline at several multiples of the
+// capacity. Run with -benchtime 1x.
 func BenchmarkOverload(b *testing.B) {
 	for _, load := range []float64{0.5, 0.9, 1.5, 3, 5} {
 		for _, scheme := range []string{"own", "baseline"} {
@@ -302,16 +305,16 @@
 				for b.Loop() {
 					o := newOverload()
 					if scheme == "own" {
-						o.own(load)
+						o.runEngine(load)
 					} else {
-						o.baseline(load)
+						o.runBaseline(load)
 					}
 					b.ReportMetric(float64(o.latency[0].ValueAtQuantile(50))/1000, "p50-first-ms")
 					b.ReportMetric(float64(o.latency[0].ValueAtQuantile(99))/1000, "p99-first-ms")
 					b.ReportMetric(float64(o.latency[0].ValueAtQuantile(99.9))/1000, "p99.9-first-ms")
 					b.ReportMetric(float64(o.answered)/benchSeconds, "goodput/s")
 					b.ReportMetric(float64(o.latency[1].TotalCount()), "later-answered")
-					b.ReportMetric(float64(o.twice()), "ran-twice")
+					b.ReportMetric(float64(o.ranTwice()), "ran-twice")
 					b.ReportMetric(float64(o.refused), "not-run")
 					b.ReportMetric(float64(o.unknown), "unknown")
 				}
@@ -320,18 +323,20 @@
 	}
 }
 
-func TestOverloadKeepsItsPromises(t *testing.T) {
+// Guards against overcommitted slots, starvation of the later class, and loss of
+// goodput at five times the capacity.
+func TestOverloadInvariants(t *testing.T) {
 	g := gomega.NewWithT(t)
-	half, five := newOverload(), newOverload()
-	half.own(0.5)
-	five.own(5)
-	g.Expect(five.twice()).To(gomega.BeZero())
-	g.Expect(five.busy).To(gomega.BeZero(), "slots are never over-committed by one owner")
-	g.Expect(five.latency[1].TotalCount()).To(gomega.BeNumerically(">", 0), "the later class does not starve")
-	best := benchEndpoints * benchSlots / benchService.Seconds()
-	g.Expect(float64(five.answered)/benchSeconds).To(gomega.BeNumerically(">", 0.9*best), "goodput stays flat at five times the capacity")
-	g.Expect(half.unknown + half.refused).To(gomega.BeZero())
-	for number := range five.began {
-		g.Expect(five.runs[number]).To(gomega.BeNumerically("<=", 1))
+	underloaded, overloaded := newOverload(), newOverload()
+	underloaded.runEngine(0.5)
+	overloaded.runEngine(5)
+	g.Expect(overloaded.ranTwice()).To(gomega.BeZero())
+	g.Expect(overloaded.overcommitted).To(gomega.BeZero(), "slots are never over-committed by one owner")
+	g.Expect(overloaded.latency[1].TotalCount()).To(gomega.BeNumerically(">", 0), "the later class does not starve")
+	capacity := benchEndpoints * benchSlots / benchServiceTime.Seconds()
+	g.Expect(float64(overloaded.answered)/benchSeconds).To(gomega.BeNumerically(">", 0.9*capacity), "goodput stays flat at five times the capacity")
+	g.Expect(underloaded.unknown + underloaded.refused).To(gomega.BeZero())
+	for number := range overloaded.startedAt {
+		g.Expect(overloaded.runs[number]).To(gomega.BeNumerically("<=", 1))
 	}
 }
--- a/internal/work/owner.go
+++ b/internal/work/owner.go
@@ -10,9 +10,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// The phases of an ownership.
+// Phases of an ownership.
 const (
-	waiting phase = iota // for the former owner to hand over
+	waiting phase = iota // for the former owner's handover
 	serving
 	former // another entry is the owner now
 )
@@ -20,34 +20,35 @@
 type (
 	phase int
 
-	// ownership is what the owner of a service's work holds.
+	// ownership is the state of an entry that owns, or has owned, the requests of a
+	// service.
 	ownership struct {
-		service     uint32
-		index       uint64 // of the table by which it became the owner
-		phase       phase
-		before      string    // the former owner, while waiting
-		blankUntil  time.Time // until then an old request cannot be told from a new one
-		doubtUntil  time.Time // until then a repeatable one, which no second holds, cannot
-		requests    map[route.FlowID]*request
-		expiry      []*request // in the order they were received
-		active      []*request // without a final answer, in the order they came
-		byMessage   map[messageKey]route.FlowID
-		queue       queue
-		grants      grants
-		endpoints   []*route.Endpoint // that take new work
-		retries     retryBudget
-		transfers   map[transferKey]transfer
-		early       []earlyPacket // answers and requests that came while waiting
-		second      string
-		unheld      map[route.FlowID]*request
-		toHold      []*request
-		holds       []*sentHold // in the order of sequences
-		complete    bool        // the second holder was told that it has every key
-		handover    *outgoing
-		gaveAway    bool // another entry has been given the requests
-		formerSince time.Time
-		absorb      string // an owner in between, which is asked for its part only so that it can let go
-		wantedAt    time.Time
+		service          uint32
+		index            uint64 // of the table by which this entry became the owner
+		phase            phase
+		formerOwner      string    // set while waiting
+		keysUnknownUntil time.Time // before this, a seemingly new request may have run already
+		uncertainUntil   time.Time // the same for repeatable requests, whose keys aren't stored
+		requests         map[route.FlowID]*request
+		expiry           []*request // in the order they were added
+		active           []*request // without a final state, in the order they were added
+		byMessage        map[messageKey]route.FlowID
+		queue            queue
+		grants           grants
+		endpoints        []*route.Endpoint // that take new requests
+		retries          retryBudget
+		transfers        map[transferKey]transfer
+		earlyPackets     []earlyPacket // packets that arrived while waiting
+		secondHolder     string
+		unconfirmed      map[route.FlowID]*request
+		holdQueue        []*request
+		unackedHolds     []*unackedHold // in the order of their sequence numbers
+		secondComplete   bool           // the second holder was told that it has all keys
+		handover         *outgoingHandover
+		handedOff        bool // the requests were given to another entry
+		formerSince      time.Time
+		interimOwner     string // an owner in between, asked for its handover only so that it can drop its ownership
+		nextWanted       time.Time
 	}
 
 	messageKey struct {
@@ -55,10 +56,10 @@
 		messageID int32
 	}
 
-	// transfer pins the blocks of one answer to the endpoint that began it.
+	// transfer is the endpoint that serves a block-wise transfer.
 	transfer struct {
 		endpoint uint32
-		until    time.Time
+		expires  time.Time
 	}
 
 	transferKey struct {
@@ -71,95 +72,98 @@
 		inner    []byte
 	}
 
-	// Engine decides on work for one entry.
+	// Engine processes the requests of all services for one entry.
 	Engine struct {
 		config   Config
 		view     *View
 		owned    map[uint32]*ownership
-		kept     map[uint32]*keptKeys
-		out      []Out
+		keptKeys map[uint32]*keptKeys
+		out      []Output
 		events   []Event
 		sequence uint64
-		touched  bool // something may have to be sent
+		dirty    bool // there may be output or holds to send
 		stats    Stats
 	}
 )
 
-// New returns an engine that owns nothing.
+// New returns an engine without ownerships.
 func New(c Config) *Engine {
 	return &Engine{
 		config: c, view: &View{Table: route.Empty()},
-		owned: map[uint32]*ownership{}, kept: map[uint32]*keptKeys{},
+		owned: map[uint32]*ownership{}, keptKeys: map[uint32]*keptKeys{},
 	}
 }
 
-// TakeOut returns what is to be sent and forgets it; valid until the next call.
-func (e *Engine) TakeOut() []Out {
-	if !e.touched {
-		return nil // it is asked after every packet, and most are no work
+// TakeOutput returns and clears the pending output, which is valid until the next
+// call.
+func (e *Engine) TakeOutput() []Output {
+	if !e.dirty {
+		return nil // fast path: called after every packet, most of which aren't requests
 	}
-	e.touched = false
+	e.dirty = false
 	e.flushHolds()
 	out := e.out
 	e.out = e.out[:0]
 	return out
 }
 
-// TakeEvents returns the steps taken since the last call; valid until the next.
+// TakeEvents returns the events since the last call. They are valid until the next
+// call.
 func (e *Engine) TakeEvents() []Event {
 	events := e.events
 	e.events = e.events[:0]
 	return events
 }
 
-// Stats returns counts of what the engine holds and has done.
+// Stats returns the current statistics.
 func (e *Engine) Stats() Stats {
 	s := e.stats
 	for _, o := range e.owned {
 		s.Requests += len(o.requests)
-		s.Queue += o.queue.len()
+		s.Queued += o.queue.len()
 	}
-	for _, k := range e.kept {
-		s.Kept += len(k.keys)
+	for _, k := range e.keptKeys {
+		s.StoredKeys += len(k.keys)
 	}
 	return s
 }
 
-// rank returns the owner and the second holder of a service's work.
+// rank returns the owner and the second holder of a service's requests.
 func (v *View) rank(service uint32) (owner, second string) {
 	return route.Rank(v.Table.Members(), service, route.WorkBucket)
 }
 
-// SetView takes a new view; an older table is refused. Each change of the
-// entries since the last view is gone through in order, so that no owner in
+// SetView applies a new view, unless its table is older than the current one. All
+// membership changes since the last view are applied in order, so that no owner in
 // between is missed.
 func (e *Engine) SetView(now time.Time, next *View) {
-	e.touched = true
+	e.dirty = true
 	if next.Table.Index() < e.view.Table.Index() {
 		return
 	}
-	for _, t := range next.Steps {
+	for _, t := range next.MembershipTables {
 		if t.Index() > e.view.Table.Index() && t.Index() < next.Table.Index() {
-			e.setTable(now, next, t)
+			e.applyTable(now, next, t)
 		}
 	}
 	if next.Table == e.view.Table {
 		e.view = next
 		return
 	}
-	e.setTable(now, next, next.Table)
+	e.applyTable(now, next, next.Table)
 }
 
-func (e *Engine) setTable(now time.Time, next *View, t *route.Table) {
+// applyTable applies one table with the rest of the new view.
+func (e *Engine) applyTable(now time.Time, next *View, t *route.Table) {
 	previous := e.view.Table
 	view := *next
 	view.Table = t
 	e.view = &view
 	self, listed := t.Member(e.config.Self)
 	if !listed || self.Incarnation() != e.config.Incarnation {
-		// The others have gone on without this entry: what it holds is old.
+		// The entry was removed, so its state is outdated.
 		clear(e.owned)
-		clear(e.kept)
+		clear(e.keptKeys)
 		return
 	}
 	before, wasListed := previous.Member(e.config.Self)
@@ -169,20 +173,20 @@
 			e.updateService(now, s, previous, wasListed)
 		}
 	})
-	for _, o := range e.inOrder() {
+	for _, o := range e.sortedOwnerships() {
 		if t.Service(o.service) == nil {
 			e.drop(o)
 		}
 	}
-	for service, k := range e.kept {
+	for service, k := range e.keptKeys {
 		if _, second := e.view.rank(service); second != e.config.Self {
-			k.complete = false // the owner tells another one from here on
+			k.complete = false // the owner now sends its keys to another entry
 		}
 	}
 }
 
-// inOrder returns the ownerships by service, so that a run can be replayed.
-func (e *Engine) inOrder() []*ownership {
+// sortedOwnerships returns the ownerships sorted by service, for reproducible runs.
+func (e *Engine) sortedOwnerships() []*ownership {
 	all := make([]*ownership, 0, len(e.owned))
 	for _, id := range slices.Sorted(maps.Keys(e.owned)) {
 		all = append(all, e.owned[id])
@@ -201,17 +205,19 @@
 	return false
 }
 
+// updateService starts or ends this entry's ownership of a service after a change of
+// the table.
 func (e *Engine) updateService(now time.Time, s *route.Service, previous *route.Table, wasListed bool) {
 	owner, _ := e.view.rank(s.ID())
 	o := e.owned[s.ID()]
 	switch {
 	case owner == e.config.Self && (o == nil || o.phase == former):
-		before, known := e.formerOwner(s, previous, wasListed)
-		o = e.takeOver(now, s, o, before, known)
+		formerOwner, known := e.formerOwner(s, previous, wasListed)
+		o = e.takeOver(now, s, o, formerOwner, known)
 	case owner != e.config.Self && o != nil && o.phase == serving:
 		o.phase, o.formerSince = former, now
-	case owner != e.config.Self && o != nil && o.phase == waiting && owner == o.before:
-		// What was waited for is the present owner's own again.
+	case owner != e.config.Self && o != nil && o.phase == waiting && owner == o.formerOwner:
+		// The former owner is the owner again and keeps its requests.
 		e.drop(o)
 		return
 	}
@@ -220,20 +226,20 @@
 	}
 }
 
-// refresh brings what an ownership holds of the table up to date.
+// refresh updates an ownership after a change of the table.
 func (e *Engine) refresh(now time.Time, s *route.Service, o *ownership, previous *route.Table) {
 	if previous.Uncertain() || e.view.Table.Uncertain() {
-		// A domain that serves by itself may run what may be repeated.
-		o.doubtUntil = now.Add(s.Policy().RequestLife)
+		// An isolated failure domain may have run repeatable requests.
+		o.uncertainUntil = now.Add(s.Policy().RequestLife)
 	}
 	o.endpoints = workEndpoints(e.view.Table, s)
 	for _, r := range o.active {
 		r.class = classOf(s, r)
 	}
-	if o.phase == waiting && !e.lives(o.before) {
-		e.afterLoss(now, s, o, o.before)
+	if o.phase == waiting && !e.isMember(o.formerOwner) {
+		e.takeOverLost(now, s, o, o.formerOwner)
 	}
-	e.chooseSecond(o)
+	e.updateSecond(o)
 }
 
 func classOf(s *route.Service, r *request) *route.Class {
@@ -245,8 +251,8 @@
 	return r.class
 }
 
-// workEndpoints returns the endpoints that take new work: those that are not
-// leaving and have a bucket, which the placer takes from an unhealthy one.
+// workEndpoints returns the endpoints that take new requests: those that aren't
+// leaving and have a bucket. Unhealthy endpoints have none.
 func workEndpoints(t *route.Table, s *route.Service) []*route.Endpoint {
 	placed := map[uint32]bool{}
 	for b := range uint32(s.BucketCount()) {
@@ -261,33 +267,35 @@
 	return found
 }
 
-func (e *Engine) lives(name string) bool {
+func (e *Engine) isMember(name string) bool {
 	_, ok := e.view.Table.Member(name)
 	return ok
 }
 
-// takeOver begins an ownership. What is known of the former owner decides
-// how: nobody was before, it lives and hands over, or it is lost.
-func (e *Engine) takeOver(now time.Time, s *route.Service, o *ownership, before string, known bool) *ownership {
+// takeOver starts an ownership: it serves at once if there was no former owner, waits
+// for the handover of one that is a member, or takes over from a lost one. The former
+// owner is valid only if known is true.
+func (e *Engine) takeOver(now time.Time, s *route.Service, o *ownership, formerOwner string, known bool) *ownership {
 	e.stats.Takeovers++
-	if o == nil || o.gaveAway {
+	if o == nil || o.handedOff {
 		o = e.newOwnership(s.ID())
 	}
-	// Whoever owned it in between and was not given what is kept here could
-	// not tell old requests from new ones, and ran none for one life.
+	// This entry owned the service recently and still has its requests. An owner in
+	// between that didn't get them has run none that must not be repeated, since it
+	// has treated all such requests as unknown for RequestLife.
 	kept := o.phase == former && now.Sub(o.formerSince) < s.Policy().RequestLife-e.config.Linger
 	o.index = e.view.Table.Index()
-	o.complete, o.second = false, ""
-	if kept && before != e.config.Self {
-		o.absorb = before // it needs to be asked, or it would keep its part for ever
+	o.secondComplete, o.secondHolder = false, ""
+	if kept && formerOwner != e.config.Self {
+		o.interimOwner = formerOwner // it keeps its ownership until it is asked for a handover
 	}
 	switch {
-	case kept || known && (before == "" || before == e.config.Self):
+	case kept || known && (formerOwner == "" || formerOwner == e.config.Self):
 		o.phase = serving
-	case known && e.lives(before):
-		o.phase, o.before, o.wantedAt = waiting, before, time.Time{}
+	case known && e.isMember(formerOwner):
+		o.phase, o.formerOwner, o.nextWanted = waiting, formerOwner, time.Time{}
 	default:
-		e.afterLoss(now, s, o, before)
+		e.takeOverLost(now, s, o, formerOwner)
 	}
 	return o
 }
@@ -296,14 +304,14 @@
 	o := &ownership{
 		service: service, requests: map[route.FlowID]*request{},
 		byMessage: map[messageKey]route.FlowID{}, grants: newGrants(), transfers: map[transferKey]transfer{},
-		unheld: map[route.FlowID]*request{}, retries: newRetryBudget(e.config.RetryFloor),
+		unconfirmed: map[route.FlowID]*request{}, retries: newRetryBudget(e.config.RetryFloor),
 	}
 	e.owned[service] = o
 	return o
 }
 
-// formerOwner returns who owned the service before, "" for nobody, and
-// whether that can be told.
+// formerOwner returns the previous owner of the service, "" if there was none, and
+// whether it is known.
 func (e *Engine) formerOwner(s *route.Service, previous *route.Table, wasListed bool) (string, bool) {
 	t := e.view.Table
 	if wasListed {
@@ -313,9 +321,9 @@
 		owner, _ := route.Rank(previous.Members(), s.ID(), route.WorkBucket)
 		return owner, true
 	}
-	// The first table of this life. The owner before it ranked among the
-	// entries that were listed earlier; one that was lost since, or with this
-	// entry's former life, is not known.
+	// The entry has just joined, so the former owner is the highest ranked of the
+	// members that joined earlier. It is unknown if a member, or an earlier incarnation of
+	// this entry, was lost since this entry joined and the service was created.
 	self, _ := t.Member(e.config.Self)
 	if t.LossIndex() >= self.JoinedAt() && t.LossIndex() > s.CreatedAt() {
 		return "", false
@@ -330,16 +338,16 @@
 	return owner, owner != "" || t.LossIndex() <= s.CreatedAt()
 }
 
-// afterLoss takes over from an owner that is lost. Its complete second holder
-// knows every key that it can have dispatched; any other entry cannot tell an
-// old request from a new one and must refuse until the longest life is over.
-func (e *Engine) afterLoss(now time.Time, s *route.Service, o *ownership, before string) {
-	e.begin(o)
-	o.doubtUntil = now.Add(s.Policy().RequestLife)
-	kept := e.kept[s.ID()]
-	if kept == nil || !kept.complete || kept.owner != before {
-		e.stats.Blanks++
-		o.blankUntil = now.Add(s.Policy().RequestLife)
+// takeOverLost takes over from a lost owner. Its second holder, if it has all keys,
+// recognizes every request the owner may have dispatched. Any other entry can't tell
+// old requests from new ones, and answers "unknown" until all old ones have expired.
+func (e *Engine) takeOverLost(now time.Time, s *route.Service, o *ownership, formerOwner string) {
+	e.endWait(o)
+	o.uncertainUntil = now.Add(s.Policy().RequestLife)
+	kept := e.keptKeys[s.ID()]
+	if kept == nil || !kept.complete || kept.owner != formerOwner {
+		e.stats.TakeoversWithoutKeys++
+		o.keysUnknownUntil = now.Add(s.Policy().RequestLife)
 	}
 	if kept == nil {
 		return
@@ -349,18 +357,18 @@
 	})
 	for _, id := range ids {
 		if _, known := o.requests[id]; !known {
-			o.add(&request{id: id, state: Lost, received: now, expires: kept.keys[id], held: true})
+			o.add(&request{id: id, state: Lost, received: now, expires: kept.keys[id], keyHeld: true})
 		}
 	}
-	delete(e.kept, s.ID())
+	delete(e.keptKeys, s.ID())
 }
 
-// begin ends the wait for the former owner. An entry that is no longer the
-// owner itself by then has nothing to do but to hand on what it was given.
-func (e *Engine) begin(o *ownership) {
-	o.phase, o.before = serving, ""
-	if owner, _ := e.view.rank(o.service); owner != e.config.Self && !e.view.Island {
-		o.phase = former // not formerSince: what it was given may be old
+// endWait ends the wait for the former owner. If this entry is no longer the owner by
+// then, it only hands over what it was given.
+func (e *Engine) endWait(o *ownership) {
+	o.phase, o.formerOwner = serving, ""
+	if owner, _ := e.view.rank(o.service); owner != e.config.Self && !e.view.Isolated {
+		o.phase = former // formerSince stays unset: the requests it was given may be outdated
 	}
 }
 
@@ -372,8 +380,8 @@
 	}
 }
 
-// step notes a request's step and its cause.
-func (e *Engine) step(o *ownership, r *request, s State, c Cause, endpoint uint32) {
+// transition sets the state of a request and records an event.
+func (e *Engine) transition(o *ownership, r *request, s State, c Cause, endpoint uint32) {
 	r.state = s
 	e.stats.States[s]++
 	if s.final() {
@@ -382,7 +390,7 @@
 	e.events = append(e.events, Event{ID: r.id, Service: o.service, Token: r.message.Token, Caller: r.tuple, State: s, Cause: c, Endpoint: endpoint})
 }
 
-func (e *Engine) peer(name string, m *wire.Peer) {
+func (e *Engine) sendToPeer(name string, m *wire.Peer) {
 	m.From = e.config.Self
-	e.out = append(e.out, Out{Kind: ToPeer, Peer: name, Message: m})
+	e.out = append(e.out, Output{Kind: ToPeer, Peer: name, Message: m})
 }
--- a/internal/work/queue.go
+++ b/internal/work/queue.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// queue orders waiting requests by class and deadline. The first class goes
-// first, but for a share of the grants that the later ones get while it waits,
-// so that no class starves.
+// queue orders the queued requests by priority and deadline. To prevent starvation,
+// lower priorities get a share of the grants while a higher one has requests queued.
 type queue struct {
-	classes [][]*request // by priority; each by deadline
-	credit  float64      // of the later classes
+	classes     [][]*request // by priority, 0 first; each sorted by deadline
+	laterCredit float64      // fraction of a grant that lower priorities have earned
 }
 
 func (q *queue) len() int {
@@ -21,7 +20,7 @@
 	return n
 }
 
-// ahead returns how many requests go before a new one of a priority.
+// ahead returns the number of queued requests of the given priority and above.
 func (q *queue) ahead(priority int) int {
 	n := 0
 	for p := range min(priority+1, len(q.classes)) {
@@ -46,14 +45,14 @@
 	}
 }
 
-// next returns the request that gets the next slot, without taking it.
-// The share is the part of grants for later classes while an earlier waits.
+// next returns the request that gets the next slot, without removing it, among those
+// that fit. share is the part of the grants reserved for lower priorities.
 func (q *queue) next(share float64, fits func(*request) bool) *request {
 	first := q.firstFitting(0, fits)
 	if first == nil {
 		return nil
 	}
-	if q.credit+share < 1 {
+	if q.laterCredit+share < 1 {
 		return first
 	}
 	if later := q.firstFitting(first.class.Priority+1, fits); later != nil {
@@ -62,17 +61,17 @@
 	return first
 }
 
-// granted books a grant for the floor of the later classes.
-func (q *queue) granted(r *request, share float64) {
+// recordGrant updates the credit of lower priorities after a grant.
+func (q *queue) recordGrant(r *request, share float64) {
 	waiting := false
 	for p := r.class.Priority + 1; p < len(q.classes); p++ {
 		waiting = waiting || len(q.classes[p]) > 0
 	}
 	switch {
 	case waiting:
-		q.credit += share
-	case q.credit+share >= 1:
-		q.credit = 0
+		q.laterCredit += share
+	case q.laterCredit+share >= 1:
+		q.laterCredit = 0
 	}
 }
 
@@ -87,8 +86,8 @@
 	return nil
 }
 
-// last returns the request that is displaced when the queue is full: of the
-// lowest class the one with the latest deadline.
+// last returns the request to displace when the queue is full: the one with the latest
+// deadline among those of the lowest priority.
 func (q *queue) last() *request {
 	for p := len(q.classes) - 1; p >= 0; p-- {
 		if n := len(q.classes[p]); n > 0 {
--- a/internal/work/request.go
+++ b/internal/work/request.go
@@ -12,34 +12,34 @@
 	attempt struct {
 		endpoint  uint32
 		messageID int32
-		at        time.Time
-		until     time.Time
+		sentAt    time.Time
+		timeoutAt time.Time
 		open      bool
 	}
 
-	// request is what the owner knows of one request.
+	// request is the owner's state of one request.
 	request struct {
-		id         route.FlowID
-		key        messageKey
-		class      *route.Class
-		tuple      packet.Tuple
-		message    Message
-		state      State
-		received   time.Time
-		deadline   time.Time
-		expires    time.Time
-		held       bool // by the second holder
-		mayHaveRun bool // an attempt was given up without an answer
-		pinned     uint32
-		attempts   []attempt
-		answer     *Message
+		id             route.FlowID
+		key            messageKey
+		class          *route.Class
+		tuple          packet.Tuple
+		message        Message
+		state          State
+		received       time.Time
+		deadline       time.Time
+		expires        time.Time
+		keyHeld        bool // by the second holder, or it isn't needed
+		mayHaveRun     bool // an attempt was abandoned without an answer
+		pinnedEndpoint uint32
+		attempts       []attempt
+		answer         *Message
 	}
 )
 
 // repeatable reports whether the request may run more than once.
 func (r *request) repeatable() bool { return r.class != nil && r.class.Repeatable }
 
-// openAttempt returns the attempt that waits for an answer, or nil.
+// openAttempt returns the attempt that hasn't been answered or abandoned, or nil.
 func (r *request) openAttempt() *attempt {
 	for i := range r.attempts {
 		if r.attempts[i].open {
@@ -49,6 +49,7 @@
 	return nil
 }
 
+// tried reports whether the request has been sent to the endpoint.
 func (r *request) tried(endpoint uint32) bool {
 	for _, a := range r.attempts {
 		if a.endpoint == endpoint {
--- a/internal/work/retry.go
+++ b/internal/work/retry.go
@@ -6,27 +6,27 @@
 	"github.com/plgd-dev/go-coap/v3/message/codes"
 )
 
-// retryBudget allows retries as a share of first attempts, with a floor that
-// is always allowed, so that retries cannot multiply the load.
+// retryBudget limits retries to a share of first attempts plus a minimum rate, so that
+// retries can't multiply the load.
 type retryBudget struct {
-	floor   float64 // a second
-	balance float64
-	last    time.Time
+	perSecond float64 // minimum rate of retries
+	balance   float64
+	updatedAt time.Time
 }
 
-const mostRetries = 100 // that can be saved up
+const maxRetryBalance = 100 // retries that can accumulate
 
-func newRetryBudget(floor float64) retryBudget { return retryBudget{floor: floor, balance: floor} }
+func newRetryBudget(floor float64) retryBudget { return retryBudget{perSecond: floor, balance: floor} }
 
-// earn books a first attempt.
-func (b *retryBudget) earn(share float64) { b.balance = min(b.balance+share, mostRetries) }
+// deposit adds the share of a retry that a first attempt allows.
+func (b *retryBudget) deposit(share float64) { b.balance = min(b.balance+share, maxRetryBalance) }
 
-// spend takes one retry from the budget, if there is one.
-func (b *retryBudget) spend(now time.Time) bool {
-	if !b.last.IsZero() {
-		b.balance = min(b.balance+b.floor*now.Sub(b.last).Seconds(), mostRetries)
+// withdraw takes one retry from the budget and reports whether there was one.
+func (b *retryBudget) withdraw(now time.Time) bool {
+	if !b.updatedAt.IsZero() {
+		b.balance = min(b.balance+b.perSecond*now.Sub(b.updatedAt).Seconds(), maxRetryBalance)
 	}
-	b.last = now
+	b.updatedAt = now
 	if b.balance < 1 {
 		return false
 	}
@@ -34,33 +34,33 @@
 	return true
 }
 
-// isRefusal reports whether a backend server says that it did not run the
-// request: 5.03 is sent before it begins.
+// isRefusal reports whether the backend server refused the request without running
+// it, by 5.03 (Service Unavailable).
 func isRefusal(m Message) bool { return m.Code == codes.ServiceUnavailable }
 
-// again tries a request on another endpoint. It is called only where the last
-// attempt did not run, or the request may be repeated.
-func (e *Engine) again(now time.Time, o *ownership, r *request, cause Cause) {
-	another := false
+// retry queues a request for another endpoint if the deadline and the retry budget
+// allow it. The last attempt must not have run, or the request must be repeatable.
+func (e *Engine) retry(now time.Time, o *ownership, r *request, cause Cause) {
+	hasEndpoint := false
 	for _, c := range o.endpoints {
-		another = another || e.may(r, c)
+		hasEndpoint = hasEndpoint || e.eligible(r, c)
 	}
 	switch {
 	case !now.Before(r.deadline):
 		e.giveUp(now, o, r, DeadlinePassed)
-	case !another:
+	case !hasEndpoint:
 		e.giveUp(now, o, r, cause)
-	case !o.retries.spend(now):
+	case !o.retries.withdraw(now):
 		e.giveUp(now, o, r, NoRetryLeft)
 	default:
 		e.stats.Retries++
-		e.step(o, r, Queued, cause, 0)
+		e.transition(o, r, Queued, cause, 0)
 		o.queue.push(r)
 	}
 }
 
-// giveUp says "not run" where every attempt was refused by its backend
-// server, and "unknown" where one may have run.
+// giveUp answers "unknown" if an attempt may have run, and refuses the request
+// otherwise.
 func (e *Engine) giveUp(now time.Time, o *ownership, r *request, cause Cause) {
 	if r.mayHaveRun {
 		e.finish(o, r, Unknown, cause, UnknownMessage(r.message.Token, r.message.MessageID))
--- a/internal/work/rules_test.go
+++ b/internal/work/rules_test.go
@@ -11,9 +11,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// newPair returns the owner of the service's work among two entries, and the
-// other entry, which is its second holder.
-func newPair(t *testing.T, lease time.Duration) (owner, second *Engine, o *overload) {
+// newPair returns the engines of the service's owner and of its second holder.
+func newPair(t *testing.T, lease time.Duration) (owner, second *Engine, o *overloadSim) {
 	t.Helper()
 	o = newOverload()
 	b := route.NewBuilder(o.table, 2)
@@ -23,7 +22,7 @@
 	for _, name := range []string{"e0", "e1"} {
 		e := New(Config{Self: name, Domain: "d", Incarnation: 1, Requests: 100, HeldKeys: 100, HoldRetry: time.Second, RetryFloor: 5, Linger: 3 * time.Second})
 		first := *o.view(lease)
-		first.Table = onlyMembers(o.table)
+		first.Table = tableWithoutServices(o.table)
 		e.SetView(o.now, &first)
 		e.SetView(o.now, o.view(lease))
 		engines[name] = e
@@ -32,9 +31,9 @@
 	return engines[name], engines[other], o
 }
 
-// onlyMembers is the table before the service was there, so that nobody has to
-// be waited for.
-func onlyMembers(t *route.Table) *route.Table {
+// tableWithoutServices returns a table with the members only. An entry that has seen
+// it owns a service of a later table without waiting for a former owner.
+func tableWithoutServices(t *route.Table) *route.Table {
 	b := route.NewBuilder(route.Empty(), 1)
 	for _, m := range t.Members() {
 		b.PutMember(m)
@@ -42,18 +41,18 @@
 	return b.Table()
 }
 
-func (o *overload) view(lease time.Duration) *View {
-	return &View{Table: o.table, LeaseUntil: o.now.Add(lease), Domains: []string{"d"}, Reachable: []string{"e0", "e1"}}
+func (o *overloadSim) view(lease time.Duration) *View {
+	return &View{Table: o.table, LeaseUntil: o.now.Add(lease), ReachableDomains: []string{"d"}, Reachable: []string{"e0", "e1"}}
 }
 
-func (o *overload) ask(e *Engine, number uint64) *packet.Packet {
+func (o *overloadSim) sendRequest(e *Engine, number uint64) *packet.Packet {
 	p := o.request(number, 0)
-	e.Request(o.now, o.table.Service(1), &o.table.Service(1).Classes()[0], p)
+	e.HandleRequest(o.now, o.table.Service(1), &o.table.Service(1).Classes()[0], p)
 	return p
 }
 
-// holdIn returns the keys that the owner asks to be held.
-func holdIn(outs []Out) *wire.Hold {
+// findHold returns the first message that sends keys to the second holder, or nil.
+func findHold(outs []Output) *wire.Hold {
 	for _, out := range outs {
 		if out.Kind == ToPeer && len(out.Message.GetHold().GetKeys()) > 0 {
 			return out.Message.GetHold()
@@ -62,62 +61,62 @@
 	return nil
 }
 
-func kinds(outs []Out) map[OutKind]int {
-	n := map[OutKind]int{}
+func countKinds(outs []Output) map[OutputKind]int {
+	n := map[OutputKind]int{}
 	for _, out := range outs {
 		n[out.Kind]++
 	}
 	return n
 }
 
-func TestNothingIsSaidOrDispatchedBeforeTheKeyIsHeld(t *testing.T) {
+func TestNoDispatchOrAnswerBeforeKeyIsHeld(t *testing.T) {
 	g := gomega.NewWithT(t)
 	owner, second, o := newPair(t, time.Hour)
-	owner.TakeOut()
-	o.ask(owner, 1)
-	outs := owner.TakeOut()
-	g.Expect(kinds(outs)[ToBackend] + kinds(outs)[ToCaller]).To(gomega.BeZero())
-	hold := holdIn(outs)
+	owner.TakeOutput()
+	o.sendRequest(owner, 1)
+	outs := owner.TakeOutput()
+	g.Expect(countKinds(outs)[ToBackend] + countKinds(outs)[ToCaller]).To(gomega.BeZero())
+	hold := findHold(outs)
 	g.Expect(hold).NotTo(gomega.BeNil())
-	second.Peer(o.now, &wire.Peer{From: owner.config.Self, Body: &wire.Peer_Hold{Hold: hold}})
-	held := second.TakeOut()[0].Message
-	owner.Peer(o.now, held)
-	g.Expect(kinds(owner.TakeOut())[ToBackend]).To(gomega.Equal(1))
-	owner.Peer(o.now, held)
-	o.ask(owner, 1)
-	g.Expect(kinds(owner.TakeOut())[ToBackend]).To(gomega.BeZero(), "doubled messages dispatch nothing")
+	second.HandlePeer(o.now, &wire.Peer{From: owner.config.Self, Body: &wire.Peer_Hold{Hold: hold}})
+	held := second.TakeOutput()[0].Message
+	owner.HandlePeer(o.now, held)
+	g.Expect(countKinds(owner.TakeOutput())[ToBackend]).To(gomega.Equal(1))
+	owner.HandlePeer(o.now, held)
+	o.sendRequest(owner, 1)
+	g.Expect(countKinds(owner.TakeOutput())[ToBackend]).To(gomega.BeZero(), "duplicate messages dispatch nothing")
 }
 
-func TestNothingIsDispatchedOrDeniedWithoutALease(t *testing.T) {
+func TestNoDispatchOrRefusalWithoutLease(t *testing.T) {
 	g := gomega.NewWithT(t)
 	owner, second, o := newPair(t, 100*time.Millisecond)
-	owner.TakeOut()
-	o.ask(owner, 1)
-	hold := holdIn(owner.TakeOut())
-	second.Peer(o.now, &wire.Peer{From: owner.config.Self, Body: &wire.Peer_Hold{Hold: hold}})
-	held := second.TakeOut()[0].Message
-	late := o.now.Add(200 * time.Millisecond) // the owner was paused; the deadline is later
-	owner.Peer(late, held)
+	owner.TakeOutput()
+	o.sendRequest(owner, 1)
+	hold := findHold(owner.TakeOutput())
+	second.HandlePeer(o.now, &wire.Peer{From: owner.config.Self, Body: &wire.Peer_Hold{Hold: hold}})
+	held := second.TakeOutput()[0].Message
+	late := o.now.Add(200 * time.Millisecond) // the owner was paused past its lease, but not past the deadline
+	owner.HandlePeer(late, held)
 	owner.Tick(late)
-	for _, out := range owner.TakeOut() {
+	for _, out := range owner.TakeOutput() {
 		g.Expect(out.Kind).NotTo(gomega.Equal(ToBackend))
 		if out.Kind == ToCaller {
 			g.Expect(string(out.Inner)).NotTo(gomega.ContainSubstring(notRunText), "another owner may have run it")
 		}
 	}
 	e := o.request(2, 0)
-	owner.Request(late, o.table.Service(1), &o.table.Service(1).Classes()[0], e)
-	g.Expect(owner.TakeOut()).To(gomega.BeEmpty(), "a packet may have lain here through the pause")
+	owner.HandleRequest(late, o.table.Service(1), &o.table.Service(1).Classes()[0], e)
+	g.Expect(owner.TakeOutput()).To(gomega.BeEmpty(), "the packet may have been delayed by the pause")
 }
 
-func TestWhatIsSentSaysUntilWhenItIsTrue(t *testing.T) {
+func TestDispatchExpiresWithLease(t *testing.T) {
 	g := gomega.NewWithT(t)
 	owner, second, o := newPair(t, time.Second)
-	owner.TakeOut()
-	o.ask(owner, 1)
-	second.Peer(o.now, &wire.Peer{From: owner.config.Self, Body: &wire.Peer_Hold{Hold: holdIn(owner.TakeOut())}})
-	owner.Peer(o.now, second.TakeOut()[0].Message)
-	for _, out := range owner.TakeOut() {
+	owner.TakeOutput()
+	o.sendRequest(owner, 1)
+	second.HandlePeer(o.now, &wire.Peer{From: owner.config.Self, Body: &wire.Peer_Hold{Hold: findHold(owner.TakeOutput())}})
+	owner.HandlePeer(o.now, second.TakeOutput()[0].Message)
+	for _, out := range owner.TakeOutput() {
 		if out.Kind == ToBackend {
 			g.Expect(out.Until).To(gomega.Equal(o.now.Add(time.Second)))
 		}
--- a/internal/work/slots.go
+++ b/internal/work/slots.go
@@ -7,32 +7,33 @@
 )
 
 const (
-	shrink      = 0.6  // of the window, at a refusal by the backend server
-	grow        = 0.25 // slots, at an answer
-	leastWindow = 1.0
-	firstMean   = 50 * time.Millisecond // service time before any was measured
-	meanWeight  = 0.1
+	windowDecrease    = 0.6                   // factor at a refusal by the backend server
+	windowIncrease    = 0.25                  // slots at an answer
+	minWindow         = 1.0                   // slots
+	initialMean       = 50 * time.Millisecond // mean service time before the first answer
+	serviceTimeWeight = 0.1                   // of a new sample in the moving average
 )
 
 type (
-	// slots is what the owner has granted of one endpoint.
+	// slots tracks the granted slots of one endpoint. Its congestion window is increased
+	// additively and decreased multiplicatively.
 	slots struct {
-		inFlight int
-		window   float64 // follows what the backend server accepts, up to its slots
-		lastUsed uint64
+		inFlight  int
+		window    float64 // limit of inFlight, at most the endpoint's configured slots
+		lastGrant uint64  // value of grants.grantCount
 	}
 
-	// grants holds the slots of all endpoints of a service.
+	// grants tracks the slots of all endpoints of a service.
 	grants struct {
-		byEndpoint map[uint32]*slots
-		clock      uint64
-		mean       time.Duration
+		byEndpoint  map[uint32]*slots
+		grantCount  uint64
+		serviceTime time.Duration
 	}
 )
 
-func newGrants() grants { return grants{byEndpoint: map[uint32]*slots{}, mean: firstMean} }
+func newGrants() grants { return grants{byEndpoint: map[uint32]*slots{}, serviceTime: initialMean} }
 
-func (g *grants) of(e *route.Endpoint) *slots {
+func (g *grants) slotsOf(e *route.Endpoint) *slots {
 	s := g.byEndpoint[e.ID()]
 	if s == nil {
 		s = &slots{window: float64(e.Slots())}
@@ -42,14 +43,13 @@
 	return s
 }
 
-// free returns how many more requests an endpoint may get now.
+// free returns the number of free slots of an endpoint.
 func (g *grants) free(e *route.Endpoint) int {
-	s := g.of(e)
+	s := g.slotsOf(e)
 	return int(s.window) - s.inFlight
 }
 
-// anyFree reports whether an endpoint has a free slot at all; without one the
-// queue need not be looked through.
+// anyFree reports whether any endpoint has a free slot.
 func (g *grants) anyFree(endpoints []*route.Endpoint) bool {
 	for _, e := range endpoints {
 		if g.free(e) > 0 {
@@ -59,15 +59,15 @@
 	return false
 }
 
-// choose returns the endpoint with the most free slots that may get the
-// request; among equals the one that was used longest ago.
-func (g *grants) choose(endpoints []*route.Endpoint, may func(*route.Endpoint) bool) *route.Endpoint {
+// choose returns the eligible endpoint with the most free slots, and among equals the
+// least recently used one, or nil.
+func (g *grants) choose(endpoints []*route.Endpoint, eligible func(*route.Endpoint) bool) *route.Endpoint {
 	var best *route.Endpoint
 	for _, e := range endpoints {
-		if g.free(e) < 1 || !may(e) {
+		if g.free(e) < 1 || !eligible(e) {
 			continue
 		}
-		if best == nil || g.free(e) > g.free(best) || g.free(e) == g.free(best) && g.of(e).lastUsed < g.of(best).lastUsed {
+		if best == nil || g.free(e) > g.free(best) || g.free(e) == g.free(best) && g.slotsOf(e).lastGrant < g.slotsOf(best).lastGrant {
 			best = e
 		}
 	}
@@ -75,10 +75,10 @@
 }
 
 func (g *grants) take(e *route.Endpoint) {
-	g.clock++
-	s := g.of(e)
+	g.grantCount++
+	s := g.slotsOf(e)
 	s.inFlight++
-	s.lastUsed = g.clock
+	s.lastGrant = g.grantCount
 }
 
 func (g *grants) release(endpoint uint32) {
@@ -87,27 +87,26 @@
 	}
 }
 
-// answered notes a finished request: the window opens again and the mean
-// service time follows.
-func (g *grants) answered(endpoint uint32, took time.Duration) {
+// recordAnswer increases the window of an endpoint and updates the mean service time.
+func (g *grants) recordAnswer(endpoint uint32, took time.Duration) {
 	if s := g.byEndpoint[endpoint]; s != nil {
-		s.window += grow
+		s.window += windowIncrease
 	}
-	g.mean += time.Duration(meanWeight * float64(took-g.mean))
+	g.serviceTime += time.Duration(serviceTimeWeight * float64(took-g.serviceTime))
 }
 
-// shed notes a refusal by the backend server: it gets less for a while.
-func (g *grants) shed(endpoint uint32) {
+// recordRefusal decreases the window of an endpoint that refused a request.
+func (g *grants) recordRefusal(endpoint uint32) {
 	if s := g.byEndpoint[endpoint]; s != nil {
-		s.window = max(leastWindow, s.window*shrink)
+		s.window = max(minWindow, s.window*windowDecrease)
 	}
 }
 
-// capacity returns how many requests all endpoints run at a time.
+// capacity returns the sum of the endpoints' windows.
 func (g *grants) capacity(endpoints []*route.Endpoint) float64 {
 	var sum float64
 	for _, e := range endpoints {
-		sum += g.of(e).window
+		sum += g.slotsOf(e).window
 	}
 	return sum
 }
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -1,12 +1,14 @@
-// Package work lands requests that may not be repeated at most once on a
-// backend server. It has no input or output, the present time is an argument,
-// and one goroutine uses an Engine.
+// Package work schedules the requests of a service onto the slots of its endpoints
+// and delivers requests that must not be repeated at most once to a backend server.
+// It does no I/O, takes the current time as an argument, and its Engine must not be
+// used concurrently.
 //
-// The work of a service has one owner among the entries. It keeps one queue
-// for all endpoints of the service, grants their slots, and knows every
-// request by caller and token. No word about a request that may not be
-// repeated leaves the owner, and nothing is dispatched, before a second entry
-// holds the request's key. The design is in docs/design/work.md.
+// The requests of a service have one owner among the entries. The owner keeps one
+// queue for all endpoints of the service, grants their slots, and identifies every
+// request by caller and token. A request that must not be repeated is neither
+// dispatched nor answered before a second entry, the second holder, stores its key.
+// If the owner is lost, the second holder takes over and recognizes the requests
+// that may have run. The design is described in docs/design/work.md.
 package work
 
 import (
@@ -17,49 +19,49 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// The states of a request.
+// States of a request.
 const (
-	Received   State = iota // the second holder has not confirmed the key
-	Queued                  // waits for a slot
+	Received   State = iota // the second holder hasn't confirmed the key yet
+	Queued                  // waiting for a slot
 	Dispatched              // sent to a backend server
-	Answered                // the backend server's answer is known
+	Answered                // answered by a backend server
 	Refused                 // not run, and never will be
-	Unknown                 // it may have run
-	Cancelled               // by its caller
-	Lost                    // an earlier owner held it; an answer may still come
+	Unknown                 // may have run
+	Cancelled               // by the caller
+	Lost                    // known by key only, from a lost owner; an answer may still arrive
 	stateCount
 )
 
-// What an Out is for.
+// Kinds of an Output.
 const (
-	ToCaller OutKind = iota
+	ToCaller OutputKind = iota
 	ToBackend
-	ToPeer       // a message
-	RelayRequest // the packet, to the owner
-	RelayAnswer  // the packet, to the owner
+	ToPeer       // a message to another entry
+	RelayRequest // a caller's packet, to the owner
+	RelayAnswer  // a backend server's packet, to the owner
 )
 
 type (
-	// State is where a request stands.
+	// State is the state of a request.
 	State uint8
 
-	// OutKind says where an Out goes.
-	OutKind uint8
-
-	// Out is something to be sent.
-	Out struct {
-		Kind     OutKind
-		Endpoint *route.Endpoint // ToBackend
-		Peer     string          // ToPeer and the relays
-		Message  *wire.Peer      // ToPeer
-		Inner    []byte          // the packet
-		Relay    packet.Relay    // of a relay
-		// Until is when what is sent stops being true: a process that was
-		// paused between the decision and the send must not send it.
+	// OutputKind is the kind of receiver of an Output.
+	OutputKind uint8
+
+	// Output is a packet or message to send.
+	Output struct {
+		Kind     OutputKind
+		Endpoint *route.Endpoint // for ToBackend
+		Peer     string          // for ToPeer, RelayRequest and RelayAnswer
+		Message  *wire.Peer      // for ToPeer
+		Inner    []byte          // the packet, unless Message is set
+		Relay    packet.Relay    // for RelayRequest and RelayAnswer
+		// Until is the time after which the output must not be sent, because the
+		// process may have been paused since the decision. Zero means no limit.
 		Until time.Time
 	}
 
-	// Event is one step of a request, with its cause, for explanations.
+	// Event is one state transition of a request.
 	Event struct {
 		ID       route.FlowID
 		Service  uint32
@@ -70,45 +72,45 @@
 		Endpoint uint32
 	}
 
-	// Cause says why a request took a step. The list is closed.
+	// Cause says why a request changed its state.
 	Cause uint8
 
-	// Config is what an Engine is made from.
+	// Config configures an Engine.
 	Config struct {
 		Self        string
 		Domain      string
-		Incarnation uint64 // of this life of the entry
+		Incarnation uint64 // of this entry
 		Hasher      route.Hasher
-		Requests    int           // requests that one service holds
-		HeldKeys    int           // keys held for the owners of other services
-		HoldRetry   time.Duration // after which an unanswered message is sent again
-		RetryFloor  float64       // retries a second that are always allowed
-		// Linger is how long a packet may lie in an entry that was paused and
-		// still holds its lease. Records outlive a request by it.
+		Requests    int           // per service; requestsFactor times as many are remembered
+		HeldKeys    int           // maximum number of keys stored for the owner of one service
+		HoldRetry   time.Duration // interval at which an unacknowledged message is repeated
+		RetryFloor  float64       // retries per second that are always allowed
+		// Linger bounds how long a packet can be delayed in an entry that was paused
+		// but still holds its lease. Requests are remembered for this much longer.
 		Linger time.Duration
 	}
 
-	// View is what the control goroutine tells the engine; it is immutable.
+	// View is an immutable snapshot of the control state that an engine decides by.
 	View struct {
-		Table      *route.Table
-		Steps      []*route.Table // the last tables at which the entries changed, in order
-		LeaseUntil time.Time
-		Island     bool
-		Reachable  []string
-		Domains    []string
+		Table            *route.Table
+		MembershipTables []*route.Table // recent tables at which the members changed, oldest first
+		LeaseUntil       time.Time      // when this entry's lease ends
+		Isolated         bool           // this failure domain is partitioned and decides without leases
+		Reachable        []string       // sorted names of the peers heard from recently
+		ReachableDomains []string       // reachable failure domains
 	}
 
-	// Stats counts what the engine has done.
+	// Stats holds the engine's gauges and counters.
 	Stats struct {
-		States                                      [stateCount]uint64
-		Requests, Queue, Kept                       int
-		Duplicates, Late, Retries, Shed, Overflow   uint64
-		NoLease                                     uint64
-		Holds, HoldBytes, Broken, Takeovers, Blanks uint64
+		States                                                    [stateCount]uint64
+		Requests, Queued, StoredKeys                              int
+		Duplicates, LateAnswers, Retries, Shed, Overflow          uint64
+		NoLease                                                   uint64
+		Holds, HoldBytes, Broken, Takeovers, TakeoversWithoutKeys uint64
 	}
 )
 
-// The causes.
+// Causes of a state transition.
 const (
 	Arrived Cause = iota
 	KeyHeld
@@ -142,10 +144,10 @@
 	}
 )
 
-// String returns the name of the state.
+// String returns the name in metrics, logs and the output of `why`.
 func (s State) String() string { return stateNames[s] }
 
-// States returns every state, for metrics made at start.
+// States returns every state.
 func States() []State {
 	all := make([]State, stateCount)
 	for i := range all {
@@ -154,8 +156,9 @@
 	return all
 }
 
-// String returns the name of the cause.
+// String returns the name in logs and the output of `why`.
 func (c Cause) String() string { return causeNames[c] }
 
-// final reports whether nothing more is decided about the request.
+// final reports whether the state is final. A late answer can still turn Lost into
+// Answered.
 func (s State) final() bool { return s >= Answered }
