--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry joins the decisions on flows and on work into what one entry
-// does with a packet. It has no input or output: packets and the time go in,
-// what is to be sent comes out. One goroutine uses a Core.
+// Package entry combines the engines for flows and for requests into the packet
+// processing of one entry. It does no I/O: packets and the current time are arguments,
+// and the packets to send are results. A Core must not be used concurrently.
 package entry
 
 import (
@@ -14,40 +14,39 @@
 	"oxbowsaddle/internal/work"
 )
 
-// Where a Send goes.
+// Targets of a Send.
 const (
-	ToFabric  Target = iota // an answer for a caller
+	ToFabric  Target = iota // to the fabric, for a caller
 	ToBackend               // to an endpoint
 	ToPeer                  // to another entry
 )
 
 type (
-	// Target says where a Send goes.
+	// Target is the kind of receiver of a Send.
 	Target uint8
 
-	// Send is one datagram to be sent. Inner may point into the buffer of the
-	// packet that was taken last.
+	// Send is a datagram to send. Inner may alias the buffer of the last packet passed
+	// to Take.
 	Send struct {
 		Target   Target
-		Endpoint *route.Endpoint
-		Peer     string
-		Inner    []byte       // the inner packet
-		Relay    packet.Relay // of a relayed packet
+		Endpoint *route.Endpoint // for ToBackend
+		Peer     string          // for ToPeer
+		Inner    []byte          // the inner packet, unless Message is set
+		Relay    packet.Relay    // if Relayed
 		Relayed  bool
-		Message  *wire.Peer // instead of a packet
-		Until    time.Time  // it must not be sent later than this; zero is no bound
+		Message  *wire.Peer // a message instead of a packet
+		Until    time.Time  // must not be sent at or after this time; zero means no limit
 	}
 
-	// Config is what a Core is made from. The functions are told of each
-	// decision, for counters, explanations and traces; they may be nil.
+	// Config configures a Core. OnFlow and OnWork may be nil.
 	Config struct {
 		Flow   flow.Config
 		Work   work.Config
-		OnFlow func(now time.Time, v flow.Verdict, p *packet.Packet, answer bool)
-		OnWork func(now time.Time, e work.Event)
+		OnFlow func(now time.Time, v flow.Verdict, p *packet.Packet, answer bool) // called for each verdict
+		OnWork func(now time.Time, e work.Event)                                  // called for each event
 	}
 
-	// Core decides for one entry.
+	// Core processes the packets of one entry.
 	Core struct {
 		config Config
 		view   *flow.View
@@ -57,7 +56,7 @@
 	}
 )
 
-// New returns a core that knows nothing.
+// New returns a core with an empty table.
 func New(c Config, now time.Time) *Core {
 	if c.OnFlow == nil {
 		c.OnFlow = func(time.Time, flow.Verdict, *packet.Packet, bool) {}
@@ -68,13 +67,13 @@
 	return &Core{config: c, view: &flow.View{Table: route.Empty()}, flow: flow.New(c.Flow, now), work: work.New(c.Work)}
 }
 
-// Flow returns the engine for flows, to be read.
+// Flow returns the engine for flows, for reading only.
 func (c *Core) Flow() *flow.Engine { return c.flow }
 
-// Work returns the engine for work, to be read.
+// Work returns the engine for requests, for reading only.
 func (c *Core) Work() *work.Engine { return c.work }
 
-// SetView takes a new view.
+// SetView applies a new view.
 func (c *Core) SetView(now time.Time, v *flow.View) {
 	if v == c.view {
 		return
@@ -87,7 +86,8 @@
 	})
 }
 
-// TakeSends returns what is to be sent and forgets it; valid until the next call.
+// TakeSends returns and clears the pending datagrams, which are valid until the next
+// call.
 func (c *Core) TakeSends(now time.Time) []Send {
 	c.collectOutput(now)
 	sends := c.sends
@@ -95,19 +95,19 @@
 	return sends
 }
 
-// Tick does what is due.
+// Tick runs the timers of the engines.
 func (c *Core) Tick(now time.Time) {
 	c.flow.Tick(now)
 	c.work.Tick(now)
 }
 
-// TakePeer takes a message from another entry.
+// TakePeer processes a message from another entry.
 func (c *Core) TakePeer(now time.Time, m *wire.Peer) {
 	c.flow.HandlePeer(now, m)
 	c.work.HandlePeer(now, m)
 }
 
-// Take takes a packet from the fabric, a backend server or another entry.
+// Take processes a packet from the fabric, a backend server or another entry.
 func (c *Core) Take(now time.Time, from netip.AddrPort, p *packet.Packet) {
 	tuple := p.Tuple()
 	table := c.view.Table
@@ -118,7 +118,7 @@
 	service, class := table.Lookup(route.ServiceKey{Addr: tuple.Src(), Transport: tuple.Transport()})
 	switch {
 	case service == nil:
-		c.config.OnFlow(now, c.flow.Inbound(now, p), p, false) // counted there as unknown
+		c.config.OnFlow(now, c.flow.Inbound(now, p), p, false) // counted as UnknownService
 	case class.Work:
 		c.work.HandleAnswer(now, from, service, p)
 	default:
@@ -148,7 +148,7 @@
 	}
 }
 
-// applyVerdict turns a verdict on a caller's packet into what is sent.
+// applyVerdict queues what the verdict on a caller's packet says to send.
 func (c *Core) applyVerdict(v flow.Verdict, p *packet.Packet) {
 	switch v.Action() {
 	case flow.Forward:
@@ -159,11 +159,11 @@
 		if reset, err := packet.BuildReset(p); err == nil {
 			c.sends = append(c.sends, Send{Target: ToFabric, Inner: reset})
 		}
-	default: // dropped and counted, or kept by the engine
+	default: // dropped and counted, or held back by the engine
 	}
 }
 
-// collectOutput adds what the engines want sent beside the packet at hand.
+// collectOutput queues the engines' pending output.
 func (c *Core) collectOutput(now time.Time) {
 	for _, o := range c.flow.TakeOutput() {
 		if o.Message != nil {
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -15,7 +15,7 @@
 
 var start = time.Unix(1000, 0)
 
-// newCore returns an entry with two services of each transport and family.
+// newCore returns a core with an IPv4 and an IPv6 service, each on TCP and UDP.
 func newCore(t *testing.T) *Core {
 	t.Helper()
 	b := route.NewBuilder(route.Empty(), 1)
@@ -76,7 +76,7 @@
 			g.Expect(sends[0].Inner).To(gomega.Equal(inner))
 			other := netip.AddrPortFrom(backend.Addr(), 9003-id)
 			sends, _ = handlePacket(t, c, other, tuple.Reverse(), packet.NewFlags(false, true, false, false))
-			g.Expect(sends).To(gomega.BeEmpty(), "the other service's backend server may not answer")
+			g.Expect(sends).To(gomega.BeEmpty(), "a backend server of another service must not answer")
 		}
 	}
 }
--- a/internal/instance/batch.go
+++ b/internal/instance/batch.go
@@ -15,10 +15,10 @@
 
 const (
 	batchSize        = 64
-	maxDatagramBytes = 9216 // a jumbo frame with its tunnel header
+	maxDatagramBytes = 9216 // a jumbo frame with tunnel header
 )
 
-// batchConn reads and writes datagrams many at a time, over IPv4 or IPv6.
+// batchConn reads and writes UDP datagrams in batches, over IPv4 or IPv6.
 type batchConn struct {
 	udp    *net.UDPConn
 	read   func([]ipv4.Message, int) (int, error)
@@ -57,7 +57,8 @@
 	return messages
 }
 
-// receive waits for datagrams until a deadline; no error at the deadline.
+// receive returns the next batch of datagrams, or none at the deadline. The batch is
+// valid until the next call.
 func (b *batchConn) receive(deadline time.Time) ([]ipv4.Message, error) {
 	if err := b.udp.SetReadDeadline(deadline); err != nil {
 		return nil, err
@@ -73,10 +74,11 @@
 	return b.in[:n], nil
 }
 
-// nextBuffer returns the buffer of the nextBuffer datagram to be sent, empty.
+// nextBuffer returns the empty buffer of the next datagram to send.
 func (b *batchConn) nextBuffer() []byte { return b.out[b.queued].Buffers[0][:0] }
 
-// enqueue sends a datagram that was appended to the buffer of next.
+// enqueue queues a datagram that was appended to the buffer of nextBuffer, and flushes
+// a full batch.
 func (b *batchConn) enqueue(data []byte, to netip.AddrPort) error {
 	m := &b.out[b.queued]
 	m.Buffers[0] = data
@@ -88,7 +90,7 @@
 	return nil
 }
 
-// udpAddr returns the address as the socket wants it, made once for each.
+// udpAddr converts an address. The results are cached to avoid allocations.
 func (b *batchConn) udpAddr(to netip.AddrPort) *net.UDPAddr {
 	const maxAddrs = 1 << 16
 	a := b.addrs[to]
@@ -102,8 +104,7 @@
 	return a
 }
 
-// flush sends what is queued. A datagram that the kernel refuses is skipped:
-// the network may lose it as well.
+// flush sends the queued datagrams. A datagram that the kernel rejects is dropped.
 func (b *batchConn) flush() error {
 	sent := 0
 	for sent < b.queued {
--- a/internal/instance/budget.go
+++ b/internal/instance/budget.go
@@ -12,25 +12,25 @@
 )
 
 const (
-	// callOverheadBytes is what one call costs on the wire beside its message: headers
-	// of TCP, IP and drpc in both directions.
+	// callOverheadBytes is the size of the TCP, IP and DRPC headers of a message.
 	callOverheadBytes = 180
-	// budgetWindow is how long processor time is summed up before it is judged.
+	// budgetWindow is the period over which processor time is measured.
 	budgetWindow = 2 * time.Second
-	// maxCheckSlowdown is the factor by which health checks are slowed at most.
+	// maxCheckSlowdown limits the factor by which the health check interval grows.
 	maxCheckSlowdown = 8
 )
 
-// budget meters what an instance spends for control: bytes, processor time of
-// its control goroutines, and memory. When bytes run short, counts and loads
-// go along with fewer beats first, then probes; when processor time does,
-// health checks go less often. Beats are never slowed: a lease hangs on them.
+// budget limits the control traffic and the processor time of the control goroutines
+// of an instance, and meters its memory. Above the byte limit, flow counts and endpoint
+// loads are left out of heartbeats, and probes are skipped. Above the processor limit,
+// health checks run less often. Heartbeats are never delayed, since they renew the
+// lease.
 type budget struct {
 	bytes         *rate.Limiter
 	countBytes    func(int64)
 	countDelayed  func(int64)
-	coreLimit     int // thousandths
-	memoryLimit   uint64
+	coreLimit     int    // thousandths of a processor core
+	memoryLimit   uint64 // bytes
 	busyTime      atomic.Int64
 	slowdown      atomic.Int64
 	evaluatedAt   time.Time
@@ -53,13 +53,13 @@
 	return b
 }
 
-// charge books bytes that are sent whatever the budget says.
+// charge counts bytes that are sent regardless of the limit.
 func (b *budget) charge(now time.Time, n int) {
 	b.countBytes(int64(n))
 	b.bytes.ReserveN(now, min(n, b.bytes.Burst()))
 }
 
-// tryCharge books bytes if the budget allows them.
+// tryCharge counts bytes and returns true if the limit allows them.
 func (b *budget) tryCharge(now time.Time, n int) bool {
 	if !b.bytes.AllowN(now, n) {
 		b.countDelayed(1)
@@ -69,14 +69,14 @@
 	return true
 }
 
-// addBusy adds processor time of a control goroutine.
+// addBusy adds processing time of a control goroutine.
 func (b *budget) addBusy(d time.Duration) { b.busyTime.Add(int64(d)) }
 
-// checkSlowdown returns by which factor health checks are slowed now.
+// checkSlowdown returns the current factor of the health check interval.
 func (b *budget) checkSlowdown() time.Duration { return time.Duration(b.slowdown.Load()) }
 
-// evaluate sums up a window: above the limit checks are slowed to half each
-// time, below half of it they come back.
+// evaluate updates the gauges at the end of each window. It doubles the slowdown of
+// health checks above the processor limit, and halves it below half of the limit.
 func (b *budget) evaluate(now time.Time, heap uint64) {
 	if b.evaluatedAt.IsZero() {
 		b.evaluatedAt = now
@@ -102,7 +102,7 @@
 	}
 }
 
-// heapBytes returns the memory of live objects and of those not collected yet.
+// heapBytes returns the heap memory of live objects and of dead ones not yet swept.
 func heapBytes() uint64 {
 	sample := []metrics.Sample{{Name: "/memory/classes/heap/objects:bytes"}}
 	metrics.Read(sample)
--- a/internal/instance/budget_test.go
+++ b/internal/instance/budget_test.go
@@ -22,7 +22,7 @@
 	for range 100 {
 		b.charge(now, 400)
 	}
-	g.Expect(counters.Counter("control_bytes").Count()).To(gomega.Equal(int64(40_000)), "what must be sent is sent and metered")
+	g.Expect(counters.Counter("control_bytes").Count()).To(gomega.Equal(int64(40_000)), "heartbeats are counted")
 	g.Expect(b.tryCharge(now, 10)).To(gomega.BeFalse(), "counts and probes wait")
 	g.Expect(b.tryCharge(now.Add(time.Minute), 10)).To(gomega.BeTrue())
 }
--- a/internal/instance/calls.go
+++ b/internal/instance/calls.go
@@ -5,11 +5,12 @@
 	"time"
 )
 
-// callQueue hands functions to the goroutine that owns some state, so that
-// other goroutines read and change it without locks.
+// callQueue passes functions to the goroutine that owns some state, so that other
+// goroutines can access the state without locks.
 type callQueue chan func(now time.Time)
 
-// call runs something on the owner's goroutine and waits for it.
+// call runs f on the owner's goroutine and waits for it to return. If the context ends
+// first, f may still run.
 func (q callQueue) call(ctx context.Context, f func(now time.Time)) error {
 	done := make(chan struct{})
 	select {
--- a/internal/instance/checker.go
+++ b/internal/instance/checker.go
@@ -15,20 +15,21 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// checkersPerEndpoint is how many entries check one endpoint, so that one of them
-// that lies or is cut off does not decide.
+// checkersPerEndpoint is the number of entries that check an endpoint. With more than
+// one, a faulty or partitioned entry doesn't decide on its own.
 const checkersPerEndpoint = 2
 
 type (
-	// checker asks backend servers how they are. It decides nothing.
+	// checker checks the health of endpoints and passes the results to the control
+	// goroutine, which reports them to the leader.
 	checker struct {
 		instance *Instance
 		client   *http.Client
-		table    *route.Table      // that the share was worked out from
-		share    []*route.Endpoint // what this entry checks
+		table    *route.Table      // for which share was computed
+		share    []*route.Endpoint // the endpoints that this entry checks
 	}
 
-	// healthReport is what a backend server tells of one endpoint.
+	// healthReport is the body of a backend server's health response.
 	healthReport struct {
 		Healthy     bool   `json:"healthy"`
 		Leaving     bool   `json:"leaving"`
@@ -42,7 +43,7 @@
 	return &checker{instance: i, client: &http.Client{Timeout: i.config.Settings.Times.CheckTimeout.Std()}}
 }
 
-// run checks this entry's share of the endpoints again and again.
+// run checks this entry's share of the endpoints periodically.
 func (c *checker) run(ctx context.Context) error {
 	ticker := time.NewTicker(c.instance.config.Settings.Times.Check.Std())
 	defer ticker.Stop()
@@ -64,8 +65,7 @@
 	}
 }
 
-// currentShare returns the endpoints that this entry checks, worked out once for each
-// table.
+// currentShare returns the endpoints that this entry checks, cached by table.
 func (c *checker) currentShare() []*route.Endpoint {
 	if table := c.instance.view.Load().Table; table != c.table {
 		c.table, c.share = table, c.shareOf(table)
@@ -73,8 +73,9 @@
 	return c.share
 }
 
-// shareOf ranks the entries of an endpoint's failure domain for each endpoint;
-// two of them check it.
+// shareOf returns the endpoints of this failure domain for which this entry is among
+// the checkersPerEndpoint entries with the highest hash. The total rate of checks is
+// limited.
 func (c *checker) shareOf(table *route.Table) []*route.Endpoint {
 	var local []route.Member
 	for _, m := range table.Members() {
@@ -94,6 +95,8 @@
 	return found[:min(len(found), max(limit, 1))]
 }
 
+// isChecker reports whether fewer than checkersPerEndpoint of the local entries have a
+// higher hash for the endpoint than this entry.
 func (c *checker) isChecker(local []route.Member, endpoint uint32) bool {
 	own := siphash.Hash(uint64(endpoint), 0, []byte(c.instance.self.Name))
 	higher := 0
@@ -102,13 +105,13 @@
 			continue
 		}
 		if higher++; higher == checkersPerEndpoint {
-			return false // most are told by a few of the entries
+			return false
 		}
 	}
 	return true
 }
 
-// checkAll asks the endpoints, a few at a time.
+// checkAll checks the endpoints, several at a time.
 func (c *checker) checkAll(ctx context.Context, endpoints []*route.Endpoint) []*wire.EndpointLoad {
 	const maxConcurrent = 16
 	loads := make([]*wire.EndpointLoad, len(endpoints))
@@ -125,6 +128,7 @@
 	return loads
 }
 
+// checkOne checks one endpoint. A failed check counts as unhealthy.
 func (c *checker) checkOne(ctx context.Context, e *route.Endpoint) *wire.EndpointLoad {
 	const maxBytes = 4096
 	var a healthReport
@@ -139,7 +143,7 @@
 	}
 }
 
-// getJSON decodes a JSON document of at most so many bytes.
+// getJSON fetches and decodes a JSON document of at most limit bytes.
 func getJSON(ctx context.Context, client *http.Client, url string, limit int64, into any) error {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/instance/checker_test.go
+++ b/internal/instance/checker_test.go
@@ -12,7 +12,7 @@
 	"oxbowsaddle/internal/settings"
 )
 
-// newDomainTable returns the table of one failure domain, 4 endpoints a service.
+// newDomainTable returns a table with one failure domain and 4 endpoints per service.
 func newDomainTable(entries, services int) *route.Table {
 	const endpointsEach = 4
 	b := route.NewBuilder(route.Empty(), 1)
@@ -48,13 +48,13 @@
 			checkers[e.Addr().String()]++
 		}
 		c.instance.view.Store(&flow.View{Table: route.Empty()})
-		g.Expect(c.currentShare()).To(gomega.BeEmpty(), "a new table has a share of its own")
+		g.Expect(c.currentShare()).To(gomega.BeEmpty(), "the share is computed again for a new table")
 	}
 	g.Expect(checkers).To(gomega.HaveLen(4 * services))
 	g.Expect(checkers).To(gomega.HaveEach(checkersPerEndpoint))
 }
 
-// BenchmarkCheckerShare takes one failure domain of the size to design for.
+// BenchmarkCheckerShare uses a failure domain of the largest supported size.
 func BenchmarkCheckerShare(b *testing.B) {
 	c := newTestChecker("e7", newDomainTable(425, 860))
 	b.Run("same table", func(b *testing.B) {
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -17,19 +17,20 @@
 const (
 	controlTick       = 20 * time.Millisecond
 	callTimeout       = 600 * time.Millisecond
-	stopLogInterval   = 5 // beats between two lines on what a stop waits for
-	minReportInterval = 4 // with a short budget, counts go along with one beat of so many
+	stopLogInterval   = 5 // heartbeats between log lines during a planned stop
+	minReportInterval = 4 // every so many heartbeats, counts are sent regardless of the budget
 )
 
 type (
-	// heartbeatResult is the answer to a beat on its way to the control goroutine.
+	// heartbeatResult is the outcome of a heartbeat call.
 	heartbeatResult struct {
 		sent  time.Time
 		reply *wire.BeatReply
 		err   error
 	}
 
-	// controlLoop owns the entry's control state.
+	// controlLoop owns the entry's control state. Its methods, except stop, callHeartbeat
+	// and runPlatform, run on the control goroutine.
 	controlLoop struct {
 		instance       *Instance
 		core           *member.Core
@@ -38,10 +39,10 @@
 		results        chan heartbeatResult
 		loads          chan []*wire.EndpointLoad
 		unlisted       chan []string
-		inFlight       bool // for the answer to a beat
+		inFlight       bool // a heartbeat call is in flight
 		nextHeartbeat  time.Time
 		nextProbe      time.Time
-		failedAttempts int // which control instance is asked next
+		failedAttempts int // heartbeats since the last reply of a leader; selects the next control instance
 		heartbeats     int
 		lastLoads      []*wire.EndpointLoad
 		stopping       bool
@@ -66,7 +67,7 @@
 	}
 }
 
-// run does what is due until the context ends.
+// run processes events and timers until the context ends.
 func (c *controlLoop) run(ctx context.Context) error {
 	ticker := time.NewTicker(controlTick)
 	defer ticker.Stop()
@@ -93,7 +94,7 @@
 	}
 }
 
-// heap returns the memory in use, read once a window.
+// heap returns the heap size, read once per budgetWindow.
 func (c *controlLoop) heap(now time.Time) uint64 {
 	if now.Sub(c.heapReadAt) >= budgetWindow {
 		c.heapReadAt, c.heapBytes = now, heapBytes()
@@ -101,6 +102,7 @@
 	return c.heapBytes
 }
 
+// stop begins a planned stop.
 func (c *controlLoop) stop() {
 	c.calls <- func(time.Time) {
 		c.core.AnnounceStop()
@@ -109,6 +111,7 @@
 	}
 }
 
+// tick publishes the view and sends probes and heartbeats when they are due.
 func (c *controlLoop) tick(ctx context.Context, now time.Time) {
 	times := c.instance.config.Settings.Times
 	view := c.core.View(now)
@@ -130,8 +133,8 @@
 	}
 }
 
-// sendProbes is slowed when the budget is short: a peer is taken for silent
-// only after several probes are missing.
+// sendProbes sends probes to the peers if the byte budget allows it. Peers tolerate
+// several missing probes.
 func (c *controlLoop) sendProbes(now time.Time, leased bool) {
 	const probeBytes = 70
 	if c.instance.budget.tryCharge(now, probeBytes*len(c.instance.traffic.peerAddrs)) {
@@ -139,7 +142,8 @@
 	}
 }
 
-// finishStop says the last word of a planned stop once everything is handed over.
+// finishStop announces the end of a planned stop once everything is handed over, and
+// logs what is left until then.
 func (c *controlLoop) finishStop(view *flow.View) {
 	r := c.instance.traffic.report.Load()
 	if c.stopping && c.heartbeats%stopLogInterval == 0 {
@@ -155,7 +159,8 @@
 	}
 }
 
-// sendHeartbeat asks the leading control instance for a lease and for what is new.
+// sendHeartbeat sends a heartbeat to the leader, which renews the lease and returns new
+// log entries. Flow counts and endpoint loads are included if the byte budget allows it.
 func (c *controlLoop) sendHeartbeat(ctx context.Context, now time.Time) {
 	r := c.core.NextHeartbeat(flow.SweepResult{}, nil)
 	c.heartbeats++
@@ -171,8 +176,8 @@
 	go c.callHeartbeat(ctx, target, r, now)
 }
 
-// target returns the control instance to ask: the leader that was heard of,
-// else one after the other.
+// target returns the control instance to call: the known leader, or after a failed
+// call the voters in turn.
 func (c *controlLoop) target() settings.Instance {
 	s := c.instance.config.Settings
 	if leader, err := s.Instance(c.core.Leader()); err == nil && c.failedAttempts == 0 {
@@ -186,7 +191,7 @@
 	return target
 }
 
-// callHeartbeat makes the call, so that the control goroutine does not wait for it.
+// callHeartbeat makes the heartbeat call in a goroutine of its own.
 func (c *controlLoop) callHeartbeat(ctx context.Context, target settings.Instance, r *wire.BeatRequest, sent time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -217,7 +222,7 @@
 	c.instance.budget.charge(now, proto.Size(r.reply))
 	more, err := c.core.HandleReply(r.sent, r.reply)
 	if err != nil {
-		c.instance.log.Error("cannot apply", "error", err, "index", c.core.State().Index())
+		c.instance.log.Error("cannot apply heartbeat reply", "error", err, "index", c.core.State().Index())
 		return
 	}
 	if more {
@@ -232,8 +237,8 @@
 	}
 }
 
-// runPlatform polls the platform's list of instances. It lags and may be
-// wrong, so it is a hint and nothing is decided by it alone.
+// runPlatform polls the platform's list of instances. As the list may be late or wrong,
+// it is only used as a hint, by peer.Tracker.
 func (c *controlLoop) runPlatform(ctx context.Context) error {
 	s := c.instance.config.Settings
 	if s.Platform == "" {
@@ -261,7 +266,7 @@
 	}
 }
 
-// platformList is the platform's answer.
+// platformList is the platform's list of instances.
 type platformList struct {
 	Instances []struct {
 		Name  string `json:"name"`
@@ -269,7 +274,7 @@
 	} `json:"instances"`
 }
 
-// pollPlatform returns the instances that the platform does not list.
+// pollPlatform returns the known instances that the platform does not list.
 func pollPlatform(ctx context.Context, client *http.Client, url string, known []settings.Instance) ([]string, error) {
 	const maxBytes = 4 << 20
 	var list platformList
--- a/internal/instance/dial.go
+++ b/internal/instance/dial.go
@@ -23,14 +23,14 @@
 const dialTimeout = 500 * time.Millisecond
 
 type (
-	// connKey tells connections for different purposes apart: a call waits
-	// for the one before it on the same connection.
+	// connKey identifies a connection. Calls on one connection run one after another, so
+	// each purpose has its own.
 	connKey struct {
 		addr    netip.AddrPort
 		purpose string
 	}
 
-	// dialer keeps connections to the control addresses of other instances.
+	// dialer caches connections to the control addresses of other instances.
 	dialer struct {
 		server  *tls.Config
 		client  *tls.Config
@@ -49,7 +49,7 @@
 	return d, nil
 }
 
-// tlsConfigs returns the configurations for mutual TLS, nil where none is set.
+// tlsConfigs returns the configurations for mutual TLS, or nil if TLS isn't configured.
 func tlsConfigs(t settings.TLS) (server, client *tls.Config, err error) {
 	if t.Certificate == "" {
 		return nil, nil, nil
@@ -71,6 +71,7 @@
 	return server, client, nil
 }
 
+// listen opens the control address.
 func (d *dialer) listen(addr netip.AddrPort) (net.Listener, error) {
 	l, err := net.Listen("tcp", addr.String())
 	if err != nil {
@@ -82,6 +83,7 @@
 	return l, nil
 }
 
+// listenKind classifies an error of listening on a configured address.
 func listenKind(err error) fault.Kind {
 	if errors.Is(err, syscall.EADDRINUSE) {
 		return fault.AddressInUse
@@ -89,10 +91,10 @@
 	return fault.InvalidSettings
 }
 
-// client returns a connection to an address, dialled if need be.
+// connect returns a client for an address, on the cached connection if it is open.
 func (d *dialer) connect(ctx context.Context, addr netip.AddrPort, purpose string) (wire.DRPCControlClient, error) {
 	if d.blocked(addr) {
-		return nil, fault.New(fault.Unreachable, "%s cannot be reached", addr)
+		return nil, fault.New(fault.Unreachable, "%s is unreachable", addr)
 	}
 	key := connKey{addr, purpose}
 	d.mu.Lock()
@@ -130,7 +132,8 @@
 	return d.DialContext(ctx, "tcp", addr.String())
 }
 
-// Dial connects an operator's command to an instance.
+// Dial connects to the control address of an instance, for operators' commands. The
+// returned function closes the connection.
 func Dial(ctx context.Context, addr netip.AddrPort, t settings.TLS) (wire.DRPCControlClient, func() error, error) {
 	_, client, err := tlsConfigs(t)
 	if err != nil {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -1,7 +1,7 @@
-// Package instance runs one instance: it puts sockets, files, timers and
-// calls round the decision cores. One goroutine owns the entry's control
-// state, another its traffic; where the settings name a data folder, a third
-// owns the replicated log and the leader's decisions.
+// Package instance runs one entry instance. It connects the packages that make the
+// decisions to sockets, files, timers and remote calls. One goroutine owns the entry's
+// control state and another its traffic. On control instances, which have a data folder,
+// a third one owns the replicated log and the controller.
 package instance
 
 import (
@@ -24,17 +24,17 @@
 )
 
 type (
-	// Config is what an Instance is made from.
+	// Config configures an Instance.
 	Config struct {
 		Settings settings.Settings
 		Name     string
 		Log      *log.Logger
 		Now      func() time.Time
-		// Placement names the baseline to run instead of the project's own
-		// placement; empty in every real use.
+		// Placement is PlacementModulo to run a baseline for comparison, and otherwise
+		// empty.
 		Placement string
-		// Blocked tells addresses that cannot be reached now, as the demo cuts
-		// failure domains off from each other; nil in every real use.
+		// Blocked reports addresses that must not be reached, to simulate network
+		// partitions. It may be nil.
 		Blocked func(netip.AddrPort) bool
 	}
 
@@ -61,7 +61,7 @@
 	}
 )
 
-// New opens sockets and files. Nothing is decided before Run.
+// New opens the sockets and files of an instance. Run starts it.
 func New(c Config) (*Instance, error) {
 	self, err := c.Settings.Instance(c.Name)
 	if err != nil {
@@ -100,17 +100,16 @@
 	return i, nil
 }
 
-// Counters returns the counters, for tests and reports.
+// Counters returns the instance's counters.
 func (i *Instance) Counters() *telemetry.Counters { return i.counters }
 
-// Ready reports whether the instance may decide: it knows the table and holds
-// a lease. A fabric should hand packets to it only then.
+// Ready reports whether the instance has a table and a lease, and can process packets.
 func (i *Instance) Ready() bool {
 	v := i.view.Load()
 	return v.Table.Index() > 0 && i.now().Before(v.LeaseUntil)
 }
 
-// Run serves until the context ends or a part fails.
+// Run runs the instance until the context ends or one of its goroutines fails.
 func (i *Instance) Run(ctx context.Context) error {
 	ctx, i.stop = context.WithCancel(ctx)
 	defer close(i.done)
@@ -131,6 +130,7 @@
 	return err
 }
 
+// ignoreShutdown returns nil for errors that are expected at the end of Run.
 func ignoreShutdown(err error) error {
 	if errors.Is(err, context.Canceled) || errors.Is(err, net.ErrClosed) {
 		return nil
@@ -150,15 +150,15 @@
 	return err
 }
 
-// Kill ends the instance without a word, as a crash does.
+// Kill ends the instance at once, without a handover.
 func (i *Instance) Kill() {
 	i.stop()
 	<-i.done
 }
 
-// Stop ends the instance as planned: it announces the stop, hands over what
-// it holds, and then ends. It gives up waiting at the context's end, with the
-// kind fault.HandoverUnfinished.
+// Stop announces a planned stop, waits until flows and requests are handed over, and
+// ends the instance. If the context ends first, it ends the instance anyway and returns
+// an error of kind fault.HandoverUnfinished.
 func (i *Instance) Stop(ctx context.Context) error {
 	if i.stopped.Swap(true) {
 		return nil
@@ -175,5 +175,6 @@
 	return err
 }
 
-// PlacementModulo names the baseline that reports compare with.
+// PlacementModulo is the Config.Placement of the baseline that hashes flows modulo the
+// number of endpoints.
 const PlacementModulo = "modulo"
--- a/internal/instance/leader.go
+++ b/internal/instance/leader.go
@@ -20,13 +20,14 @@
 const leaderTick = 10 * time.Millisecond
 
 type (
-	// waiter waits for the outcome of a change that was proposed.
+	// waiter receives the outcome of a proposed change. The channel is closed if this
+	// instance loses the leadership first.
 	waiter struct {
 		answer chan control.Answer
 	}
 
-	// leaderLoop owns the replicated log and, while this instance leads, the
-	// controller's decisions.
+	// leaderLoop owns the replica of the log and, while this instance is the leader, the
+	// controller.
 	leaderLoop struct {
 		instance *Instance
 		store    *storage.Store
@@ -55,7 +56,7 @@
 		return nil, err
 	}
 	if loaded.Torn {
-		i.log.Warn("cut an unfinished last record", "folder", i.self.Data)
+		i.log.Warn("truncated an incomplete last log record", "folder", i.self.Data)
 	}
 	state := control.NewState()
 	if loaded.Snapshot != nil {
@@ -81,7 +82,7 @@
 
 func (l *leaderLoop) close() error { return l.store.Close() }
 
-// run does what is due until the context ends or the disk fails.
+// run processes calls and timers until the context ends or an error occurs.
 func (l *leaderLoop) run(ctx context.Context) error {
 	ticker := time.NewTicker(leaderTick)
 	defer ticker.Stop()
@@ -98,14 +99,14 @@
 		err := l.process(ctx)
 		l.instance.budget.addBusy(l.instance.now().Sub(start))
 		if err != nil {
-			l.instance.log.Error("control instance ends", "error", err, "next", fault.KindOf(err).Answer().NextStep())
+			l.instance.log.Error("control instance failed", "error", err, "next", fault.KindOf(err).Answer().NextStep())
 			return err
 		}
 	}
 }
 
-// process persists, sends and applies, in this order, and lets the controller
-// decide while this instance leads.
+// process persists, sends and applies what the replica has ready, in this order, and
+// runs the controller. It repeats until there is nothing left to do.
 func (l *leaderLoop) process(ctx context.Context) error {
 	for {
 		now := l.instance.now()
@@ -130,6 +131,7 @@
 	}
 }
 
+// persist writes the snapshot and the log record that the replica has ready.
 func (l *leaderLoop) persist(ready replica.Ready) error {
 	if s := ready.Snapshot; s != nil {
 		state, err := control.Restore(s.State)
@@ -140,7 +142,7 @@
 		if err := l.store.SaveSnapshot(s, ready.HardState, nil); err != nil {
 			return err
 		}
-		l.instance.log.Info("took over a snapshot", "index", s.Index)
+		l.instance.log.Info("installed a snapshot", "index", s.Index)
 	}
 	if ready.Record == nil {
 		return nil
@@ -149,6 +151,7 @@
 	return l.store.Append(ready.Record)
 }
 
+// apply applies a committed log entry and answers its waiter.
 func (l *leaderLoop) apply(e *wire.LogEntry) error {
 	answer, err := l.state.Apply(e.Index, e.Command)
 	if err != nil {
@@ -161,7 +164,8 @@
 	return nil
 }
 
-// runController lets the controller decide; it reports whether something was proposed.
+// runController runs the controller while this instance is the leader, and reports
+// whether it proposed commands.
 func (l *leaderLoop) runController(now time.Time) bool {
 	role := l.replica.Role()
 	if role != l.lastRole {
@@ -207,8 +211,8 @@
 	return l.replica.Propose(now, data)
 }
 
-// failWaiters tells operators that nothing was decided here. The change may
-// still be decided by the next leader; its id keeps it from counting twice.
+// failWaiters ends the wait for proposed changes when the leadership is lost. The next
+// leader may still commit such a change; its ID prevents a retry from applying twice.
 func (l *leaderLoop) failWaiters() {
 	for index, w := range l.waiters {
 		delete(l.waiters, index)
@@ -216,7 +220,7 @@
 	}
 }
 
-// compact saves a snapshot when the log has grown.
+// compact saves a snapshot and compacts the log once it exceeds the configured length.
 func (l *leaderLoop) compact() error {
 	grown := l.state.Index() - l.snapshot.index
 	if grown < uint64(l.instance.config.Settings.Limits.LogEntries) {
@@ -230,7 +234,8 @@
 	return l.store.SaveSnapshot(l.replica.Compact(l.state.Index(), data))
 }
 
-// currentSnapshot returns a snapshot for an entry that lags far behind.
+// currentSnapshot returns a recent snapshot, for entries that are behind the compacted
+// log.
 func (l *leaderLoop) currentSnapshot() (uint64, []byte, error) {
 	const maxLag = 64
 	if l.snapshot.data == nil || l.state.Index()-l.snapshot.index > maxLag {
@@ -243,8 +248,8 @@
 	return l.snapshot.index, l.snapshot.data, nil
 }
 
-// enqueue hands a message to the goroutine that sends to its receiver. A full
-// outbox drops it: the log sends again what is not answered.
+// enqueue passes a message to the goroutine that sends to its receiver. If the outbox is
+// full, the message is dropped; the replica repeats unanswered messages.
 func (l *leaderLoop) enqueue(ctx context.Context, m *wire.LogMessage) {
 	const queue = 64
 	outbox := l.outboxes[m.To]
@@ -287,7 +292,7 @@
 	}
 }
 
-// handleHeartbeat answers an entry's handleHeartbeat.
+// handleHeartbeat answers an entry's heartbeat.
 func (l *leaderLoop) handleHeartbeat(now time.Time, r *wire.BeatRequest) *wire.BeatReply {
 	reply := &wire.BeatReply{LeaderName: l.replica.Leader(), Term: l.replica.Term(), Commit: l.replica.Commit()}
 	if l.ctl == nil || !l.replica.Current(now) {
@@ -305,13 +310,13 @@
 		Snapshot: l.currentSnapshot,
 	}
 	if err := feed.Fill(reply, r); err != nil {
-		l.instance.log.Error("cannot fill a beat", "error", err)
+		l.instance.log.Error("cannot fill a heartbeat reply", "error", err)
 	}
 	return reply
 }
 
-// submit proposes an operator's change, or answers it at once where the
-// answer is known.
+// submit proposes an operator's change and returns the channel that receives its
+// outcome, or returns the answer to a plan or to a change that is not accepted.
 func (l *leaderLoop) submit(now time.Time, c *wire.Change) (control.Answer, chan control.Answer, error) {
 	if !l.replica.Current(now) || l.state.Index() < l.replica.LastIndex() && l.ctl == nil {
 		return control.Answer{}, nil, fault.New(fault.NotCurrent, "%s is not the current leader", l.instance.self.Name)
--- a/internal/instance/server.go
+++ b/internal/instance/server.go
@@ -16,18 +16,17 @@
 )
 
 const (
-	// submitTimeout bounds how long an operator waits for a majority.
 	submitTimeout = 5 * time.Second
-	maxDecisions  = 20
+	maxDecisions  = 20 // per instance in an answer to Why
 )
 
-// server answers calls on the control address.
+// server implements the calls on the control address.
 type server struct {
 	instance *Instance
-	slots    chan struct{} // operators' calls that are served at a time
+	slots    chan struct{} // limits concurrent operators' calls
 }
 
-// serve answers calls until the context ends.
+// serve serves calls until the context ends.
 func (i *Instance) serve(ctx context.Context) error {
 	mux := drpcmux.New()
 	s := &server{instance: i, slots: make(chan struct{}, i.config.Settings.Limits.OperatorCalls)}
@@ -37,7 +36,7 @@
 	return drpcserver.New(mux).Serve(ctx, i.listener)
 }
 
-// Beat answers an entry's beat.
+// Beat answers an entry's heartbeat.
 func (s *server) Beat(ctx context.Context, r *wire.BeatRequest) (*wire.BeatReply, error) {
 	l := s.instance.leader
 	if l == nil {
@@ -48,7 +47,7 @@
 	return reply, err
 }
 
-// Step takes a message of the replicated log.
+// Step processes a message of the replicated log.
 func (s *server) Step(ctx context.Context, m *wire.LogMessage) (*wire.StepReply, error) {
 	l := s.instance.leader
 	if l == nil {
@@ -58,7 +57,8 @@
 	return &wire.StepReply{}, err
 }
 
-// acquireSlot takes one of the bounded places for operators' calls.
+// acquireSlot waits for a free slot for an operator's call, and returns the function
+// that releases it.
 func (s *server) acquireSlot(ctx context.Context) (func(), error) {
 	select {
 	case s.slots <- struct{}{}:
@@ -68,7 +68,7 @@
 	}
 }
 
-// Submit offers an operator's change to the leader, here or elsewhere.
+// Submit submits an operator's change to the leader, which may be another instance.
 func (s *server) Submit(ctx context.Context, c *wire.Change) (*wire.SubmitReply, error) {
 	release, err := s.acquireSlot(ctx)
 	if err != nil {
@@ -83,7 +83,7 @@
 	forwarded := &wire.Change{
 		Id: c.Id, Author: c.Author, Base: c.Base, Confirmed: c.Confirmed, Objects: c.Objects, Plan: c.Plan, Forwarded: true,
 	}
-	reply := submitReply(control.Answer{}, fault.New(fault.NoQuorum, "no control instance could decide"))
+	reply := submitReply(control.Answer{}, fault.New(fault.NoQuorum, "no control instance could decide on the change"))
 	s.askOthers(ctx, func(client wire.DRPCControlClient) bool {
 		got, err := client.Submit(ctx, forwarded)
 		decided := err == nil && got.Kind != fault.NotCurrent.Name()
@@ -95,8 +95,8 @@
 	return reply, nil
 }
 
-// askOthers asks the other control instances, the leader first, until
-// one has decided.
+// askOthers calls ask for the other control instances, the leader first, until it
+// returns true.
 func (s *server) askOthers(ctx context.Context, ask func(wire.DRPCControlClient) bool) {
 	for _, target := range s.controlTargets(ctx) {
 		client, err := s.instance.dialer.connect(ctx, target, "operator")
@@ -129,10 +129,11 @@
 	return targets
 }
 
+// submitLocal submits a change to this instance and waits for its outcome.
 func (s *server) submitLocal(ctx context.Context, c *wire.Change) (control.Answer, error) {
 	l := s.instance.leader
 	if l == nil {
-		return control.Answer{}, fault.New(fault.NotCurrent, "%s is no control instance", s.instance.self.Name)
+		return control.Answer{}, fault.New(fault.NotCurrent, "%s is not a control instance", s.instance.self.Name)
 	}
 	var answer control.Answer
 	var wait chan control.Answer
@@ -146,11 +147,11 @@
 	select {
 	case a, decided := <-wait:
 		if !decided {
-			return control.Answer{}, fault.New(fault.NoQuorum, "the leader changed before a majority had it on disk")
+			return control.Answer{}, fault.New(fault.NoQuorum, "the leader changed before a majority confirmed the change")
 		}
 		return a, nil
 	case <-ctx.Done():
-		return control.Answer{}, fault.New(fault.NoQuorum, "no majority had it on disk in time")
+		return control.Answer{}, fault.New(fault.NoQuorum, "no majority confirmed the change in time")
 	}
 }
 
@@ -161,7 +162,7 @@
 	return &wire.SubmitReply{Kind: string(a.Outcome), Revision: a.Revision, Detail: a.Detail, Faults: a.Faults}
 }
 
-// Status tells what this instance holds and, by the leader, who lags.
+// Status returns the state of this instance, and the leader's view of the members.
 func (s *server) Status(ctx context.Context, r *wire.StatusRequest) (*wire.StatusReply, error) {
 	release, err := s.acquireSlot(ctx)
 	if err != nil {
@@ -198,7 +199,8 @@
 	}
 }
 
-// fillFromLeader adds what only the leader knows; false where this is not it.
+// fillFromLeader adds the leader's view if this instance is the leader, and reports
+// whether it is.
 func (s *server) fillFromLeader(ctx context.Context, reply *wire.StatusReply) bool {
 	l := s.instance.leader
 	if l == nil {
@@ -225,7 +227,7 @@
 	return leads
 }
 
-// fillFromRemoteLeader adds what the leader knows to the status of another instance.
+// fillFromRemoteLeader adds the view of the leader, if it is reachable.
 func (s *server) fillFromRemoteLeader(ctx context.Context, reply *wire.StatusReply, history bool) {
 	leader, err := s.instance.config.Settings.Instance(reply.LeaderName)
 	if err != nil {
@@ -245,7 +247,7 @@
 	}
 }
 
-// drainStatus tells what each leaving endpoint still waits for.
+// drainStatus returns the buckets and flows that each leaving endpoint still has.
 func (l *leaderLoop) drainStatus(now time.Time) []*wire.DrainStatus {
 	table := l.state.Table()
 	byEndpoint := map[uint32]*wire.DrainStatus{}
@@ -295,6 +297,7 @@
 	return reply, nil
 }
 
+// refreshGauges updates the gauges from the last report of the traffic goroutine.
 func (i *Instance) refreshGauges() {
 	r := i.traffic.report.Load()
 	for name, value := range map[string]int{
--- a/internal/instance/stop_test.go
+++ b/internal/instance/stop_test.go
@@ -10,8 +10,8 @@
 	"oxbowsaddle/internal/fault"
 )
 
-// A planned stop that may not wait ends the instance all the same, and says
-// that not everything was handed over.
+// Guards against a stop that hangs, or hides an unfinished handover, when its context
+// ends.
 func TestStopReportsUnfinishedHandover(t *testing.T) {
 	g := gomega.NewWithT(t)
 	i := startEntry(t, netip.MustParseAddrPort("127.0.0.1:9"))
--- a/internal/instance/tls_test.go
+++ b/internal/instance/tls_test.go
@@ -23,7 +23,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// authority makes certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -73,7 +73,7 @@
 	}
 }
 
-// issue makes a certificate for loopback and returns the settings for it.
+// issue issues a certificate for loopback and returns the settings that use it.
 func (a *authority) issue(name string) settings.TLS {
 	a.sign(&x509.Certificate{
 		SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: name}, NotAfter: time.Now().Add(time.Hour),
@@ -84,7 +84,7 @@
 	return settings.TLS{Certificate: file(name + ".pem"), Key: file(name + ".key"), Authority: file("authority.pem")}
 }
 
-// Only those with a certificate of the fleet's authority may speak to control.
+// Guards against clients without a certificate of the configured authority.
 func TestControlRequiresCertificate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ours, theirs := newAuthority(t, "ours"), newAuthority(t, "theirs")
--- a/internal/instance/traffic.go
+++ b/internal/instance/traffic.go
@@ -20,29 +20,30 @@
 	"oxbowsaddle/internal/work"
 )
 
-// tickInterval is how often timers of the traffic are looked at.
+// tickInterval is the interval at which the traffic goroutine runs its timers.
 const tickInterval = 5 * time.Millisecond
 
 var emptyTable = route.Empty()
 
 type (
-	// probe is a peer's probe on its way to the control goroutine.
+	// probe is a peer's probe, passed to the control goroutine.
 	probe struct {
 		from   string
 		leased bool
 	}
 
-	// trafficReport is what the traffic goroutine tells the control goroutine.
+	// trafficReport is published by the traffic goroutine at each tick.
 	trafficReport struct {
 		sweep           flow.SweepResult
 		backlog         uint64
 		handoverPending bool
-		ownerships      string // what is left to hand over, for the log
+		ownerships      string // summary for the log
 		flows           flow.Stats
 		work            work.Stats
 	}
 
-	// traffic owns the packet socket, the decision core and its records.
+	// traffic owns the packet socket and the packet processing. Its methods run on the
+	// traffic goroutine, except sendProbes.
 	traffic struct {
 		instance  *Instance
 		conn      *batchConn
@@ -112,7 +113,7 @@
 	t.counters.peerBytes = c.Counter("peer_bytes")
 }
 
-// buildCore makes the decision core for one life.
+// buildCore creates the entry.Core with this process's incarnation.
 func (t *traffic) buildCore(incarnation uint64) {
 	i := t.instance
 	s := i.config.Settings
@@ -136,7 +137,7 @@
 
 func (t *traffic) close() error { return t.conn.udp.Close() }
 
-// run reads, decides and writes until the context ends.
+// run receives, processes and sends packets until the context ends.
 func (t *traffic) run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = t.conn.udp.SetReadDeadline(time.Unix(1, 0)) })
 	defer stop()
@@ -162,6 +163,7 @@
 	return ctx.Err()
 }
 
+// tick runs the core's timers and pending queries, and publishes a report.
 func (t *traffic) tick(now time.Time) {
 	t.core.Tick(now)
 	for {
@@ -180,7 +182,7 @@
 	})
 }
 
-// handleDatagram decodes one datagram and decides on it.
+// handleDatagram decodes and processes one datagram.
 func (t *traffic) handleDatagram(now time.Time, data []byte, addr net.Addr) {
 	t.counters.in.Inc(1)
 	udp, ok := addr.(*net.UDPAddr)
@@ -200,7 +202,7 @@
 	case t.packet.IsPeer() && isPeer:
 		t.handlePeer(now, name, t.packet.Inner())
 	case t.packet.IsPeer() || relayed && !isPeer:
-		t.counters.unknownSender.Inc(1) // only an instance of the settings may say such things
+		t.counters.unknownSender.Inc(1) // accepted from configured instances only
 	default:
 		t.core.Take(now, from, &t.packet)
 		t.queueOutput(now)
@@ -217,7 +219,7 @@
 	if p := m.GetProbe(); p != nil {
 		select {
 		case t.probes <- probe{name, p.Leased}:
-		default: // the next one comes soon
+		default: // queue full: drop, the next probe follows soon
 		}
 		return
 	}
@@ -225,8 +227,8 @@
 	t.queueOutput(now)
 }
 
-// queueOutput queues what the core wants sent, before the next packet overwrites
-// the buffers that it points into.
+// queueOutput queues the core's pending datagrams. It has to run before the next packet
+// is read, because they alias the receive buffer.
 func (t *traffic) queueOutput(now time.Time) {
 	for _, s := range t.core.TakeSends(now) {
 		t.send(s)
@@ -240,7 +242,7 @@
 
 func (t *traffic) send(s entry.Send) {
 	if !s.Until.IsZero() && !t.instance.now().Before(s.Until) {
-		t.counters.expired.Inc(1) // the process was paused: what it decided is no longer its to say
+		t.counters.expired.Inc(1) // the process was paused since the decision
 		return
 	}
 	t.counters.out.Inc(1)
@@ -264,16 +266,16 @@
 	}
 }
 
-// enqueue sends a datagram, unless its receiver cannot be reached. An error of
-// the socket is a lost datagram; a closed socket ends run.
+// enqueue queues a datagram unless its receiver is blocked. Errors are ignored, as
+// datagrams may be lost anyway, and run notices a closed socket.
 func (t *traffic) enqueue(data []byte, to netip.AddrPort) {
 	if !t.instance.config.Blocked(to) {
 		_ = t.conn.enqueue(data, to)
 	}
 }
 
-// sendProbes tells the peers that this entry lives; called by the control
-// goroutine, so it uses the socket and nothing else of the traffic.
+// sendProbes sends probes to all peers. It runs on the control goroutine and must not
+// use state that the traffic goroutine modifies.
 func (t *traffic) sendProbes(leased bool, incarnation uint64) {
 	m := &wire.Peer{From: t.instance.self.Name, Body: &wire.Peer_Probe{Probe: &wire.Probe{Leased: leased, Incarnation: incarnation}}}
 	data, err := proto.Marshal(m)
@@ -289,7 +291,7 @@
 	}
 }
 
-// onFlow counts a decision, keeps what operators ask about, and traces.
+// onFlow counts a verdict, and records and traces unusual and sampled ones.
 func (t *traffic) onFlow(now time.Time, v flow.Verdict, p *packet.Packet, answer bool) {
 	t.counters.flows[v.Reason()].Inc(1)
 	sample := uint64(t.instance.config.Settings.Limits.SampleOneIn)
@@ -312,6 +314,7 @@
 	}
 }
 
+// onWork counts and records an event of a request, and traces a sample.
 func (t *traffic) onWork(now time.Time, e work.Event) {
 	t.counters.states[e.State].Inc(1)
 	view := t.core.Flow().View()
--- a/internal/instance/traffic_bench_test.go
+++ b/internal/instance/traffic_bench_test.go
@@ -22,7 +22,7 @@
 
 const benchFlows = 256
 
-// freeAddr is an address of a port that is free now.
+// freeAddr returns a loopback address with a free port.
 func freeAddr(tb testing.TB, network string) netip.AddrPort {
 	tb.Helper()
 	addr, err := standin.FreeAddr(network)
@@ -32,7 +32,7 @@
 	return addr
 }
 
-// startEntry runs one entry that is its own control instance, with one endpoint.
+// startEntry runs one instance that is its own control instance, with one endpoint.
 func startEntry(tb testing.TB, endpoint netip.AddrPort) *Instance {
 	tb.Helper()
 	s := settings.Default()
@@ -55,6 +55,7 @@
 	return i
 }
 
+// submitConfig submits a service with one endpoint until it is accepted and in effect.
 func submitConfig(tb testing.TB, s settings.Settings, endpoint netip.AddrPort) {
 	tb.Helper()
 	service := fmt.Sprintf(`{"classes":[{"name":"c","address":"192.0.2.1:443","protocol":"tcp","kind":"flow"}],`+
@@ -76,10 +77,11 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	tb.Fatal("the entry did not come up")
+	tb.Fatal("the entry did not get ready in time")
 }
 
-// startSender sends batches of data segments of several flows as fast as it can.
+// startSender returns a function that sends a batch of TCP segments of several flows,
+// and one that closes the socket.
 func startSender(tb testing.TB, to netip.AddrPort) (send func(), stop func()) {
 	tb.Helper()
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
@@ -106,7 +108,7 @@
 	return func() { _, _ = p.WriteBatch(messages, 0) }, func() { _ = conn.Close() }
 }
 
-// startReceiver counts what arrives.
+// startReceiver returns the address of a socket and the count of datagrams received.
 func startReceiver(tb testing.TB) (netip.AddrPort, *atomic.Int64) {
 	tb.Helper()
 	b, err := newBatchConn(netip.MustParseAddrPort("127.0.0.1:0"), 4<<20)
@@ -127,8 +129,8 @@
 	return netip.MustParseAddrPort(b.udp.LocalAddr().String()), &count
 }
 
-// startEcho reads and writes the same batches as an entry and decides nothing: what
-// the sockets alone carry.
+// startEcho forwards batches like an entry but without any processing, to measure the
+// sockets alone.
 func startEcho(tb testing.TB, to netip.AddrPort) netip.AddrPort {
 	tb.Helper()
 	b, err := newBatchConn(netip.MustParseAddrPort("127.0.0.1:0"), 4<<20)
@@ -151,8 +153,8 @@
 	return netip.MustParseAddrPort(b.udp.LocalAddr().String())
 }
 
-// BenchmarkLoopback carries packets through one entry, and through sockets
-// alone in the same run: packets a second at the receiver.
+// BenchmarkLoopback reports the packets per second through one entry, and through
+// sockets alone for comparison.
 func BenchmarkLoopback(b *testing.B) {
 	const seconds = 2
 	measure := func(b *testing.B, to netip.AddrPort, count *atomic.Int64) {
--- a/internal/instance/voters.go
+++ b/internal/instance/voters.go
@@ -9,7 +9,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Voters shows or changes the control instances.
+// Voters lists or changes the control instances.
 func (s *server) Voters(ctx context.Context, r *wire.VotersRequest) (*wire.VotersReply, error) {
 	release, err := s.acquireSlot(ctx)
 	if err != nil {
@@ -20,7 +20,7 @@
 		return reply, nil
 	}
 	forwarded := &wire.VotersRequest{Add: r.Add, Remove: r.Remove, Forwarded: true}
-	reply := &wire.VotersReply{Kind: fault.NoQuorum.Name(), Detail: "no control instance could decide"}
+	reply := &wire.VotersReply{Kind: fault.NoQuorum.Name(), Detail: "no control instance could answer"}
 	s.askOthers(ctx, func(client wire.DRPCControlClient) bool {
 		got, err := client.Voters(ctx, forwarded)
 		decided := err == nil && got.Kind != fault.NotCurrent.Name()
@@ -32,8 +32,10 @@
 	return reply, nil
 }
 
+// votersLocal lists or changes the voters if this instance is the leader, and returns an
+// error if the others should be asked.
 func (s *server) votersLocal(ctx context.Context, r *wire.VotersRequest) (*wire.VotersReply, error) {
-	err := fault.New(fault.NotCurrent, "%s is no control instance", s.instance.self.Name)
+	err := fault.New(fault.NotCurrent, "%s is not a control instance", s.instance.self.Name)
 	reply := &wire.VotersReply{}
 	if l := s.instance.leader; l != nil {
 		if callErr := l.calls.call(ctx, func(now time.Time) { err = l.changeVoters(now, r, reply) }); callErr != nil {
@@ -43,13 +45,13 @@
 	if err != nil {
 		reply.Kind, reply.Detail = fault.KindOf(err).Name(), err.Error()
 		if fault.KindOf(err) != fault.NotCurrent {
-			return reply, nil // this is the leader's answer
+			return reply, nil // an answer by the leader
 		}
 	}
 	return reply, err
 }
 
-// changeVoters adds or removes one control instance, or only lists them.
+// changeVoters adds or removes control instances, or only lists them.
 func (l *leaderLoop) changeVoters(now time.Time, r *wire.VotersRequest, reply *wire.VotersReply) error {
 	if !l.replica.Current(now) {
 		return fault.New(fault.NotCurrent, "%s is not the current leader", l.instance.self.Name)
--- a/internal/instance/why.go
+++ b/internal/instance/why.go
@@ -11,8 +11,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Why explains. The asked entry asks the others too; of a flow each tells what
-// it has kept and what it would decide now.
+// Why returns the recorded decisions on a flow or a request, or the recent refusals, of
+// this instance and of all others. For a flow, each also returns the decision it would
+// make now.
 func (s *server) Why(ctx context.Context, r *wire.WhyRequest) (*wire.WhyReply, error) {
 	release, err := s.acquireSlot(ctx)
 	if err != nil {
@@ -28,7 +29,7 @@
 	case "refused":
 		reply.Decisions = s.instance.decisions.Find(maxDecisions, isRefusal)
 	default:
-		return nil, fault.New(fault.Usage, "unknown matter %q", r.Matter)
+		return nil, fault.New(fault.Usage, "unknown subject of an explanation %q", r.Matter)
 	}
 	if !r.Local {
 		s.whyOthers(ctx, r, reply)
@@ -41,6 +42,7 @@
 	return d.Action == "drop" || d.Action == "reset" || d.Action == "refused" || d.Action == "unknown"
 }
 
+// whyOthers adds the answers of the other instances.
 func (s *server) whyOthers(ctx context.Context, r *wire.WhyRequest, reply *wire.WhyReply) {
 	ask := &wire.WhyRequest{Matter: r.Matter, Source: r.Source, Target: r.Target, Protocol: r.Protocol, Local: true}
 	same := 0
@@ -50,7 +52,7 @@
 		}
 		client, err := s.instance.dialer.connect(ctx, other.Control, "operator")
 		if err != nil {
-			reply.Lines = append(reply.Lines, other.Name+" could not be asked: "+err.Error())
+			reply.Lines = append(reply.Lines, other.Name+" could not be reached: "+err.Error())
 			continue
 		}
 		got, err := client.Why(ctx, ask)
@@ -67,19 +69,18 @@
 		}
 	}
 	if same > 0 {
-		reply.Lines = append(reply.Lines, fmt.Sprintf("%d other entries would decide the same now", same))
+		reply.Lines = append(reply.Lines, fmt.Sprintf("%d other entries would make the same decision now", same))
 	}
 }
 
-// sameRecomputation reports whether two entries would decide the same now by the
-// same configuration; only where they differ does an operator need both.
+// sameRecomputation reports whether two entries would make the same decision now by the
+// same configuration, so that one of them can be left out.
 func sameRecomputation(a, b *wire.Decision) bool {
 	return a.Recomputed && b.Recomputed && a.Subject == b.Subject && a.Action == b.Action && a.Reason == b.Reason &&
 		a.Endpoint == b.Endpoint && a.Index == b.Index && a.Active == b.Active && slices.Equal(a.Hops, b.Hops)
 }
 
-// whyFlow adds the kept decisions on a flow and what this entry would decide
-// now.
+// whyFlow adds the recorded decisions on a flow and the one this entry would make now.
 func (s *server) whyFlow(ctx context.Context, r *wire.WhyRequest, reply *wire.WhyReply) {
 	subject := r.Protocol + " " + r.Source + " " + r.Target
 	reply.Decisions = s.instance.decisions.Find(maxDecisions, func(d *wire.Decision) bool { return d.Subject == subject })
--- a/internal/instance/why_test.go
+++ b/internal/instance/why_test.go
@@ -9,7 +9,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Entries that disagree are all told of; what was kept is never left out.
+// Guards against leaving out decisions on which entries disagree, and recorded ones.
 func TestSameRecomputation(t *testing.T) {
 	g := gomega.NewWithT(t)
 	now := &wire.Decision{Entry: "a", Subject: "s", Action: "forward", Reason: "by_settled", Endpoint: "e1", Index: 4, Active: 4, Recomputed: true}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
-// Package load puts open-loop load on running entries, with stand-ins of the
-// fabric and of the backend servers at the addresses that the files name, and
-// reports what callers and backend servers have seen.
+// Package load is an open-loop load generator for running entries. It runs stand-ins
+// for the fabric and the backend servers at the configured addresses, and reports what
+// callers and backend servers observed.
 package load
 
 import (
@@ -26,24 +26,24 @@
 )
 
 type (
-	// Config sets up a run.
+	// Config configures a run.
 	Config struct {
 		Settings    settings.Settings
-		Objects     []intent.Object
-		Flows       float64       // new flows a second, over all flow classes
-		FlowLasts   time.Duration // how long a flow lasts
-		FlowEvery   time.Duration // between packets of a flow
-		Requests    float64       // requests a second, over all work classes
-		Mix         map[string]float64
-		Deadline    time.Duration
-		ServiceTime time.Duration
-		For         time.Duration
-		Seed        uint64
-		Progress    io.Writer
+		Objects     []intent.Object    // configuration with the services
+		Flows       float64            // new flows per second, over all flow classes
+		FlowLasts   time.Duration      // duration of a flow
+		FlowEvery   time.Duration      // interval between the packets of a flow
+		Requests    float64            // requests per second, over all work classes
+		Mix         map[string]float64 // relative load by class name; empty for equal shares
+		Deadline    time.Duration      // of a request
+		ServiceTime time.Duration      // of a request at a backend server
+		For         time.Duration      // of the run
+		Seed        uint64             // of the fabric
+		Progress    io.Writer          // receives a line per second
 		Now         func() time.Time
 	}
 
-	// Latency is a summary in milliseconds.
+	// Latency summarizes latencies in milliseconds.
 	Latency struct {
 		Count int64   `json:"count"`
 		P50   float64 `json:"p50_ms"`
@@ -52,7 +52,8 @@
 		Max   float64 `json:"max_ms"`
 	}
 
-	// Report is the result.
+	// Report is the result of a run. Imbalance is, by service, the highest number of
+	// flows of an endpoint divided by the mean.
 	Report struct {
 		Seconds   float64            `json:"seconds"`
 		Counts    standin.Counts     `json:"counts"`
@@ -62,7 +63,7 @@
 		Reasons   map[string]int     `json:"reasons,omitempty"`
 	}
 
-	// Sample is the load at a moment.
+	// Sample holds the open flows and the answers so far at one time of a run.
 	Sample struct {
 		Second   float64 `json:"second"`
 		Flows    int     `json:"flows"`
@@ -80,7 +81,8 @@
 	}
 )
 
-// Run puts load on the entries until the time is over.
+// Run generates load for the configured time and waits for the last flows and
+// requests to end.
 func Run(ctx context.Context, c Config) (Report, error) {
 	g, err := newGenerator(c)
 	if g != nil {
@@ -183,8 +185,7 @@
 	return report, ctx.Err()
 }
 
-// share returns the part of the load that a class gets: by the mix where one
-// is set, else equal parts among the classes of its kind.
+// share returns the class's share of the load of its kind.
 func (g *generator) share(class intent.Class) float64 {
 	sum := 0.0
 	for _, c := range g.classes {
@@ -198,6 +199,7 @@
 	return g.weight(class) / sum
 }
 
+// weight returns the weight of a class in the mix, or 1 without a mix.
 func (g *generator) weight(c intent.Class) float64 {
 	if len(g.config.Mix) == 0 {
 		return 1
@@ -205,8 +207,7 @@
 	return g.config.Mix[c.Name]
 }
 
-// generate starts one thing after the other at a rate, whether the earlier ones
-// are done or not.
+// generate calls start at the given rate, each time in a new goroutine.
 func (g *generator) generate(ctx context.Context, perSecond float64, start func()) {
 	if perSecond <= 0 {
 		return
@@ -225,7 +226,8 @@
 	g.callers.Request(ctx, standin.RequestConfig{Class: class.Name, To: class.Address, Once: !class.Repeatable, Deadline: g.config.Deadline})
 }
 
-// imbalance returns the highest flows of an endpoint over the mean, by service.
+// imbalance returns, by service, the highest number of flows of an endpoint divided by
+// the mean.
 func (g *generator) imbalance() map[string]float64 {
 	ratios := map[string]float64{}
 	for service, backends := range g.backends {
@@ -241,14 +243,14 @@
 	return ratios
 }
 
-// Summarise returns the percentiles of a histogram of microseconds.
+// Summarise summarizes a histogram of microseconds.
 func Summarise(h *hdrhistogram.Histogram) Latency {
 	const perMillisecond = 1000.0
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / perMillisecond }
 	return Latency{Count: h.TotalCount(), P50: at(50), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / perMillisecond}
 }
 
-// Plot draws flows held and answers a second into a PNG file.
+// Plot writes a PNG file with the open flows and the answers per second over time.
 func (r Report) Plot(path string) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "load", "second", "count"
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -1,7 +1,7 @@
-// Package peer follows which other entries can be heard, by the probes they
-// send one another. It grants nothing: membership and leases are the
-// controller's. It tells whom to ask, and whether a failure domain is cut off
-// as a whole and must serve by itself. It has no input or output.
+// Package peer tracks which other entries are reachable, by the probes that entries
+// send to each other, and detects whether this failure domain is partitioned from the
+// others. Membership and leases are decided by the controller, not here. It does no
+// I/O.
 package peer
 
 import (
@@ -12,22 +12,24 @@
 )
 
 type (
-	// Config sets the times of the tracker.
+	// Config configures a Tracker.
 	Config struct {
 		Self     string
 		Domain   string
-		HeardFor time.Duration // a peer is reachable this long after a probe
-		// IslandAfter is how long after its leases ran out a domain serves by
-		// itself: by then every entry elsewhere knows of the cut or has no lease.
+		HeardFor time.Duration // how long a peer counts as reachable after a probe
+		// IslandAfter is the time from the end of the lease until the failure domain
+		// counts as isolated. By then every entry elsewhere knows of the partition or
+		// has lost its lease.
 		IslandAfter time.Duration
 	}
 
+	// peerState is the last probe of a peer.
 	peerState struct {
 		lastProbe time.Time
 		leased    bool
 	}
 
-	// Tracker holds what was heard last. One goroutine uses it.
+	// Tracker holds the last probe of each peer. It is not safe for concurrent use.
 	Tracker struct {
 		config                Config
 		peers                 map[string]peerState
@@ -36,18 +38,18 @@
 	}
 )
 
-// New returns a tracker that has heard nobody.
+// New returns a tracker that has received no probes.
 func New(c Config) *Tracker {
 	return &Tracker{config: c, peers: map[string]peerState{}, unlisted: map[string]bool{}}
 }
 
-// Heard notes a probe.
+// Heard records a probe of a peer. leased says whether the peer holds a lease.
 func (t *Tracker) Heard(now time.Time, name string, leased bool) {
 	t.peers[name] = peerState{now, leased}
 }
 
-// SetUnlisted takes the platform's list of instances that are no more. It may lag
-// and be wrong, so a peer that is heard counts as there whatever it says.
+// SetUnlisted sets the names of the instances that the platform no longer lists. As
+// the platform may be late or wrong, peers that send probes count as running anyway.
 func (t *Tracker) SetUnlisted(names []string) {
 	clear(t.unlisted)
 	for _, n := range names {
@@ -55,12 +57,12 @@
 	}
 }
 
-// Reachable returns the live entries that were heard lately, in order.
+// Reachable returns the sorted names of the members that sent a probe recently.
 func (t *Tracker) Reachable(now time.Time, table *route.Table) []string {
 	return t.filter(now, table, func(peerState) bool { return true })
 }
 
-// Leased returns those of them that said they hold a lease.
+// Leased returns the reachable members whose last probe reported a lease.
 func (t *Tracker) Leased(now time.Time, table *route.Table) []string {
 	return t.filter(now, table, func(h peerState) bool { return h.leased })
 }
@@ -76,8 +78,8 @@
 	return names
 }
 
-// Domains returns the failure domains that can be reached: the own one, and
-// those of which a live entry was heard lately.
+// Domains returns the reachable failure domains: this entry's own, and those with a
+// reachable member.
 func (t *Tracker) Domains(now time.Time, table *route.Table) []string {
 	domains := []string{t.config.Domain}
 	reachable := t.Reachable(now, table)
@@ -89,13 +91,13 @@
 	return domains
 }
 
-// Island reports whether this domain must serve by itself: the lease ran out
-// a while ago, and for as long no peer anywhere that can be heard held one,
-// and every other entry of the domain was heard or known to be gone. An entry
-// that is alone without knowing why serves nothing new: it may only be paused
-// or cut off, while the others go on. It is to be asked often: after a gap, as
-// a pause makes one, the time counts anew, since what is heard right after a
-// pause was said long before.
+// Island reports whether this failure domain is isolated and must serve without
+// leases: for Config.IslandAfter, this entry has had no lease, no reachable peer has
+// had one, and every other member of the failure domain has been reachable or unlisted
+// by the platform. A single entry without its domain's peers doesn't count as isolated,
+// as it may just be unreachable itself. Island has to be called more often than every
+// half Config.HeardFor: a longer gap means that the process was paused and may have
+// outdated probes, so the time starts again.
 func (t *Tracker) Island(now, leaseUntil time.Time, table *route.Table) bool {
 	paused := now.Sub(t.lastCheck) > t.config.HeardFor/2
 	t.lastCheck = now
@@ -109,7 +111,7 @@
 	return now.Sub(t.aloneSince) >= t.config.IslandAfter
 }
 
-// seemsIsolated reports whether the domain seems to be cut off as a whole right now.
+// seemsIsolated reports whether the conditions of Island hold at this moment.
 func (t *Tracker) seemsIsolated(now, leaseUntil time.Time, table *route.Table) bool {
 	if leaseUntil.IsZero() || now.Before(leaseUntil) || len(t.Leased(now, table)) > 0 {
 		return false
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,7 +21,8 @@
 	return New(Config{Self: "a1", Domain: "a", HeardFor: time.Second, IslandAfter: 800 * time.Millisecond})
 }
 
-// checkRepeatedly asks every 100 ms, as the control goroutine does, and hears a2 each time.
+// checkRepeatedly calls Island every 100 ms, each time after a probe from a2, and
+// returns the last time and result.
 func checkRepeatedly(t *Tracker, from time.Time, duration time.Duration, leased bool) (last time.Time, isolated bool) {
 	for now := from; now.Before(from.Add(duration)); now = now.Add(100 * time.Millisecond) {
 		t.Heard(now, "a2", leased)
@@ -46,16 +47,16 @@
 		now := time.Unix(100, 0).Add(time.Duration(n) * 100 * time.Millisecond)
 		isolated = tracker.Island(now, time.Unix(99, 0), newTable())
 	}
-	g.Expect(isolated).To(gomega.BeFalse(), "it may be the one that is cut off")
+	g.Expect(isolated).To(gomega.BeFalse(), "it may be the unreachable one itself")
 	tracker.SetUnlisted([]string{"a2"})
 	for n := range 30 {
 		now := time.Unix(104, 0).Add(time.Duration(n) * 100 * time.Millisecond)
 		isolated = tracker.Island(now, time.Unix(99, 0), newTable())
 	}
-	g.Expect(isolated).To(gomega.BeTrue(), "the platform says that nobody else is there")
+	g.Expect(isolated).To(gomega.BeTrue(), "the platform no longer lists the other entry")
 }
 
-// What is heard right after a pause was said long before.
+// Probes read right after a pause of the process may have been sent long before.
 func TestPauseRestartsIsolationDelay(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tracker := newTracker()
