--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -184,12 +184,12 @@
 func sendFromWork(o work.Output) Send {
 	switch o.Kind {
 	case work.ToBackend:
-		return Send{Target: ToBackend, Endpoint: o.Endpoint, Inner: o.Inner, Until: o.Until}
+		return Send{Target: ToBackend, Endpoint: o.Endpoint, Inner: o.Inner, Until: o.ExpiresAt}
 	case work.ToPeer:
 		return Send{Target: ToPeer, Peer: o.Peer, Message: o.Message}
 	case work.RelayRequest, work.RelayAnswer:
 		return Send{Target: ToPeer, Peer: o.Peer, Inner: o.Inner, Relay: o.Relay, Relayed: true}
 	default:
-		return Send{Target: ToFabric, Inner: o.Inner, Until: o.Until}
+		return Send{Target: ToFabric, Inner: o.Inner, Until: o.ExpiresAt}
 	}
 }
--- a/internal/instance/budget.go
+++ b/internal/instance/budget.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// callOverheadBytes is the size of the TCP, IP and DRPC headers of a message.
+	// callOverheadBytes estimates the TCP, IP and DRPC headers of a request or a reply.
 	callOverheadBytes = 180
 	// budgetWindow is the period over which processor time is measured.
 	budgetWindow = 2 * time.Second
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -16,9 +16,9 @@
 
 const (
 	controlTick       = 20 * time.Millisecond
-	callTimeout       = 600 * time.Millisecond
-	stopLogInterval   = 5 // heartbeats between log lines during a planned stop
-	minReportInterval = 4 // every so many heartbeats, counts are sent regardless of the budget
+	callTimeout       = 600 * time.Millisecond // of heartbeats and log messages
+	stopLogInterval   = 5                      // heartbeats between log lines during a planned stop
+	minReportInterval = 4                      // every so many heartbeats, counts are sent regardless of the budget
 )
 
 type (
@@ -38,15 +38,15 @@
 		calls          callQueue
 		results        chan heartbeatResult
 		loads          chan []*wire.EndpointLoad
-		unlisted       chan []string
-		inFlight       bool // a heartbeat call is in flight
+		unlisted       chan []string // names of instances that the platform doesn't list
+		inFlight       bool          // a heartbeat call is in flight
 		nextHeartbeat  time.Time
 		nextProbe      time.Time
 		failedAttempts int // heartbeats since the last reply of a leader; selects the next control instance
-		heartbeats     int
+		heartbeats     int // sent so far
 		lastLoads      []*wire.EndpointLoad
-		stopping       bool
-		handedOver     chan struct{}
+		stopping       bool          // a planned stop is in progress
+		handedOver     chan struct{} // closed at the end of a planned stop
 		wasLeased      bool
 		heapReadAt     time.Time
 		heapBytes      uint64
@@ -207,6 +207,8 @@
 	}
 }
 
+// handleReply applies the reply to a heartbeat. A reply of an instance that isn't the
+// leader may name the leader.
 func (c *controlLoop) handleReply(r heartbeatResult) {
 	now := c.instance.now()
 	c.inFlight = false
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -57,7 +57,7 @@
 		budget    *budget
 		stop      context.CancelFunc
 		done      chan struct{}
-		stopped   atomic.Bool
+		stopped   atomic.Bool // Stop was called
 	}
 )
 
--- a/internal/instance/leader.go
+++ b/internal/instance/leader.go
@@ -33,11 +33,11 @@
 		store    *storage.Store
 		replica  *replica.Replica
 		state    *control.State
-		ctl      *controller.Controller
+		ctl      *controller.Controller // nil unless this instance is the leader
 		calls    callQueue
-		waiters  map[uint64]waiter
-		outboxes map[string]chan *wire.LogMessage
-		snapshot struct {
+		waiters  map[uint64]waiter                // by log index
+		outboxes map[string]chan *wire.LogMessage // by receiving instance
+		snapshot struct {                         // the latest one
 			index uint64
 			data  []byte
 		}
--- a/internal/instance/traffic.go
+++ b/internal/instance/traffic.go
@@ -35,7 +35,7 @@
 	// trafficReport is published by the traffic goroutine at each tick.
 	trafficReport struct {
 		sweep           flow.SweepResult
-		backlog         uint64
+		backlog         uint64 // flow.Stats.PushBacklog
 		handoverPending bool
 		ownerships      string // summary for the log
 		flows           flow.Stats
@@ -53,8 +53,8 @@
 		packet    packet.Packet
 		peerNames map[netip.AddrPort]string
 		peerAddrs map[string]netip.AddrPort
-		probes    chan probe
-		queries   chan func(*entry.Core)
+		probes    chan probe             // received from peers
+		queries   chan func(*entry.Core) // run at the next tick
 		report    atomic.Pointer[trafficReport]
 		counters  trafficCounters
 	}
@@ -67,7 +67,7 @@
 		forwarded     metrics.Counter
 		relayed       metrics.Counter
 		unknownSender metrics.Counter
-		expired       metrics.Counter
+		expired       metrics.Counter // dropped because of entry.Send.Until
 		peerBytes     metrics.Counter
 	}
 )
@@ -209,6 +209,7 @@
 	}
 }
 
+// handlePeer passes probes to the control goroutine and other messages to the core.
 func (t *traffic) handlePeer(now time.Time, name string, data []byte) {
 	t.counters.peerBytes.Inc(int64(len(data)))
 	m := &wire.Peer{}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -59,7 +59,7 @@
 		Counts    standin.Counts     `json:"counts"`
 		Latencies map[string]Latency `json:"latencies"`
 		Imbalance map[string]float64 `json:"imbalance"`
-		Held      []Sample           `json:"held"`
+		Samples   []Sample           `json:"held"`
 		Reasons   map[string]int     `json:"reasons,omitempty"`
 	}
 
@@ -169,7 +169,7 @@
 		case <-ticker.C:
 			counts := g.ledger.Counts()
 			second := g.config.Now().Sub(start).Seconds()
-			report.Held = append(report.Held, Sample{second, counts.FlowsOpen, counts.Answered})
+			report.Samples = append(report.Samples, Sample{second, counts.FlowsOpen, counts.Answered})
 			fmt.Fprintf(g.config.Progress, "%4.0fs  flows held %d of %d  broken %d  requests %d answered %d not run %d unknown %d\n", second,
 				counts.FlowsOpen, counts.Flows, counts.BrokenPlanned+counts.BrokenUnplanned, counts.Requests, counts.Answered, counts.NotRun, counts.Unknown)
 			report.Imbalance = g.imbalance()
@@ -256,7 +256,7 @@
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = "load", "second", "count"
 	var flows, answered plotter.XYs
 	last := 0
-	for _, s := range r.Held {
+	for _, s := range r.Samples {
 		flows = append(flows, plotter.XY{X: s.Second, Y: float64(s.Flows)})
 		answered = append(answered, plotter.XY{X: s.Second, Y: float64(s.Answered - last)})
 		last = s.Answered
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -31,10 +31,10 @@
 
 	// Tracker holds the last probe of each peer. It is not safe for concurrent use.
 	Tracker struct {
-		config                Config
-		peers                 map[string]peerState
-		unlisted              map[string]bool
-		lastCheck, aloneSince time.Time
+		config                   Config
+		peers                    map[string]peerState
+		unlisted                 map[string]bool
+		lastCheck, isolatedSince time.Time
 	}
 )
 
@@ -70,8 +70,8 @@
 func (t *Tracker) filter(now time.Time, table *route.Table, keep func(peerState) bool) []string {
 	var names []string
 	for _, m := range table.Members() {
-		h, ok := t.peers[m.Name()]
-		if ok && m.Name() != t.config.Self && now.Sub(h.lastProbe) <= t.config.HeardFor && keep(h) {
+		p, ok := t.peers[m.Name()]
+		if ok && m.Name() != t.config.Self && now.Sub(p.lastProbe) <= t.config.HeardFor && keep(p) {
 			names = append(names, m.Name())
 		}
 	}
@@ -102,13 +102,13 @@
 	paused := now.Sub(t.lastCheck) > t.config.HeardFor/2
 	t.lastCheck = now
 	if paused || !t.seemsIsolated(now, leaseUntil, table) {
-		t.aloneSince = time.Time{}
+		t.isolatedSince = time.Time{}
 		return false
 	}
-	if t.aloneSince.IsZero() {
-		t.aloneSince = now
+	if t.isolatedSince.IsZero() {
+		t.isolatedSince = now
 	}
-	return now.Sub(t.aloneSince) >= t.config.IslandAfter
+	return now.Sub(t.isolatedSince) >= t.config.IslandAfter
 }
 
 // seemsIsolated reports whether the conditions of Island hold at this moment.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -39,6 +39,8 @@
 	g.Expect(isolated).To(gomega.BeFalse(), "a peer holds a lease, so the others go on")
 }
 
+// Guards against an entry that serves without a lease while the rest of its failure
+// domain still has one.
 func TestSingleSilentEntryIsNotIsolated(t *testing.T) {
 	g := gomega.NewWithT(t)
 	tracker := newTracker()
--- a/internal/work/engine.go
+++ b/internal/work/engine.go
@@ -297,7 +297,7 @@
 	}
 	out := Output{Kind: ToBackend, Endpoint: endpoint, Inner: inner}
 	if !r.repeatable() {
-		out.Until = e.view.LeaseUntil
+		out.ExpiresAt = e.view.LeaseUntil
 	}
 	e.out = append(e.out, out)
 }
--- a/internal/work/finish.go
+++ b/internal/work/finish.go
@@ -56,7 +56,7 @@
 	}
 	o := Output{Kind: ToCaller, Inner: inner}
 	if m.Code == codes.ServiceUnavailable && !e.view.Isolated {
-		o.Until = e.view.LeaseUntil
+		o.ExpiresAt = e.view.LeaseUntil
 	}
 	e.out = append(e.out, o)
 }
--- a/internal/work/overload_test.go
+++ b/internal/work/overload_test.go
@@ -44,15 +44,15 @@
 		seq           int
 		engine        *Engine
 		table         *route.Table
-		startedAt     map[uint64]time.Time
-		runs          map[uint64]int
-		running       map[uint32]int
-		waiting       map[uint32][]func()
-		latency       [2]*hdrhistogram.Histogram
-		answered      int
+		startedAt     map[uint64]time.Time       // by request number
+		runs          map[uint64]int             // by request number
+		running       map[uint32]int             // requests, by endpoint
+		waiting       map[uint32][]func()        // queue of a backend server, by endpoint
+		latency       [2]*hdrhistogram.Histogram // by class
+		answered      int                        // within the deadline
 		refused       int
 		unknown       int
-		overcommitted int
+		overcommitted int // requests sent to an endpoint without a free slot
 	}
 )
 
@@ -174,6 +174,7 @@
 	})
 }
 
+// deliver passes the engine's output to the simulated backend servers and callers.
 func (o *overloadSim) deliver() {
 	for _, out := range o.engine.TakeOutput() {
 		var d packet.Decoder
--- a/internal/work/owner.go
+++ b/internal/work/owner.go
@@ -40,15 +40,15 @@
 		transfers        map[transferKey]transfer
 		earlyPackets     []earlyPacket // packets that arrived while waiting
 		secondHolder     string
-		unconfirmed      map[route.FlowID]*request
-		holdQueue        []*request
-		unackedHolds     []*unackedHold // in the order of their sequence numbers
-		secondComplete   bool           // the second holder was told that it has all keys
-		handover         *outgoingHandover
-		handedOff        bool // the requests were given to another entry
-		formerSince      time.Time
-		interimOwner     string // an owner in between, asked for its handover only so that it can drop its ownership
-		nextWanted       time.Time
+		unconfirmed      map[route.FlowID]*request // whose keys the second holder hasn't confirmed
+		holdQueue        []*request                // whose keys haven't been sent to the second holder
+		unackedHolds     []*unackedHold            // in the order of their sequence numbers
+		secondComplete   bool                      // the second holder was told that it has all keys
+		handover         *outgoingHandover         // to a new owner, nil if none is in progress
+		handedOff        bool                      // the requests were given to another entry
+		formerSince      time.Time                 // when the phase changed from serving to former
+		interimOwner     string                    // an owner in between, asked for its handover only so that it can drop its ownership
+		nextWanted       time.Time                 // when to ask again for a handover
 	}
 
 	messageKey struct {
--- a/internal/work/request.go
+++ b/internal/work/request.go
@@ -19,7 +19,7 @@
 
 	// request is the owner's state of one request.
 	request struct {
-		id             route.FlowID
+		id             route.FlowID // hash of the tuple and the token
 		key            messageKey
 		class          *route.Class
 		tuple          packet.Tuple
@@ -27,12 +27,12 @@
 		state          State
 		received       time.Time
 		deadline       time.Time
-		expires        time.Time
-		keyHeld        bool // by the second holder, or it isn't needed
-		mayHaveRun     bool // an attempt was abandoned without an answer
-		pinnedEndpoint uint32
+		expires        time.Time // when the request is forgotten
+		keyHeld        bool      // by the second holder, or it isn't needed
+		mayHaveRun     bool      // an attempt was abandoned without an answer
+		pinnedEndpoint uint32    // that serves the block-wise transfer, or 0
 		attempts       []attempt
-		answer         *Message
+		answer         *Message // the final answer
 	}
 )
 
--- a/internal/work/rules_test.go
+++ b/internal/work/rules_test.go
@@ -118,7 +118,7 @@
 	owner.HandlePeer(o.now, second.TakeOutput()[0].Message)
 	for _, out := range owner.TakeOutput() {
 		if out.Kind == ToBackend {
-			g.Expect(out.Until).To(gomega.Equal(o.now.Add(time.Second)))
+			g.Expect(out.ExpiresAt).To(gomega.Equal(o.now.Add(time.Second)))
 		}
 	}
 }
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -56,9 +56,9 @@
 		Message  *wire.Peer      // for ToPeer
 		Inner    []byte          // the packet, unless Message is set
 		Relay    packet.Relay    // for RelayRequest and RelayAnswer
-		// Until is the time after which the output must not be sent, because the
+		// ExpiresAt is the time after which the output must not be sent, because the
 		// process may have been paused since the decision. Zero means no limit.
-		Until time.Time
+		ExpiresAt time.Time
 	}
 
 	// Event is one state transition of a request.
@@ -102,34 +102,34 @@
 
 	// Stats holds the engine's gauges and counters.
 	Stats struct {
-		States                                                    [stateCount]uint64
-		Requests, Queued, StoredKeys                              int
-		Duplicates, LateAnswers, Retries, Shed, Overflow          uint64
-		NoLease                                                   uint64
-		Holds, HoldBytes, Broken, Takeovers, TakeoversWithoutKeys uint64
+		States                                                    [stateCount]uint64 // transitions by new state
+		Requests, Queued, StoredKeys                              int                // gauges; StoredKeys as second holder
+		Duplicates, LateAnswers, Retries, Shed, Overflow          uint64             // Overflow counts messages dropped for lack of room
+		NoLease                                                   uint64             // packets dropped without a lease
+		Holds, HoldBytes, Broken, Takeovers, TakeoversWithoutKeys uint64             // Broken counts violated invariants
 	}
 )
 
 // Causes of a state transition.
 const (
 	Arrived Cause = iota
-	KeyHeld
+	KeyHeld       // by the second holder
 	SlotGranted
 	BackendAnswered
 	BackendRefused
 	DeadlinePassed
 	CannotMeetDeadline
 	QueueFull
-	TableFull
-	Displaced
+	TableFull // the second holder can't store more keys
+	Displaced // by a request of higher priority
 	NoEndpoint
 	NoRetryLeft
 	CallerCancelled
-	OwnerLost
-	BothHoldersLost
-	CutOff
+	OwnerLost       // an earlier owner may have run it
+	BothHoldersLost // as OwnerLost, and the keys of its requests are lost
+	CutOff          // this failure domain is isolated
 	BadMessage
-	AnswerGone
+	AnswerGone // the block-wise transfer isn't known any more
 	HandedOver
 	LeaseLost
 	causeCount
