--- a/internal/work/finish.go
+++ b/internal/work/finish.go
@@ -151,7 +151,8 @@
 	}
 }
 
-// expire forgets requests and transfers that have expired.
+// expire forgets requests and transfers that have expired. Above maxTransfers, arbitrary
+// transfers are forgotten too.
 func (o *ownership) expire(now time.Time) {
 	for len(o.expiry) > 0 && now.After(o.expiry[0].expires) {
 		r := o.expiry[0]
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -104,7 +104,7 @@
 	Stats struct {
 		States                                                    [stateCount]uint64 // transitions by new state
 		Requests, Queued, StoredKeys                              int                // gauges; StoredKeys as second holder
-		Duplicates, LateAnswers, Retries, Shed, Overflow          uint64             // Overflow counts messages dropped for lack of room
+		Duplicates, LateAnswers, Retries, Shed, Overflow          uint64             // Overflow counts packets dropped at a limit
 		NoLease                                                   uint64             // packets dropped without a lease
 		Holds, HoldBytes, Broken, Takeovers, TakeoversWithoutKeys uint64             // Broken counts violated invariants
 	}
