--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -1,6 +1,6 @@
-// Package entry joins the decisions on flows and on work into what one entry
-// does with a packet. It has no input or output: packets and the time go in,
-// what is to be sent comes out. One goroutine uses a Core.
+// Package entry combines the engines for flows and for requests into the packet
+// processing of one entry. It does no I/O: packets and the current time are arguments,
+// and the packets to send are results. A Core must not be used concurrently.
 package entry
 
 import (
@@ -14,40 +14,39 @@
 	"oxbowsaddle/internal/work"
 )
 
-// Where a Send goes.
+// Targets of a Send.
 const (
-	ToFabric  Target = iota // an answer for a caller
+	ToFabric  Target = iota // to the fabric, for a caller
 	ToBackend               // to an endpoint
 	ToPeer                  // to another entry
 )
 
 type (
-	// Target says where a Send goes.
+	// Target is the kind of receiver of a Send.
 	Target uint8
 
-	// Send is one datagram to be sent. Inner may point into the buffer of the
-	// packet that was taken last.
+	// Send is a datagram to send. Inner may alias the buffer of the last packet passed
+	// to Take.
 	Send struct {
 		Target   Target
-		Endpoint *route.Endpoint
-		Peer     string
-		Inner    []byte       // the inner packet
-		Relay    packet.Relay // of a relayed packet
+		Endpoint *route.Endpoint // for ToBackend
+		Peer     string          // for ToPeer
+		Inner    []byte          // the inner packet, unless Message is set
+		Relay    packet.Relay    // if Relayed
 		Relayed  bool
-		Message  *wire.Peer // instead of a packet
-		Until    time.Time  // it must not be sent later than this; zero is no bound
+		Message  *wire.Peer // a message instead of a packet
+		Until    time.Time  // must not be sent at or after this time; zero means no limit
 	}
 
-	// Config is what a Core is made from. The functions are told of each
-	// decision, for counters, explanations and traces; they may be nil.
+	// Config configures a Core. OnFlow and OnWork may be nil.
 	Config struct {
 		Flow   flow.Config
 		Work   work.Config
-		OnFlow func(now time.Time, v flow.Verdict, p *packet.Packet, answer bool)
-		OnWork func(now time.Time, e work.Event)
+		OnFlow func(now time.Time, v flow.Verdict, p *packet.Packet, answer bool) // called for each verdict
+		OnWork func(now time.Time, e work.Event)                                  // called for each event
 	}
 
-	// Core decides for one entry.
+	// Core processes the packets of one entry.
 	Core struct {
 		config Config
 		view   *flow.View
@@ -57,7 +56,7 @@
 	}
 )
 
-// New returns a core that knows nothing.
+// New returns a core with an empty table.
 func New(c Config, now time.Time) *Core {
 	if c.OnFlow == nil {
 		c.OnFlow = func(time.Time, flow.Verdict, *packet.Packet, bool) {}
@@ -68,13 +67,13 @@
 	return &Core{config: c, view: &flow.View{Table: route.Empty()}, flow: flow.New(c.Flow, now), work: work.New(c.Work)}
 }
 
-// Flow returns the engine for flows, to be read.
+// Flow returns the engine for flows, for reading only.
 func (c *Core) Flow() *flow.Engine { return c.flow }
 
-// Work returns the engine for work, to be read.
+// Work returns the engine for requests, for reading only.
 func (c *Core) Work() *work.Engine { return c.work }
 
-// SetView takes a new view.
+// SetView applies a new view.
 func (c *Core) SetView(now time.Time, v *flow.View) {
 	if v == c.view {
 		return
@@ -82,61 +81,62 @@
 	c.view = v
 	c.flow.SetView(v)
 	c.work.SetView(now, &work.View{
-		Table: v.Table, Steps: v.MembershipTables, LeaseUntil: v.LeaseUntil,
-		Island: v.Isolated, Reachable: v.Reachable, Domains: v.ReachableDomains,
+		Table: v.Table, MembershipTables: v.MembershipTables, LeaseUntil: v.LeaseUntil,
+		Isolated: v.Isolated, Reachable: v.Reachable, ReachableDomains: v.ReachableDomains,
 	})
 }
 
-// TakeSends returns what is to be sent and forgets it; valid until the next call.
+// TakeSends returns and clears the pending datagrams, which are valid until the next
+// call.
 func (c *Core) TakeSends(now time.Time) []Send {
-	c.collect(now)
+	c.collectOutput(now)
 	sends := c.sends
 	c.sends = c.sends[:0]
 	return sends
 }
 
-// Tick does what is due.
+// Tick runs the timers of the engines.
 func (c *Core) Tick(now time.Time) {
 	c.flow.Tick(now)
 	c.work.Tick(now)
 }
 
-// TakePeer takes a message from another entry.
+// TakePeer processes a message from another entry.
 func (c *Core) TakePeer(now time.Time, m *wire.Peer) {
 	c.flow.HandlePeer(now, m)
-	c.work.Peer(now, m)
+	c.work.HandlePeer(now, m)
 }
 
-// Take takes a packet from the fabric, a backend server or another entry.
+// Take processes a packet from the fabric, a backend server or another entry.
 func (c *Core) Take(now time.Time, from netip.AddrPort, p *packet.Packet) {
 	tuple := p.Tuple()
 	table := c.view.Table
 	if service, class := table.Lookup(route.ServiceKey{Addr: tuple.Dst(), Transport: tuple.Transport()}); service != nil {
-		c.inbound(now, service, class, p)
+		c.handleInbound(now, service, class, p)
 		return
 	}
 	service, class := table.Lookup(route.ServiceKey{Addr: tuple.Src(), Transport: tuple.Transport()})
 	switch {
 	case service == nil:
-		c.config.OnFlow(now, c.flow.Inbound(now, p), p, false) // counted there as unknown
+		c.config.OnFlow(now, c.flow.Inbound(now, p), p, false) // counted as UnknownService
 	case class.Work:
-		c.work.Answer(now, from, service, p)
+		c.work.HandleAnswer(now, from, service, p)
 	default:
-		c.answer(now, from, p)
+		c.handleAnswer(now, from, p)
 	}
 }
 
-func (c *Core) inbound(now time.Time, service *route.Service, class *route.Class, p *packet.Packet) {
+func (c *Core) handleInbound(now time.Time, service *route.Service, class *route.Class, p *packet.Packet) {
 	if class.Work {
-		c.work.Request(now, service, class, p)
+		c.work.HandleRequest(now, service, class, p)
 		return
 	}
 	v := c.flow.Inbound(now, p)
 	c.config.OnFlow(now, v, p, false)
-	c.carryOut(v, p)
+	c.applyVerdict(v, p)
 }
 
-func (c *Core) answer(now time.Time, from netip.AddrPort, p *packet.Packet) {
+func (c *Core) handleAnswer(now time.Time, from netip.AddrPort, p *packet.Packet) {
 	v := c.flow.Answer(now, from, p)
 	c.config.OnFlow(now, v, p, true)
 	switch v.Action() {
@@ -148,8 +148,8 @@
 	}
 }
 
-// carryOut turns a verdict on a caller's packet into what is sent.
-func (c *Core) carryOut(v flow.Verdict, p *packet.Packet) {
+// applyVerdict queues what the verdict on a caller's packet says to send.
+func (c *Core) applyVerdict(v flow.Verdict, p *packet.Packet) {
 	switch v.Action() {
 	case flow.Forward:
 		c.sends = append(c.sends, Send{Target: ToBackend, Endpoint: v.Endpoint(), Inner: p.Inner()})
@@ -159,37 +159,37 @@
 		if reset, err := packet.BuildReset(p); err == nil {
 			c.sends = append(c.sends, Send{Target: ToFabric, Inner: reset})
 		}
-	default: // dropped and counted, or kept by the engine
+	default: // dropped and counted, or held back by the engine
 	}
 }
 
-// collect adds what the engines want sent beside the packet at hand.
-func (c *Core) collect(now time.Time) {
+// collectOutput queues the engines' pending output.
+func (c *Core) collectOutput(now time.Time) {
 	for _, o := range c.flow.TakeOutput() {
 		if o.Message != nil {
 			c.sends = append(c.sends, Send{Target: ToPeer, Peer: o.Peer, Message: o.Message})
 			continue
 		}
 		c.config.OnFlow(now, o.Verdict, o.Packet, false)
-		c.carryOut(o.Verdict, o.Packet)
+		c.applyVerdict(o.Verdict, o.Packet)
 	}
-	for _, o := range c.work.TakeOut() {
-		c.sends = append(c.sends, workSend(o))
+	for _, o := range c.work.TakeOutput() {
+		c.sends = append(c.sends, sendFromWork(o))
 	}
 	for _, e := range c.work.TakeEvents() {
 		c.config.OnWork(now, e)
 	}
 }
 
-func workSend(o work.Out) Send {
+func sendFromWork(o work.Output) Send {
 	switch o.Kind {
 	case work.ToBackend:
-		return Send{Target: ToBackend, Endpoint: o.Endpoint, Inner: o.Inner, Until: o.Until}
+		return Send{Target: ToBackend, Endpoint: o.Endpoint, Inner: o.Inner, Until: o.ExpiresAt}
 	case work.ToPeer:
 		return Send{Target: ToPeer, Peer: o.Peer, Message: o.Message}
 	case work.RelayRequest, work.RelayAnswer:
 		return Send{Target: ToPeer, Peer: o.Peer, Inner: o.Inner, Relay: o.Relay, Relayed: true}
 	default:
-		return Send{Target: ToFabric, Inner: o.Inner, Until: o.Until}
+		return Send{Target: ToFabric, Inner: o.Inner, Until: o.ExpiresAt}
 	}
 }
--- a/internal/instance/stop_test.go
+++ b/internal/instance/stop_test.go
@@ -10,11 +10,11 @@
 	"oxbowsaddle/internal/fault"
 )
 
-// A planned stop that may not wait ends the instance all the same, and says
-// that not everything was handed over.
-func TestStopThatCannotWaitSaysSo(t *testing.T) {
+// Guards against a stop that hangs, or hides an unfinished handover, when its context
+// ends.
+func TestStopReportsUnfinishedHandover(t *testing.T) {
 	g := gomega.NewWithT(t)
-	i := oneEntry(t, netip.MustParseAddrPort("127.0.0.1:9"))
+	i := startEntry(t, netip.MustParseAddrPort("127.0.0.1:9"))
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	err := i.Stop(ctx)
--- a/internal/instance/tls_test.go
+++ b/internal/instance/tls_test.go
@@ -23,7 +23,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// authority makes certificates for tests.
+// authority is a certificate authority for tests.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -73,7 +73,7 @@
 	}
 }
 
-// issue makes a certificate for loopback and returns the settings for it.
+// issue issues a certificate for loopback and returns the settings that use it.
 func (a *authority) issue(name string) settings.TLS {
 	a.sign(&x509.Certificate{
 		SerialNumber: big.NewInt(2), Subject: pkix.Name{CommonName: name}, NotAfter: time.Now().Add(time.Hour),
@@ -84,15 +84,15 @@
 	return settings.TLS{Certificate: file(name + ".pem"), Key: file(name + ".key"), Authority: file("authority.pem")}
 }
 
-// Only those with a certificate of the fleet's authority may speak to control.
-func TestControlNeedsACertificate(t *testing.T) {
+// Guards against clients without a certificate of the configured authority.
+func TestControlRequiresCertificate(t *testing.T) {
 	g := gomega.NewWithT(t)
 	ours, theirs := newAuthority(t, "ours"), newAuthority(t, "theirs")
 	s := settings.Default()
 	s.HashKey = "000102030405060708090a0b0c0d0e0f"
-	s.Fabric = loopback(t, "udp")
+	s.Fabric = freeAddr(t, "udp")
 	s.TLS = ours.issue("one")
-	s.Instances = []settings.Instance{{Name: "one", Domain: "d", Packets: loopback(t, "udp"), Control: loopback(t, "tcp"), Data: filepath.Join(t.TempDir(), "one")}}
+	s.Instances = []settings.Instance{{Name: "one", Domain: "d", Packets: freeAddr(t, "udp"), Control: freeAddr(t, "tcp"), Data: filepath.Join(t.TempDir(), "one")}}
 	logger, err := telemetry.NewLogger(io.Discard, "error", "one")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	i, err := New(Config{Settings: s, Name: "one", Log: logger, Now: time.Now})
--- a/internal/instance/traffic_bench_test.go
+++ b/internal/instance/traffic_bench_test.go
@@ -22,8 +22,8 @@
 
 const benchFlows = 256
 
-// loopback is an address of a port that is free now.
-func loopback(tb testing.TB, network string) netip.AddrPort {
+// freeAddr returns a loopback address with a free port.
+func freeAddr(tb testing.TB, network string) netip.AddrPort {
 	tb.Helper()
 	addr, err := standin.FreeAddr(network)
 	if err != nil {
@@ -32,14 +32,14 @@
 	return addr
 }
 
-// oneEntry runs one entry that is its own control instance, with one endpoint.
-func oneEntry(tb testing.TB, endpoint netip.AddrPort) *Instance {
+// startEntry runs one instance that is its own control instance, with one endpoint.
+func startEntry(tb testing.TB, endpoint netip.AddrPort) *Instance {
 	tb.Helper()
 	s := settings.Default()
 	s.HashKey = "000102030405060708090a0b0c0d0e0f"
-	s.Fabric = loopback(tb, "udp")
+	s.Fabric = freeAddr(tb, "udp")
 	s.Instances = []settings.Instance{{
-		Name: "one", Domain: "d", Packets: loopback(tb, "udp"), Control: loopback(tb, "tcp"), Data: filepath.Join(tb.TempDir(), "one"),
+		Name: "one", Domain: "d", Packets: freeAddr(tb, "udp"), Control: freeAddr(tb, "tcp"), Data: filepath.Join(tb.TempDir(), "one"),
 	}}
 	logger, err := telemetry.NewLogger(io.Discard, "error", "one")
 	if err != nil {
@@ -51,11 +51,12 @@
 	}
 	go func() { _ = i.Run(context.Background()) }()
 	tb.Cleanup(i.Kill)
-	accept(tb, s, endpoint)
+	submitConfig(tb, s, endpoint)
 	return i
 }
 
-func accept(tb testing.TB, s settings.Settings, endpoint netip.AddrPort) {
+// submitConfig submits a service with one endpoint until it is accepted and in effect.
+func submitConfig(tb testing.TB, s settings.Settings, endpoint netip.AddrPort) {
 	tb.Helper()
 	service := fmt.Sprintf(`{"classes":[{"name":"c","address":"192.0.2.1:443","protocol":"tcp","kind":"flow"}],`+
 		`"endpoints":[{"name":"b","address":%q,"domain":"d","slots":1,"connections":100000}]}`, endpoint)
@@ -76,11 +77,12 @@
 		}
 		time.Sleep(50 * time.Millisecond)
 	}
-	tb.Fatal("the entry did not come up")
+	tb.Fatal("the entry did not get ready in time")
 }
 
-// sender sends batches of data segments of several flows as fast as it can.
-func sender(tb testing.TB, to netip.AddrPort) (send func(), stop func()) {
+// startSender returns a function that sends a batch of TCP segments of several flows,
+// and one that closes the socket.
+func startSender(tb testing.TB, to netip.AddrPort) (send func(), stop func()) {
 	tb.Helper()
 	conn, err := net.ListenUDP("udp", net.UDPAddrFromAddrPort(netip.MustParseAddrPort("127.0.0.1:0")))
 	if err != nil {
@@ -106,8 +108,8 @@
 	return func() { _, _ = p.WriteBatch(messages, 0) }, func() { _ = conn.Close() }
 }
 
-// receiver counts what arrives.
-func receiver(tb testing.TB) (netip.AddrPort, *atomic.Int64) {
+// startReceiver returns the address of a socket and the count of datagrams received.
+func startReceiver(tb testing.TB) (netip.AddrPort, *atomic.Int64) {
 	tb.Helper()
 	b, err := newBatchConn(netip.MustParseAddrPort("127.0.0.1:0"), 4<<20)
 	if err != nil {
@@ -127,9 +129,9 @@
 	return netip.MustParseAddrPort(b.udp.LocalAddr().String()), &count
 }
 
-// echo reads and writes the same batches as an entry and decides nothing: what
-// the sockets alone carry.
-func echo(tb testing.TB, to netip.AddrPort) netip.AddrPort {
+// startEcho forwards batches like an entry but without any processing, to measure the
+// sockets alone.
+func startEcho(tb testing.TB, to netip.AddrPort) netip.AddrPort {
 	tb.Helper()
 	b, err := newBatchConn(netip.MustParseAddrPort("127.0.0.1:0"), 4<<20)
 	if err != nil {
@@ -143,7 +145,7 @@
 				return
 			}
 			for n := range messages {
-				_ = b.queue(append(b.next(), messages[n].Buffers[0][:messages[n].N]...), to)
+				_ = b.enqueue(append(b.nextBuffer(), messages[n].Buffers[0][:messages[n].N]...), to)
 			}
 			_ = b.flush()
 		}
@@ -151,12 +153,12 @@
 	return netip.MustParseAddrPort(b.udp.LocalAddr().String())
 }
 
-// BenchmarkLoopback carries packets through one entry, and through sockets
-// alone in the same run: packets a second at the receiver.
+// BenchmarkLoopback reports the packets per second through one entry, and through
+// sockets alone for comparison.
 func BenchmarkLoopback(b *testing.B) {
 	const seconds = 2
 	measure := func(b *testing.B, to netip.AddrPort, count *atomic.Int64) {
-		send, stop := sender(b, to)
+		send, stop := startSender(b, to)
 		defer stop()
 		for b.Loop() {
 			before, began := count.Load(), time.Now()
@@ -167,12 +169,12 @@
 		}
 	}
 	b.Run("sockets alone", func(b *testing.B) {
-		at, count := receiver(b)
-		measure(b, echo(b, at), count)
+		at, count := startReceiver(b)
+		measure(b, startEcho(b, at), count)
 	})
 	b.Run("one entry", func(b *testing.B) {
-		at, count := receiver(b)
-		i := oneEntry(b, at)
+		at, count := startReceiver(b)
+		i := startEntry(b, at)
 		measure(b, i.self.Packets, count)
 	})
 }
