--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -28,14 +28,14 @@
 	// Send is a datagram to send. Inner may alias the buffer of the last packet passed
 	// to Take.
 	Send struct {
-		Target   Target
-		Endpoint *route.Endpoint // for ToBackend
-		Peer     string          // for ToPeer
-		Inner    []byte          // the inner packet, unless Message is set
-		Relay    packet.Relay    // if Relayed
-		Relayed  bool
-		Message  *wire.Peer // a message instead of a packet
-		Until    time.Time  // must not be sent at or after this time; zero means no limit
+		Target    Target
+		Endpoint  *route.Endpoint // for ToBackend
+		Peer      string          // for ToPeer
+		Inner     []byte          // the inner packet, unless Message is set
+		Relay     packet.Relay    // if Relayed
+		Relayed   bool
+		Message   *wire.Peer // a message instead of a packet
+		ExpiresAt time.Time  // must not be sent at or after this time; zero means no limit
 	}
 
 	// Config configures a Core. OnFlow and OnWork may be nil.
@@ -101,14 +101,14 @@
 	c.work.Tick(now)
 }
 
-// TakePeer processes a message from another entry.
-func (c *Core) TakePeer(now time.Time, m *wire.Peer) {
+// HandlePeer processes a message from another entry.
+func (c *Core) HandlePeer(now time.Time, m *wire.Peer) {
 	c.flow.HandlePeer(now, m)
 	c.work.HandlePeer(now, m)
 }
 
-// Take processes a packet from the fabric, a backend server or another entry.
-func (c *Core) Take(now time.Time, from netip.AddrPort, p *packet.Packet) {
+// HandlePacket processes a packet from the fabric, a backend server or another entry.
+func (c *Core) HandlePacket(now time.Time, from netip.AddrPort, p *packet.Packet) {
 	tuple := p.Tuple()
 	table := c.view.Table
 	if service, class := table.Lookup(route.ServiceKey{Addr: tuple.Dst(), Transport: tuple.Transport()}); service != nil {
@@ -184,12 +184,12 @@
 func sendFromWork(o work.Output) Send {
 	switch o.Kind {
 	case work.ToBackend:
-		return Send{Target: ToBackend, Endpoint: o.Endpoint, Inner: o.Inner, Until: o.ExpiresAt}
+		return Send{Target: ToBackend, Endpoint: o.Endpoint, Inner: o.Inner, ExpiresAt: o.ExpiresAt}
 	case work.ToPeer:
 		return Send{Target: ToPeer, Peer: o.Peer, Message: o.Message}
 	case work.RelayRequest, work.RelayAnswer:
 		return Send{Target: ToPeer, Peer: o.Peer, Inner: o.Inner, Relay: o.Relay, Relayed: true}
 	default:
-		return Send{Target: ToFabric, Inner: o.Inner, Until: o.ExpiresAt}
+		return Send{Target: ToFabric, Inner: o.Inner, ExpiresAt: o.ExpiresAt}
 	}
 }
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -50,7 +50,7 @@
 	if r := d.DecodeInner(inner, p); r != packet.Decoded {
 		t.Fatal(r)
 	}
-	c.Take(start, from, p)
+	c.HandlePacket(start, from, p)
 	return c.TakeSends(start), inner
 }
 
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -60,7 +60,7 @@
 		instance: i, incarnation: incarnation,
 		core: member.New(member.Config{
 			Name: i.self.Name, Domain: i.self.Domain, Incarnation: incarnation,
-			Peers: peer.Config{Self: i.self.Name, Domain: i.self.Domain, HeardFor: t.HeardFor.Std(), IslandAfter: t.IslandAfter.Std()},
+			Peers: peer.Config{Self: i.self.Name, Domain: i.self.Domain, ProbeTimeout: t.HeardFor.Std(), IsolationDelay: t.IslandAfter.Std()},
 		}),
 		calls: make(callQueue, queue), results: make(chan heartbeatResult, 1),
 		loads: make(chan []*wire.EndpointLoad, 1), unlisted: make(chan []string, 1), handedOver: make(chan struct{}),
@@ -84,7 +84,7 @@
 		case names := <-c.unlisted:
 			c.core.Peers().SetUnlisted(names)
 		case p := <-c.instance.traffic.probes:
-			c.core.Peers().Heard(c.instance.now(), p.from, p.leased)
+			c.core.Peers().RecordProbe(c.instance.now(), p.from, p.leased)
 		case <-ticker.C:
 		}
 		start := c.instance.now()
--- a/internal/instance/server.go
+++ b/internal/instance/server.go
@@ -305,7 +305,7 @@
 		"packets_waiting": r.flows.Waiting, "push_backlog": int(r.flows.PushBacklog), "requests_held": r.work.Requests,
 		"requests_queued": r.work.Queued, "request_keys_kept": r.work.StoredKeys, "flow_table_full": int(r.flows.TableFull),
 		"push_bytes": int(r.flows.PushBytes), "hold_bytes": int(r.work.HoldBytes),
-		"broken_rules": int(r.flows.InvariantViolations + r.work.Broken), "requests_late_answers": int(r.work.LateAnswers),
+		"broken_rules": int(r.flows.InvariantViolations + r.work.InvariantViolations), "requests_late_answers": int(r.work.LateAnswers),
 		"requests_duplicate": int(r.work.Duplicates), "requests_retried": int(r.work.Retries), "requests_shed": int(r.work.Shed),
 	} {
 		i.counters.Gauge(name).Update(int64(value))
--- a/internal/instance/traffic.go
+++ b/internal/instance/traffic.go
@@ -127,8 +127,8 @@
 		},
 		Work: work.Config{
 			Self: i.self.Name, Domain: i.self.Domain, Incarnation: incarnation, Hasher: hasher,
-			Requests: s.Limits.Requests, HeldKeys: s.Limits.HeldAtPeer, HoldRetry: s.Times.AskTimeout.Std(),
-			RetryFloor: float64(s.Limits.RetryFloor), Linger: 2 * s.Times.Lease.Std(),
+			MaxRequests: s.Limits.Requests, MaxHeldKeys: s.Limits.HeldAtPeer, HoldRetryInterval: s.Times.AskTimeout.Std(),
+			MinRetriesPerSecond: float64(s.Limits.RetryFloor), MaxPacketDelay: 2 * s.Times.Lease.Std(),
 		},
 		OnFlow: t.onFlow,
 		OnWork: t.onWork,
@@ -177,7 +177,7 @@
 	}
 	stats := t.core.Flow().Stats()
 	t.report.Store(&trafficReport{
-		sweep: t.core.Flow().LastSweep(), backlog: stats.PushBacklog, handoverPending: t.core.Work().Handing(now), ownerships: t.core.Work().DescribeOwnerships(),
+		sweep: t.core.Flow().LastSweep(), backlog: stats.PushBacklog, handoverPending: t.core.Work().HandoverPending(now), ownerships: t.core.Work().DescribeOwnerships(),
 		flows: stats, work: t.core.Work().Stats(),
 	})
 }
@@ -204,7 +204,7 @@
 	case t.packet.IsPeer() || relayed && !isPeer:
 		t.counters.unknownSender.Inc(1) // accepted from configured instances only
 	default:
-		t.core.Take(now, from, &t.packet)
+		t.core.HandlePacket(now, from, &t.packet)
 		t.queueOutput(now)
 	}
 }
@@ -224,7 +224,7 @@
 		}
 		return
 	}
-	t.core.TakePeer(now, m)
+	t.core.HandlePeer(now, m)
 	t.queueOutput(now)
 }
 
@@ -242,7 +242,7 @@
 }
 
 func (t *traffic) send(s entry.Send) {
-	if !s.Until.IsZero() && !t.instance.now().Before(s.Until) {
+	if !s.ExpiresAt.IsZero() && !t.instance.now().Before(s.ExpiresAt) {
 		t.counters.expired.Inc(1) // the process was paused since the decision
 		return
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -28,19 +28,19 @@
 type (
 	// Config configures a run.
 	Config struct {
-		Settings    settings.Settings
-		Objects     []intent.Object    // configuration with the services
-		Flows       float64            // new flows per second, over all flow classes
-		FlowLasts   time.Duration      // duration of a flow
-		FlowEvery   time.Duration      // interval between the packets of a flow
-		Requests    float64            // requests per second, over all work classes
-		Mix         map[string]float64 // relative load by class name; empty for equal shares
-		Deadline    time.Duration      // of a request
-		ServiceTime time.Duration      // of a request at a backend server
-		For         time.Duration      // of the run
-		Seed        uint64             // of the fabric
-		Progress    io.Writer          // receives a line per second
-		Now         func() time.Time
+		Settings       settings.Settings
+		Objects        []intent.Object    // configuration with the services
+		Flows          float64            // new flows per second, over all flow classes
+		FlowDuration   time.Duration      // duration of a flow
+		PacketInterval time.Duration      // interval between the packets of a flow
+		Requests       float64            // requests per second, over all work classes
+		Mix            map[string]float64 // relative load by class name; empty for equal shares
+		Deadline       time.Duration      // of a request
+		ServiceTime    time.Duration      // of a request at a backend server
+		Duration       time.Duration      // of the run
+		Seed           uint64             // of the fabric
+		Progress       io.Writer          // receives a line per second
+		Now            func() time.Time
 	}
 
 	// Latency summarizes latencies in milliseconds.
@@ -149,7 +149,7 @@
 }
 
 func (g *generator) run(ctx context.Context) (Report, error) {
-	loadCtx, stop := context.WithTimeout(ctx, g.config.For)
+	loadCtx, stop := context.WithTimeout(ctx, g.config.Duration)
 	defer stop()
 	for _, class := range g.classes {
 		share := g.share(class)
@@ -159,7 +159,7 @@
 			g.group.Go(func() { g.generate(loadCtx, g.config.Flows*share, func() { g.startFlow(ctx, class) }) })
 		}
 	}
-	report := Report{Seconds: g.config.For.Seconds(), Latencies: map[string]Latency{}}
+	report := Report{Seconds: g.config.Duration.Seconds(), Latencies: map[string]Latency{}}
 	start := g.config.Now()
 	ticker := time.NewTicker(time.Second)
 	defer ticker.Stop()
@@ -219,7 +219,7 @@
 }
 
 func (g *generator) startFlow(ctx context.Context, class intent.Class) {
-	g.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: g.config.FlowEvery, Lasts: g.config.FlowLasts})
+	g.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: g.config.PacketInterval, Lasts: g.config.FlowDuration})
 }
 
 func (g *generator) sendRequest(ctx context.Context, class intent.Class) {
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -224,15 +224,15 @@
 	}
 	lease := c.leaseUntil
 	reachable := c.peers.Reachable(now, table)
-	if now.Sub(c.firstViewAt) < c.config.Peers.HeardFor && len(reachable)+1 < len(table.Members()) {
+	if now.Sub(c.firstViewAt) < c.config.Peers.ProbeTimeout && len(reachable)+1 < len(table.Members()) {
 		lease = time.Time{} // without known peers its flow records would not be replicated
 	}
 	next := &flow.View{
 		Table: table, MembershipTables: c.steps, Active: c.active, LeaseUntil: lease,
-		Isolated:         c.peers.Island(now, c.leaseUntil, table),
+		Isolated:         c.peers.Isolated(now, c.leaseUntil, table),
 		Reachable:        reachable,
 		Leased:           c.peers.Leased(now, table),
-		ReachableDomains: c.peers.Domains(now, table),
+		ReachableDomains: c.peers.ReachableDomains(now, table),
 	}
 	if sameView(c.view, next) {
 		return c.view
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -14,13 +14,13 @@
 type (
 	// Config configures a Tracker.
 	Config struct {
-		Self     string
-		Domain   string
-		HeardFor time.Duration // how long a peer counts as reachable after a probe
-		// IslandAfter is the time from the end of the lease until the failure domain
+		Self         string
+		Domain       string
+		ProbeTimeout time.Duration // how long a peer counts as reachable after a probe
+		// IsolationDelay is the time from the end of the lease until the failure domain
 		// counts as isolated. By then every entry elsewhere knows of the partition or
 		// has lost its lease.
-		IslandAfter time.Duration
+		IsolationDelay time.Duration
 	}
 
 	// peerState is the last probe of a peer.
@@ -43,8 +43,8 @@
 	return &Tracker{config: c, peers: map[string]peerState{}, unlisted: map[string]bool{}}
 }
 
-// Heard records a probe of a peer. leased says whether the peer holds a lease.
-func (t *Tracker) Heard(now time.Time, name string, leased bool) {
+// RecordProbe records a probe of a peer. leased says whether the peer holds a lease.
+func (t *Tracker) RecordProbe(now time.Time, name string, leased bool) {
 	t.peers[name] = peerState{now, leased}
 }
 
@@ -71,16 +71,16 @@
 	var names []string
 	for _, m := range table.Members() {
 		p, ok := t.peers[m.Name()]
-		if ok && m.Name() != t.config.Self && now.Sub(p.lastProbe) <= t.config.HeardFor && keep(p) {
+		if ok && m.Name() != t.config.Self && now.Sub(p.lastProbe) <= t.config.ProbeTimeout && keep(p) {
 			names = append(names, m.Name())
 		}
 	}
 	return names
 }
 
-// Domains returns the reachable failure domains: this entry's own, and those with a
+// ReachableDomains returns the reachable failure domains: this entry's own, and those with a
 // reachable member.
-func (t *Tracker) Domains(now time.Time, table *route.Table) []string {
+func (t *Tracker) ReachableDomains(now time.Time, table *route.Table) []string {
 	domains := []string{t.config.Domain}
 	reachable := t.Reachable(now, table)
 	for _, m := range table.Members() {
@@ -91,15 +91,15 @@
 	return domains
 }
 
-// Island reports whether this failure domain is isolated and must serve without
+// Isolated reports whether this failure domain is isolated and must serve without
 // leases: for Config.IslandAfter, this entry has had no lease, no reachable peer has
 // had one, and every other member of the failure domain has been reachable or unlisted
 // by the platform. A single entry without its domain's peers doesn't count as isolated,
-// as it may just be unreachable itself. Island has to be called more often than every
+// as it may just be unreachable itself. Isolated has to be called more often than every
 // half Config.HeardFor: a longer gap means that the process was paused and may have
 // outdated probes, so the time starts again.
-func (t *Tracker) Island(now, leaseUntil time.Time, table *route.Table) bool {
-	paused := now.Sub(t.lastCheck) > t.config.HeardFor/2
+func (t *Tracker) Isolated(now, leaseUntil time.Time, table *route.Table) bool {
+	paused := now.Sub(t.lastCheck) > t.config.ProbeTimeout/2
 	t.lastCheck = now
 	if paused || !t.seemsIsolated(now, leaseUntil, table) {
 		t.isolatedSince = time.Time{}
@@ -108,7 +108,7 @@
 	if t.isolatedSince.IsZero() {
 		t.isolatedSince = now
 	}
-	return now.Sub(t.isolatedSince) >= t.config.IslandAfter
+	return now.Sub(t.isolatedSince) >= t.config.IsolationDelay
 }
 
 // seemsIsolated reports whether the conditions of Island hold at this moment.
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -18,15 +18,15 @@
 }
 
 func newTracker() *Tracker {
-	return New(Config{Self: "a1", Domain: "a", HeardFor: time.Second, IslandAfter: 800 * time.Millisecond})
+	return New(Config{Self: "a1", Domain: "a", ProbeTimeout: time.Second, IsolationDelay: 800 * time.Millisecond})
 }
 
 // checkRepeatedly calls Island every 100 ms, each time after a probe from a2, and
 // returns the last time and result.
 func checkRepeatedly(t *Tracker, from time.Time, duration time.Duration, leased bool) (last time.Time, isolated bool) {
 	for now := from; now.Before(from.Add(duration)); now = now.Add(100 * time.Millisecond) {
-		t.Heard(now, "a2", leased)
-		last, isolated = now, t.Island(now, from.Add(-time.Second), newTable())
+		t.RecordProbe(now, "a2", leased)
+		last, isolated = now, t.Isolated(now, from.Add(-time.Second), newTable())
 	}
 	return last, isolated
 }
@@ -47,13 +47,13 @@
 	isolated := false
 	for n := range 30 {
 		now := time.Unix(100, 0).Add(time.Duration(n) * 100 * time.Millisecond)
-		isolated = tracker.Island(now, time.Unix(99, 0), newTable())
+		isolated = tracker.Isolated(now, time.Unix(99, 0), newTable())
 	}
 	g.Expect(isolated).To(gomega.BeFalse(), "it may be the unreachable one itself")
 	tracker.SetUnlisted([]string{"a2"})
 	for n := range 30 {
 		now := time.Unix(104, 0).Add(time.Duration(n) * 100 * time.Millisecond)
-		isolated = tracker.Island(now, time.Unix(99, 0), newTable())
+		isolated = tracker.Isolated(now, time.Unix(99, 0), newTable())
 	}
 	g.Expect(isolated).To(gomega.BeTrue(), "the platform no longer lists the other entry")
 }
@@ -65,6 +65,6 @@
 	last, isolated := checkRepeatedly(tracker, time.Unix(100, 0), 700*time.Millisecond, false)
 	g.Expect(isolated).To(gomega.BeFalse())
 	awake := last.Add(10 * time.Second)
-	tracker.Heard(awake, "a2", false)
-	g.Expect(tracker.Island(awake, time.Unix(99, 0), newTable())).To(gomega.BeFalse())
+	tracker.RecordProbe(awake, "a2", false)
+	g.Expect(tracker.Isolated(awake, time.Unix(99, 0), newTable())).To(gomega.BeFalse())
 }
--- a/internal/soak/entry.go
+++ b/internal/soak/entry.go
@@ -33,7 +33,7 @@
 	e := &instance{sim: sim, name: name, domain: domain, incarnation: incarnation, alive: true}
 	e.member = member.New(member.Config{
 		Name: name, Domain: domain, Incarnation: incarnation,
-		Peers: peer.Config{Self: name, Domain: domain, HeardFor: 700 * time.Millisecond, IslandAfter: leaseDuration + 2*clockMargin + 2*heartbeatInterval},
+		Peers: peer.Config{Self: name, Domain: domain, ProbeTimeout: 700 * time.Millisecond, IsolationDelay: leaseDuration + 2*clockMargin + 2*heartbeatInterval},
 	})
 	e.entry = entry.New(entry.Config{
 		Flow: flow.Config{
@@ -42,8 +42,8 @@
 			HalfOpenTimeout: 2 * time.Second, SweepInterval: 200 * time.Millisecond, Modulo: sim.config.Modulo,
 		},
 		Work: work.Config{
-			Self: name, Domain: domain, Incarnation: incarnation, Hasher: sim.hasher(), Requests: 2000, HeldKeys: 20000,
-			HoldRetry: 40 * time.Millisecond, RetryFloor: 5, Linger: 2 * leaseDuration,
+			Self: name, Domain: domain, Incarnation: incarnation, Hasher: sim.hasher(), MaxRequests: 2000, MaxHeldKeys: 20000,
+			HoldRetryInterval: 40 * time.Millisecond, MinRetriesPerSecond: 5, MaxPacketDelay: 2 * leaseDuration,
 		},
 		OnFlow: func(_ time.Time, v flow.Verdict, p *packet.Packet, answer bool) {
 			sim.countVerdict(v)
@@ -98,7 +98,7 @@
 	e.entry.Tick(e.sim.now)
 	e.sendOutput()
 	stats := e.entry.Flow().Stats()
-	if e.member.MayStop(e.entry.Flow().LastSweep(), stats.PushBacklog) && !e.entry.Work().Handing(e.sim.now) {
+	if e.member.MayStop(e.entry.Flow().LastSweep(), stats.PushBacklog) && !e.entry.Work().HandoverPending(e.sim.now) {
 		e.member.AnnounceStopped()
 		e.sendHeartbeat()
 		e.alive = false
@@ -139,7 +139,7 @@
 			continue
 		}
 		sim.send(e.domain, other.domain, func() {
-			other.runUnpaused(func() { other.member.Peers().Heard(sim.now, e.name, leased) })
+			other.runUnpaused(func() { other.member.Peers().RecordProbe(sim.now, e.name, leased) })
 		})
 	}
 }
@@ -149,7 +149,7 @@
 // entry relayed the packet.
 func (e *instance) receive(source netip.AddrPort, inner []byte, relay *packet.Relay) {
 	e.updateView()
-	e.entry.Take(e.sim.now, source, decode(inner, relay))
+	e.entry.HandlePacket(e.sim.now, source, decode(inner, relay))
 	e.sendOutput()
 }
 
@@ -185,7 +185,7 @@
 				return
 			}
 			other.updateView()
-			other.entry.TakePeer(sim.now, s.Message)
+			other.entry.HandlePeer(sim.now, s.Message)
 			other.sendOutput()
 		})
 	})
--- a/internal/soak/mix.go
+++ b/internal/soak/mix.go
@@ -115,7 +115,7 @@
 		if behind := sim.state.Index() - e.member.State().Index(); behind > 20 {
 			sim.violationf("after recovery: %s is %d commands behind", name, behind)
 		}
-		if violations := e.entry.Flow().Stats().InvariantViolations + e.entry.Work().Stats().Broken; violations > 0 {
+		if violations := e.entry.Flow().Stats().InvariantViolations + e.entry.Work().Stats().InvariantViolations; violations > 0 {
 			sim.violationf("%s counted %d invariant violations", name, violations)
 		}
 	}
--- a/internal/soak/requests.go
+++ b/internal/soak/requests.go
@@ -84,7 +84,7 @@
 	m := work.Message{Message: message.Message{
 		Token: binary.BigEndian.AppendUint64(nil, r.token), Code: codes.POST, Type: message.Confirmable, MessageID: int32(r.token & 0xffff),
 	}}
-	m = m.WithLeft(800 * time.Millisecond)
+	m = m.WithTimeLeft(800 * time.Millisecond)
 	data, err := m.Encode()
 	if err != nil {
 		panic(err)
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -252,7 +252,7 @@
 	if b.config.Now().Sub(b.began) < b.config.Cold {
 		took *= coldFactor
 	}
-	if left, said := m.Left(); said {
+	if left, said := m.TimeLeft(); said {
 		took = min(took, left)
 	}
 	block, _ := m.Block()
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -231,7 +231,7 @@
 	tuple := packet.NewTuple(src, r.To, packet.UDP)
 	for c.now().Sub(began) < r.Deadline+time.Second && ctx.Err() == nil {
 		left := max(r.Deadline-c.now().Sub(began), time.Millisecond)
-		data, err := m.WithLeft(left).Encode()
+		data, err := m.WithTimeLeft(left).Encode()
 		if err != nil {
 			return "silent"
 		}
--- a/internal/work/engine.go
+++ b/internal/work/engine.go
@@ -125,15 +125,15 @@
 		e.sendToCaller(tuple, AckMessage(m.MessageID))
 	}
 	requestLife := s.Policy().RequestLife
-	left, hasDeadline := m.Left()
+	left, hasDeadline := m.TimeLeft()
 	if !hasDeadline || left > requestLife {
 		left = requestLife
 	}
 	r := &request{
 		id: id, class: class, tuple: tuple, message: m.clone(), received: now,
-		deadline: now.Add(left), expires: now.Add(requestLife + e.config.Linger),
+		deadline: now.Add(left), expires: now.Add(requestLife + e.config.MaxPacketDelay),
 	}
-	if len(o.requests) >= e.config.Requests*requestsFactor {
+	if len(o.requests) >= e.config.MaxRequests*requestsFactor {
 		e.stats.Overflow++
 		return // a refusal couldn't be remembered, so none is sent
 	}
@@ -276,14 +276,14 @@
 // sendToBackend dispatches a request to an endpoint.
 func (e *Engine) sendToBackend(now time.Time, o *ownership, r *request, endpoint *route.Endpoint) {
 	if endpoint.Service() != o.service || !r.keyHeld || !r.repeatable() && len(r.attempts) > 0 && r.openAttempt() != nil {
-		e.stats.Broken++ // wrong service, key not held, or another attempt is still open
+		e.stats.InvariantViolations++ // wrong service, key not held, or another attempt is still open
 		return
 	}
 	timeoutAt := r.deadline
 	if r.repeatable() {
 		timeoutAt = now.Add(r.deadline.Sub(now) / 2)
 	}
-	m := r.message.WithLeft(r.deadline.Sub(now))
+	m := r.message.WithTimeLeft(r.deadline.Sub(now))
 	inner, err := buildPacket(r.tuple, m)
 	if err != nil {
 		e.refuse(now, o, r, BadMessage)
--- a/internal/work/finish.go
+++ b/internal/work/finish.go
@@ -17,7 +17,7 @@
 // excluded that the request has run.
 func (e *Engine) refuse(now time.Time, o *ownership, r *request, cause Cause) {
 	if r.mayHaveRun || r.openAttempt() != nil {
-		e.stats.Broken++ // callers refuse only requests that haven't run
+		e.stats.InvariantViolations++ // callers refuse only requests that haven't run
 		e.finish(o, r, Unknown, cause, UnknownMessage(r.message.Token, r.message.MessageID))
 		return
 	}
@@ -111,11 +111,11 @@
 
 func (e *Engine) tickOwnership(now time.Time, o *ownership) {
 	if o.phase == waiting && !now.Before(o.nextWanted) {
-		o.nextWanted = now.Add(e.config.HoldRetry)
+		o.nextWanted = now.Add(e.config.HoldRetryInterval)
 		e.sendToPeer(o.formerOwner, &wire.Peer{Body: &wire.Peer_Wanted{Wanted: &wire.Wanted{Service: o.service, Index: o.index}}})
 	}
 	if o.interimOwner != "" && e.isMember(o.interimOwner) && !now.Before(o.nextWanted) {
-		o.nextWanted = now.Add(e.config.HoldRetry)
+		o.nextWanted = now.Add(e.config.HoldRetryInterval)
 		e.sendToPeer(o.interimOwner, &wire.Peer{Body: &wire.Peer_Wanted{Wanted: &wire.Wanted{Service: o.service, Index: o.index}}})
 	}
 	if o.handover != nil {
--- a/internal/work/handover.go
+++ b/internal/work/handover.go
@@ -93,7 +93,7 @@
 		for _, sequence := range slices.Sorted(maps.Keys(h.unacked)) {
 			e.sendToPeer(h.to, &wire.Peer{Body: &wire.Peer_Handover{Handover: h.unacked[sequence]}})
 		}
-		h.resendAt = now.Add(e.config.HoldRetry)
+		h.resendAt = now.Add(e.config.HoldRetryInterval)
 	}
 	for len(h.unsent) > 0 && len(h.unacked) < maxUnackedHandovers {
 		e.sendHandover(now, h, e.encodeRequest(now, o, h.unsent[0]))
@@ -109,7 +109,7 @@
 	e.sequence++
 	m.Sequence = e.sequence
 	h.unacked[m.Sequence] = m
-	h.resendAt = now.Add(e.config.HoldRetry)
+	h.resendAt = now.Add(e.config.HoldRetryInterval)
 	e.sendToPeer(h.to, &wire.Peer{Body: &wire.Peer_Handover{Handover: m}})
 }
 
@@ -152,12 +152,12 @@
 	e.runHandover(now, o)
 }
 
-// Handing reports whether this entry still owns a service or has something to hand
+// HandoverPending reports whether this entry still owns a service or has something to hand
 // over, which delays a planned stop. An ownership without requests no longer counts
 // if no new owner asks for it within Config.Linger.
-func (e *Engine) Handing(now time.Time) bool {
+func (e *Engine) HandoverPending(now time.Time) bool {
 	for _, o := range e.owned {
-		pending := o.handover != nil || o.phase != former || now.Sub(o.formerSince) < e.config.Linger
+		pending := o.handover != nil || o.phase != former || now.Sub(o.formerSince) < e.config.MaxPacketDelay
 		if pending || len(o.requests) > 0 {
 			return true
 		}
--- a/internal/work/hold.go
+++ b/internal/work/hold.go
@@ -106,10 +106,10 @@
 func (e *Engine) resendHolds(now time.Time, o *ownership) {
 	for _, h := range o.unackedHolds {
 		if h.resendAt.IsZero() {
-			h.resendAt = now.Add(e.config.HoldRetry)
+			h.resendAt = now.Add(e.config.HoldRetryInterval)
 		}
 		if !now.Before(h.resendAt) {
-			h.resendAt = now.Add(e.config.HoldRetry)
+			h.resendAt = now.Add(e.config.HoldRetryInterval)
 			e.transmitHold(o, h.hold)
 		}
 	}
@@ -129,7 +129,7 @@
 	if h.Index > k.index || k.owner != from {
 		k.owner, k.index, k.complete = from, h.Index, false
 	}
-	refused := len(k.keys)+len(h.Keys) > e.config.HeldKeys
+	refused := len(k.keys)+len(h.Keys) > e.config.MaxHeldKeys
 	if !refused {
 		for _, key := range h.Keys {
 			k.keys[route.FlowID{High: key.High, Low: key.Low}] = now.Add(time.Duration(key.LifeNanos))
--- a/internal/work/message.go
+++ b/internal/work/message.go
@@ -65,14 +65,14 @@
 // its message ID.
 func (m Message) IsReset() bool { return m.Type == message.Reset && m.Code == codes.Empty }
 
-// Left returns the time left until the deadline, and whether the request has one.
-func (m Message) Left() (time.Duration, bool) {
+// TimeLeft returns the time left until the deadline, and whether the request has one.
+func (m Message) TimeLeft() (time.Duration, bool) {
 	ms, err := m.Options.GetUint32(DeadlineOption)
 	return time.Duration(ms) * time.Millisecond, err == nil
 }
 
-// WithLeft returns the message with the time left until its deadline.
-func (m Message) WithLeft(left time.Duration) Message {
+// WithTimeLeft returns the message with the time left until its deadline.
+func (m Message) WithTimeLeft(left time.Duration) Message {
 	return m.withUint32(DeadlineOption, uint32(max(left.Milliseconds(), 1)))
 }
 
--- a/internal/work/overload_test.go
+++ b/internal/work/overload_test.go
@@ -96,7 +96,7 @@
 	}
 	b.PutMember(route.NewMember("e0", "d", 1, false, 1))
 	o.table = b.Table()
-	o.engine = New(Config{Self: "e0", Domain: "d", Incarnation: 1, Requests: 100_000, HeldKeys: 1000, HoldRetry: time.Second, RetryFloor: 5, Linger: 3 * time.Second})
+	o.engine = New(Config{Self: "e0", Domain: "d", Incarnation: 1, MaxRequests: 100_000, MaxHeldKeys: 1000, HoldRetryInterval: time.Second, MinRetriesPerSecond: 5, MaxPacketDelay: 3 * time.Second})
 	o.engine.SetView(o.now, &View{Table: o.table, LeaseUntil: o.now.Add(time.Hour), ReachableDomains: []string{"d"}})
 	return o
 }
@@ -114,7 +114,7 @@
 
 func (o *overloadSim) request(number uint64, class int) *packet.Packet {
 	m := Message{message.Message{Token: binary.BigEndian.AppendUint64(nil, number), Code: codes.POST, Type: message.NonConfirmable, MessageID: int32(number & 0xffff)}}
-	data, err := m.WithLeft(benchDeadline).Encode()
+	data, err := m.WithTimeLeft(benchDeadline).Encode()
 	if err != nil {
 		panic(err)
 	}
--- a/internal/work/owner.go
+++ b/internal/work/owner.go
@@ -283,7 +283,7 @@
 	// This entry owned the service recently and still has its requests. An owner in
 	// between that didn't get them has run none that must not be repeated, since it
 	// has treated all such requests as unknown for RequestLife.
-	kept := o.phase == former && now.Sub(o.formerSince) < s.Policy().RequestLife-e.config.Linger
+	kept := o.phase == former && now.Sub(o.formerSince) < s.Policy().RequestLife-e.config.MaxPacketDelay
 	o.index = e.view.Table.Index()
 	o.secondComplete, o.secondHolder = false, ""
 	if kept && formerOwner != e.config.Self {
@@ -304,7 +304,7 @@
 	o := &ownership{
 		service: service, requests: map[route.FlowID]*request{},
 		byMessage: map[messageKey]route.FlowID{}, grants: newGrants(), transfers: map[transferKey]transfer{},
-		unconfirmed: map[route.FlowID]*request{}, retries: newRetryBudget(e.config.RetryFloor),
+		unconfirmed: map[route.FlowID]*request{}, retries: newRetryBudget(e.config.MinRetriesPerSecond),
 	}
 	e.owned[service] = o
 	return o
--- a/internal/work/rules_test.go
+++ b/internal/work/rules_test.go
@@ -20,7 +20,7 @@
 	o.table = b.Table()
 	engines := map[string]*Engine{}
 	for _, name := range []string{"e0", "e1"} {
-		e := New(Config{Self: name, Domain: "d", Incarnation: 1, Requests: 100, HeldKeys: 100, HoldRetry: time.Second, RetryFloor: 5, Linger: 3 * time.Second})
+		e := New(Config{Self: name, Domain: "d", Incarnation: 1, MaxRequests: 100, MaxHeldKeys: 100, HoldRetryInterval: time.Second, MinRetriesPerSecond: 5, MaxPacketDelay: 3 * time.Second})
 		first := *o.view(lease)
 		first.Table = tableWithoutServices(o.table)
 		e.SetView(o.now, &first)
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -77,17 +77,17 @@
 
 	// Config configures an Engine.
 	Config struct {
-		Self        string
-		Domain      string
-		Incarnation uint64 // of this entry
-		Hasher      route.Hasher
-		Requests    int           // per service; requestsFactor times as many are remembered
-		HeldKeys    int           // maximum number of keys stored for the owner of one service
-		HoldRetry   time.Duration // interval at which an unacknowledged message is repeated
-		RetryFloor  float64       // retries per second that are always allowed
-		// Linger bounds how long a packet can be delayed in an entry that was paused
+		Self                string
+		Domain              string
+		Incarnation         uint64 // of this entry
+		Hasher              route.Hasher
+		MaxRequests         int           // per service; requestsFactor times as many are remembered
+		MaxHeldKeys         int           // maximum number of keys stored for the owner of one service
+		HoldRetryInterval   time.Duration // interval at which an unacknowledged message is repeated
+		MinRetriesPerSecond float64       // retries per second that are always allowed
+		// MaxPacketDelay bounds how long a packet can be delayed in an entry that was paused
 		// but still holds its lease. Requests are remembered for this much longer.
-		Linger time.Duration
+		MaxPacketDelay time.Duration
 	}
 
 	// View is an immutable snapshot of the control state that an engine decides by.
@@ -102,11 +102,11 @@
 
 	// Stats holds the engine's gauges and counters.
 	Stats struct {
-		States                                                    [stateCount]uint64 // transitions by new state
-		Requests, Queued, StoredKeys                              int                // gauges; StoredKeys as second holder
-		Duplicates, LateAnswers, Retries, Shed, Overflow          uint64             // Overflow counts packets dropped at a limit
-		NoLease                                                   uint64             // packets dropped without a lease
-		Holds, HoldBytes, Broken, Takeovers, TakeoversWithoutKeys uint64             // Broken counts violated invariants
+		States                                                                 [stateCount]uint64 // transitions by new state
+		Requests, Queued, StoredKeys                                           int                // gauges; StoredKeys as second holder
+		Duplicates, LateAnswers, Retries, Shed, Overflow                       uint64             // Overflow counts packets dropped at a limit
+		NoLease                                                                uint64             // packets dropped without a lease
+		Holds, HoldBytes, InvariantViolations, Takeovers, TakeoversWithoutKeys uint64             // Broken counts violated invariants
 	}
 )
 
