--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -26,7 +26,7 @@
 	Target uint8
 
 	// Send is a datagram to send. Inner may alias the buffer of the last packet passed
-	// to Take.
+	// to HandlePacket.
 	Send struct {
 		Target    Target
 		Endpoint  *route.Endpoint // for ToBackend
--- a/internal/instance/traffic.go
+++ b/internal/instance/traffic.go
@@ -67,7 +67,7 @@
 		forwarded     metrics.Counter
 		relayed       metrics.Counter
 		unknownSender metrics.Counter
-		expired       metrics.Counter // dropped because of entry.Send.Until
+		expired       metrics.Counter // dropped because of entry.Send.ExpiresAt
 		peerBytes     metrics.Counter
 	}
 )
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -243,7 +243,7 @@
 	return ratios
 }
 
-// Summarise summarizes a histogram of microseconds.
+// Summarise converts a histogram of microseconds to percentiles in milliseconds.
 func Summarise(h *hdrhistogram.Histogram) Latency {
 	const perMillisecond = 1000.0
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / perMillisecond }
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -92,11 +92,11 @@
 }
 
 // Isolated reports whether this failure domain is isolated and must serve without
-// leases: for Config.IslandAfter, this entry has had no lease, no reachable peer has
+// leases: for Config.IsolationDelay, this entry has had no lease, no reachable peer has
 // had one, and every other member of the failure domain has been reachable or unlisted
 // by the platform. A single entry without its domain's peers doesn't count as isolated,
 // as it may just be unreachable itself. Isolated has to be called more often than every
-// half Config.HeardFor: a longer gap means that the process was paused and may have
+// half Config.ProbeTimeout: a longer gap means that the process was paused and may have
 // outdated probes, so the time starts again.
 func (t *Tracker) Isolated(now, leaseUntil time.Time, table *route.Table) bool {
 	paused := now.Sub(t.lastCheck) > t.config.ProbeTimeout/2
@@ -111,7 +111,7 @@
 	return now.Sub(t.isolatedSince) >= t.config.IsolationDelay
 }
 
-// seemsIsolated reports whether the conditions of Island hold at this moment.
+// seemsIsolated reports whether the conditions of Isolated hold at this moment.
 func (t *Tracker) seemsIsolated(now, leaseUntil time.Time, table *route.Table) bool {
 	if leaseUntil.IsZero() || now.Before(leaseUntil) || len(t.Leased(now, table)) > 0 {
 		return false
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -21,7 +21,7 @@
 	return New(Config{Self: "a1", Domain: "a", ProbeTimeout: time.Second, IsolationDelay: 800 * time.Millisecond})
 }
 
-// checkRepeatedly calls Island every 100 ms, each time after a probe from a2, and
+// checkRepeatedly calls Isolated every 100 ms, each time after a probe from a2, and
 // returns the last time and result.
 func checkRepeatedly(t *Tracker, from time.Time, duration time.Duration, leased bool) (last time.Time, isolated bool) {
 	for now := from; now.Before(from.Add(duration)); now = now.Add(100 * time.Millisecond) {
--- a/internal/work/engine.go
+++ b/internal/work/engine.go
@@ -19,7 +19,7 @@
 	// that disagree on the owner.
 	maxRelayHops = 3
 	// requestsFactor limits the remembered requests, finished ones included, to this
-	// multiple of Config.Requests. A refused request has to be remembered, since it
+	// multiple of Config.MaxRequests. A refused request has to be remembered, since it
 	// must not run if its packet arrives again.
 	requestsFactor = 4
 )
--- a/internal/work/handover.go
+++ b/internal/work/handover.go
@@ -154,7 +154,7 @@
 
 // HandoverPending reports whether this entry still owns a service or has something to hand
 // over, which delays a planned stop. An ownership without requests no longer counts
-// if no new owner asks for it within Config.Linger.
+// if no new owner asks for it within Config.MaxPacketDelay.
 func (e *Engine) HandoverPending(now time.Time) bool {
 	for _, o := range e.owned {
 		pending := o.handover != nil || o.phase != former || now.Sub(o.formerSince) < e.config.MaxPacketDelay
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -106,7 +106,7 @@
 		Requests, Queued, StoredKeys                                           int                // gauges; StoredKeys as second holder
 		Duplicates, LateAnswers, Retries, Shed, Overflow                       uint64             // Overflow counts packets dropped at a limit
 		NoLease                                                                uint64             // packets dropped without a lease
-		Holds, HoldBytes, InvariantViolations, Takeovers, TakeoversWithoutKeys uint64             // Broken counts violated invariants
+		Holds, HoldBytes, InvariantViolations, Takeovers, TakeoversWithoutKeys uint64
 	}
 )
 
