--- a/internal/node/announcements.go
+++ b/internal/node/announcements.go
@@ -98,7 +98,7 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		for _, addr := range c.audience.due() {
+		for _, addr := range c.announceTargets.due() {
 			_, _ = conn.WriteToUDPAddrPort(datagram, addr) // lost datagrams are repeated
 		}
 	}
@@ -141,7 +141,7 @@
 		e.announcements.malformed.Add(1)
 		return
 	}
-	e.announcements.heard.Add(1)
+	e.announcements.received.Add(1)
 	if !e.linked() {
 		e.uplinks.handleAnnouncement(ctx, e.config.Now(), addr)
 	}
--- a/internal/node/announcements_test.go
+++ b/internal/node/announcements_test.go
@@ -52,23 +52,23 @@
 
 	ginkgo.It("is announced to by a restarted control instance, from the hints on its disk", func() {
 		_, stopFirst := startEntry(operators, fleet[0].config.Peer)
-		Eventually(func() []string { return savedEntries(fleet[0]) }, patience).Should(ConsistOf(operators.String()))
+		Eventually(func() []string { return savedEntries(fleet[0]) }, settleTimeout).Should(ConsistOf(operators.String()))
 		stopFirst()
 		fleet[0].stop()
 		entry, stopEntry := startEntry(operators, deadSeed)
 		defer stopEntry()
 		fleet[0].start()
-		Eventually(entry.linked, patience).Should(BeTrue())
-		Expect(entry.announcements.heard.Load()).To(BeNumerically(">", 0))
+		Eventually(entry.linked, settleTimeout).Should(BeTrue())
+		Expect(entry.announcements.received.Load()).To(BeNumerically(">", 0))
 	})
 
 	ginkgo.It("is announced to by a control instance that it was linked to before its own restart", func() {
 		_, stopFirst := startEntry(operators, fleet[0].config.Peer)
-		Eventually(fleet[0].entries.count, patience).Should(Equal(1))
+		Eventually(fleet[0].entries.count, settleTimeout).Should(Equal(1))
 		stopFirst()
 		entry, stopEntry := startEntry(operators, deadSeed)
 		defer stopEntry()
-		Eventually(entry.linked, patience).Should(BeTrue())
+		Eventually(entry.linked, settleTimeout).Should(BeTrue())
 	})
 })
 
@@ -77,7 +77,7 @@
 	hints := &wire.Hints{}
 	files, err := r.config.Files()
 	if err == nil {
-		_, err = storage.LoadMessage(files, hintsName, hints)
+		_, err = storage.LoadMessage(files, hintsFile, hints)
 	}
 	if err != nil {
 		return nil
--- a/internal/node/answers.go
+++ b/internal/node/answers.go
@@ -12,23 +12,23 @@
 )
 
 const (
-	// accepted is the kind of an answer that grants what was asked.
-	accepted = "accepted"
+	// kindAccepted is the kind of an answer that grants what was asked.
+	kindAccepted = "accepted"
 	// What operators may ask an entry about.
 	matterFlow    = "flow"
 	matterRefused = "refused"
 )
 
 type (
-	// controlAnswers answers the commands of operators at a control instance.
+	// controlAPI answers the commands of operators at a control instance.
 	// Indexes and revisions are versions of the document here.
-	controlAnswers struct {
+	controlAPI struct {
 		wire.DRPCControlUnimplementedServer
 		control *Control
 	}
 
-	// entryAnswers answers them at an entry.
-	entryAnswers struct {
+	// entryAPI answers them at an entry.
+	entryAPI struct {
 		wire.DRPCControlUnimplementedServer
 		entry *Entry
 	}
@@ -36,7 +36,7 @@
 
 // Status tells what the instance believes, and which version each entry that is
 // linked to it has in force.
-func (a *controlAnswers) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
+func (a *controlAPI) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
 	s := a.control.Status()
 	reply := &wire.StatusReply{
 		Name: s.Self, Domain: a.control.config.Domain, Role: s.Role, Term: s.Term, LeaderName: s.Leader,
@@ -51,20 +51,20 @@
 }
 
 // Voters lists the voters; they are not changed by hand in this fabric.
-func (a *controlAnswers) Voters(_ context.Context, r *wire.VotersRequest) (*wire.VotersReply, error) {
+func (a *controlAPI) Voters(_ context.Context, r *wire.VotersRequest) (*wire.VotersReply, error) {
 	if r.Add != "" || r.Remove != "" {
 		return &wire.VotersReply{
 			Kind: fault.Usage.Name(), Detail: "control instances of this fabric find and replace each other by themselves",
 		}, nil
 	}
-	return &wire.VotersReply{Kind: accepted, Voters: a.control.Status().Voters}, nil
+	return &wire.VotersReply{Kind: kindAccepted, Voters: a.control.Status().Voters}, nil
 }
 
 // Evacuate takes an order about a failure domain, or names the instance that does.
-func (a *controlAnswers) Evacuate(ctx context.Context, r *wire.EvacuateRequest) (*wire.EvacuateReply, error) {
+func (a *controlAPI) Evacuate(ctx context.Context, r *wire.EvacuateRequest) (*wire.EvacuateReply, error) {
 	_, err := a.control.Evacuate(ctx, evacuation.Order{Domain: r.Domain, Undo: r.Undo})
 	if err == nil {
-		return &wire.EvacuateReply{Kind: accepted}, nil
+		return &wire.EvacuateReply{Kind: kindAccepted}, nil
 	}
 	reply := &wire.EvacuateReply{Kind: fault.KindOf(err).Name(), Detail: err.Error()}
 	if s := a.control.Status(); s.Leader != "" && s.Leader != s.Self {
@@ -74,17 +74,17 @@
 }
 
 // Why says whom to ask: what operators ask about is decided at entries.
-func (a *controlAnswers) Why(_ context.Context, r *wire.WhyRequest) (*wire.WhyReply, error) {
+func (a *controlAPI) Why(_ context.Context, r *wire.WhyRequest) (*wire.WhyReply, error) {
 	return &wire.WhyReply{Lines: []string{"a control instance carries no packets: ask an entry about a " + r.Matter}}, nil
 }
 
 // Stats returns the instance's figures.
-func (a *controlAnswers) Stats(context.Context, *wire.StatsRequest) (*wire.StatsReply, error) {
-	return statsReply(a.control.figures()), nil
+func (a *controlAPI) Stats(context.Context, *wire.StatsRequest) (*wire.StatsReply, error) {
+	return statsReply(a.control.metrics()), nil
 }
 
 // Status tells which version is in force at the entry, and what drains wait for.
-func (a *entryAnswers) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
+func (a *entryAPI) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
 	e := a.entry
 	now := e.config.Now()
 	e.mu.Lock()
@@ -102,17 +102,17 @@
 }
 
 // Evacuate names a control instance, which takes such orders.
-func (a *entryAnswers) Evacuate(context.Context, *wire.EvacuateRequest) (*wire.EvacuateReply, error) {
+func (a *entryAPI) Evacuate(context.Context, *wire.EvacuateRequest) (*wire.EvacuateReply, error) {
 	return &wire.EvacuateReply{
-		Kind: fault.NotCurrent.Name(), Detail: "an entry takes no orders itself", Elsewhere: a.entry.orderTaker(),
+		Kind: fault.NotCurrent.Name(), Detail: "an entry takes no orders itself", Elsewhere: a.entry.primaryAddress(),
 	}, nil
 }
 
 // Why tells the kept decisions on a flow and where it is now, or the last packets
 // that were refused.
-func (a *entryAnswers) Why(_ context.Context, r *wire.WhyRequest) (*wire.WhyReply, error) {
+func (a *entryAPI) Why(_ context.Context, r *wire.WhyRequest) (*wire.WhyReply, error) {
 	if r.Matter == matterRefused {
-		return &wire.WhyReply{Decisions: a.signed(a.entry.decisions.refused())}, nil
+		return &wire.WhyReply{Decisions: a.withEntryName(a.entry.decisions.refused())}, nil
 	}
 	if r.Matter != matterFlow {
 		return &wire.WhyReply{Lines: []string{"an entry of this fabric explains flows; look for what was " + r.Matter + " in its log lines"}}, nil
@@ -125,12 +125,12 @@
 	if err != nil {
 		return nil, fault.Wrap(fault.Usage, err)
 	}
-	return &wire.WhyReply{Decisions: a.signed(a.explain(src, dst))}, nil
+	return &wire.WhyReply{Decisions: a.withEntryName(a.explain(src, dst))}, nil
 }
 
 // explain returns the kept decisions on the flow between two addresses, and then
 // where it is now.
-func (a *entryAnswers) explain(src, dst netip.AddrPort) []*wire.Decision {
+func (a *entryAPI) explain(src, dst netip.AddrPort) []*wire.Decision {
 	e := a.entry
 	now := e.config.Now()
 	e.mu.Lock()
@@ -140,8 +140,8 @@
 	return append(e.decisions.forFlow(src, dst), d)
 }
 
-// signed names this entry in its decisions.
-func (a *entryAnswers) signed(decisions []*wire.Decision) []*wire.Decision {
+// withEntryName names this entry in its decisions.
+func (a *entryAPI) withEntryName(decisions []*wire.Decision) []*wire.Decision {
 	for _, d := range decisions {
 		d.Entry = a.entry.config.Name
 	}
@@ -149,14 +149,14 @@
 }
 
 // Stats returns the entry's figures.
-func (a *entryAnswers) Stats(context.Context, *wire.StatsRequest) (*wire.StatsReply, error) {
-	return statsReply(a.entry.figures()), nil
+func (a *entryAPI) Stats(context.Context, *wire.StatsRequest) (*wire.StatsReply, error) {
+	return statsReply(a.entry.metrics()), nil
 }
 
 // statsReply returns figures as they travel.
-func statsReply(figures []figure) *wire.StatsReply {
+func statsReply(metrics []metric) *wire.StatsReply {
 	reply := &wire.StatsReply{}
-	for _, f := range figures {
+	for _, f := range metrics {
 		reply.Counters = append(reply.Counters, &wire.Counter{Name: f.name, Value: int64(f.value)})
 	}
 	return reply
--- a/internal/node/batches.go
+++ b/internal/node/batches.go
@@ -9,92 +9,92 @@
 )
 
 const (
-	// batchesKept is how many batches are remembered for links that are behind; one that is
+	// maxKeptBatches is how many batches are remembered for links that are behind; one that is
 	// further behind is told what it lacks by itself.
-	batchesKept = 32
-	// peerGap is how long changes gather before other control instances are told: an
+	maxKeptBatches = 32
+	// peerBatchDelay is how long changes gather before other control instances are told: an
 	// endpoint that leaves waits for it.
-	peerGap = 3 * time.Millisecond
-	// feedGap is the same for entries that are told whole records: far below the time that
+	peerBatchDelay = 3 * time.Millisecond
+	// fullBatchDelay is the same for entries that are told whole records: far below the time that
 	// an entry has for any of them, and one frame instead of many when a fleet starts.
-	feedGap = 20 * time.Millisecond
-	// briefGap is the same for entries that another control instance tells them whole:
+	fullBatchDelay = 20 * time.Millisecond
+	// summaryBatchDelay is the same for entries that another control instance tells them whole:
 	// long enough for that one to have told them, and still far below the time that an
 	// entry has.
-	briefGap = 200 * time.Millisecond
+	summaryBatchDelay = 200 * time.Millisecond
 )
 
 type (
-	// batches makes what is told of endpoints to many links once for all of them, so that
+	// batchLog makes what is told of endpoints to many links once for all of them, so that
 	// a change costs its encoding and compression once, and a link its bytes alone.
-	batches struct {
-		gap     time.Duration
-		every   time.Duration // a batch is made at least so often, 0 for only after changes
-		changes *notifier     // of what is told of
-		reports func(after uint64) *wire.Reports
-		empty   func(*wire.Reports) bool
-		made    notifier
+	batchLog struct {
+		delay    time.Duration
+		interval time.Duration // a batch is made at least so often, 0 for only after changes
+		changes  *notifier     // of what is told of
+		collect  func(after uint64) *wire.Reports
+		isEmpty  func(*wire.Reports) bool
+		appended notifier
 
-		mu   sync.Mutex
-		kept []batch // the newest last; each goes on where the one before ends
-		last uint64  // number up to which batches were made
+		mu     sync.Mutex
+		recent []batch // the newest last; each goes on where the one before ends
+		last   uint64  // number up to which batches were made
 	}
 
 	// batch tells of the changes after a number, up to another one.
 	batch struct {
-		after, number uint64
-		frame         *wire.Frame // nil where there is nothing to tell
-		summed        bool        // it tells the digest in place of what has changed
+		after, last uint64
+		frame       *wire.Frame // nil where there is nothing to tell
+		hasDigest   bool        // it tells the digest in place of what has changed
 	}
 )
 
 // loop makes batches until the context ends.
-func (b *batches) loop(ctx context.Context) error {
+func (b *batchLog) loop(ctx context.Context) error {
 	changed, cancel := b.changes.subscribe()
 	defer cancel()
-	var due <-chan time.Time
-	if b.every > 0 {
-		ticker := time.NewTicker(b.every)
+	var tick <-chan time.Time
+	if b.interval > 0 {
+		ticker := time.NewTicker(b.interval)
 		defer ticker.Stop()
-		due = ticker.C
+		tick = ticker.C
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-due:
+		case <-tick:
 		case <-changed:
 			select {
 			case <-ctx.Done():
 				return ctx.Err()
-			case <-time.After(b.gap):
+			case <-time.After(b.delay):
 			}
 		}
-		b.make()
+		b.appendNext()
 	}
 }
 
-// make makes a batch of what has changed since the last one.
-func (b *batches) make() {
+// appendNext makes a batch of what has changed since the last one.
+func (b *batchLog) appendNext() {
 	b.mu.Lock()
-	reports := b.reports(b.last)
-	next := batch{after: b.last, number: reports.Number, summed: len(reports.Digest) > 0}
-	if !b.empty(reports) {
-		next.frame = pack(reportsFrame(reports), packFast)
+	reports := b.collect(b.last)
+	next := batch{after: b.last, last: reports.Number, hasDigest: len(reports.Digest) > 0}
+	if !b.isEmpty(reports) {
+		next.frame = compressFrame(reportsFrame(reports), compressFast)
 	}
-	if next.number > next.after || next.frame != nil {
-		b.last = next.number
-		b.kept = append(b.kept, next)
-		if over := len(b.kept) - batchesKept; over > 0 {
-			b.kept = append(b.kept[:0:0], b.kept[over:]...)
+	if next.last > next.after || next.frame != nil {
+		b.last = next.last
+		b.recent = append(b.recent, next)
+		if over := len(b.recent) - maxKeptBatches; over > 0 {
+			b.recent = append(b.recent[:0:0], b.recent[over:]...)
 		}
 	}
 	b.mu.Unlock()
-	b.made.notify()
+	b.appended.notify()
 }
 
-// upTo returns the number up to which batches were made.
-func (b *batches) upTo() uint64 {
+// lastRevision returns the number up to which batches were made.
+func (b *batchLog) lastRevision() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.last
@@ -102,32 +102,32 @@
 
 // after returns the batches after a number that tell anything, and the number of the last
 // one. It reports false where no batch that is remembered begins there.
-func (b *batches) after(number uint64) (told []batch, last uint64, ok bool) {
+func (b *batchLog) after(revision uint64) (pending []batch, last uint64, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if number == b.last {
-		return nil, number, true
+	if revision == b.last {
+		return nil, revision, true
 	}
-	for i, first := range b.kept {
-		if first.after != number {
+	for i, first := range b.recent {
+		if first.after != revision {
 			continue
 		}
-		for _, each := range b.kept[i:] {
+		for _, each := range b.recent[i:] {
 			if each.frame != nil {
-				told = append(told, each)
+				pending = append(pending, each)
 			}
 		}
-		return told, b.last, true
+		return pending, b.last, true
 	}
-	return nil, number, false
+	return nil, revision, false
 }
 
-// batchOf returns the batch that tells one link what no batch does.
-func batchOf(reports *wire.Reports) []batch {
-	return []batch{{frame: pack(reportsFrame(reports), packFast), summed: len(reports.Digest) > 0}}
+// singleBatch returns the batch that tells one link what no batch does.
+func singleBatch(reports *wire.Reports) []batch {
+	return []batch{{frame: compressFrame(reportsFrame(reports), compressFast), hasDigest: len(reports.Digest) > 0}}
 }
 
-// nothingTold reports whether reports tell an entry nothing.
-func nothingTold(r *wire.Reports) bool {
+// nothingForEntry reports whether reports tell an entry nothing.
+func nothingForEntry(r *wire.Reports) bool {
 	return len(r.Endpoints)+len(r.Sums)+len(r.Silent)+len(r.Heard)+len(r.Digest) == 0
 }
--- a/internal/node/blackhole_test.go
+++ b/internal/node/blackhole_test.go
@@ -115,16 +115,16 @@
 
 	order := func() {
 		version++
-		fleet.order(version)
+		fleet.put(version)
 	}
 	expectApplied := func() {
-		Eventually(func() uint64 { return entry.appliedReceipt().Version }, patience, 5*time.Millisecond).Should(Equal(version))
+		Eventually(func() uint64 { return entry.appliedReceipt().Version }, settleTimeout, 5*time.Millisecond).Should(Equal(version))
 	}
 
 	ginkgo.BeforeEach(func() {
 		version = 0
 		peers, links = &blackholeDialer{}, &blackholeDialer{}
-		fleet = startFleetBy(31, 3, 3, ginkgo.GinkgoT().TempDir, log.New(io.Discard), peers.dial)
+		fleet = startFleetWithDialer(31, 3, 3, ginkgo.GinkgoT().TempDir, log.New(io.Discard), peers.dial)
 		ginkgo.DeferCleanup(fleet.stop)
 		entry = startFleetEntry(fleet, "e1", links.dial)
 		order()
@@ -145,17 +145,17 @@
 			peers.blackhole(everyConn, direction.dropWrites, direction.dropReads)
 			order()
 			expectApplied()
-			Eventually(func() error { return acknowledgedLeave(fleet) }, patience).Should(Succeed())
+			Eventually(func() error { return acknowledgedLeave(fleet) }, settleTimeout).Should(Succeed())
 		})
 	}
 
 	ginkgo.It("are closed at the accepting side too", func() {
-		Eventually(func() int { return fleet[0].entries.count() }, patience).Should(Equal(1))
+		Eventually(func() int { return fleet[0].entries.count() }, settleTimeout).Should(Equal(1))
 		links.blackhole(everyConn, true, true)
 		links.mu.Lock()
 		links.refuse = true // no replacement is opened
 		links.mu.Unlock()
-		Eventually(func() int { return fleet[0].entries.count() }, patience).Should(BeZero())
+		Eventually(func() int { return fleet[0].entries.count() }, settleTimeout).Should(BeZero())
 	})
 
 	ginkgo.It("lose no acknowledged write, whichever connections are affected", func() {
@@ -168,14 +168,14 @@
 			links.blackhole(selected, direction&1 > 0, direction&2 > 0)
 			order()
 			expectApplied()
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), settleTimeout)
 			Eventually(func() error {
 				doc, _, err := fleet.leaderOrFirst().Read(ctx)
 				if err == nil && doc.Version() < version {
 					ginkgo.Fail(fmt.Sprintf("round %d: version %d was read after %d was acknowledged", round, doc.Version(), version))
 				}
 				return err
-			}, patience).Should(Succeed())
+			}, settleTimeout).Should(Succeed())
 			cancel()
 		}
 	})
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -18,9 +18,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// controlTick is how often the loop looks for what is due: the grain of the
+// controlTickInterval is how often the loop looks for what is due: the grain of the
 // replicated log's times.
-const controlTick = 25 * time.Millisecond
+const controlTickInterval = 25 * time.Millisecond
 
 type (
 	// ControlConfig is what a control instance is told.
@@ -43,48 +43,48 @@
 
 	// Control is a running control instance.
 	Control struct {
-		config    ControlConfig
-		calls     chan func(now time.Time)
-		published atomic.Pointer[published]
-		status    atomic.Pointer[madeStatus]
-		roster    atomic.Pointer[madeRoster]
-		documents notifier
-		endpoints *endpointList
-		firstList *firstList
-		audience  *announceTargets
-		entries   *entryList
-		timings   controlTimings
-		peers     *peerLinks
-		doubts    *suspicionBatcher
-		malformed *malformedCalls
-		judging   sync.Mutex // held while outliers is used
-		outliers  *outlier.Tracker
+		config          ControlConfig
+		calls           chan func(now time.Time)
+		published       atomic.Pointer[publishedState]
+		status          atomic.Pointer[timedStatus]
+		roster          atomic.Pointer[timedRoster]
+		documents       notifier
+		endpoints       *endpointList
+		initialList     *initialList
+		announceTargets *announceTargets
+		entries         *entryList
+		timings         controlTimings
+		peers           *peerLinks
+		suspicions      *suspicionBatcher
+		malformed       *malformedCalls
+		outliersMu      sync.Mutex // held while outliers is used
+		outliers        *outlier.Tracker
 
 		// Owned by loop.
-		directory *directory.Directory // nil while the disk fails
-		store     *storage.Store
-		waiting   map[uint64]chan bool // by proposal; true once committed
-		failed    bool                 // the disk failed and has not been opened since
-		reopenAt  time.Time
-		turnedAt  time.Time // of the loop's last turn
-		resumedAt time.Time // when the loop went on after a standstill
+		directory        *directory.Directory // nil while the disk fails
+		store            *storage.Store
+		pendingProposals map[uint64]chan bool // by proposal; true once committed
+		diskFailed       bool                 // the disk failed and has not been opened since
+		reopenAt         time.Time
+		lastTurnAt       time.Time // of the loop's last turn
+		resumedAt        time.Time // when the loop went on after a standstill
 	}
 )
 
 // NewControl returns a control instance that does not run yet.
 func NewControl(c ControlConfig) *Control {
-	const queue = 256
+	const maxQueuedCalls = 256
 	control := &Control{
-		config: c, calls: make(chan func(time.Time), queue), waiting: map[uint64]chan bool{},
+		config: c, calls: make(chan func(time.Time), maxQueuedCalls), pendingProposals: map[uint64]chan bool{},
 		endpoints: newEndpointList(c), entries: newEntryList(c.Now), timings: newControlTimings(),
-		outliers: outlier.New(), doubts: newSuspicionBatcher(c.Now), malformed: newMalformedCalls(),
+		outliers: outlier.New(), suspicions: newSuspicionBatcher(c.Now), malformed: newMalformedCalls(),
 	}
 	control.endpoints.setRelay(false) // until it votes
-	control.firstList = &firstList{endpoints: control.endpoints}
-	control.audience = &announceTargets{now: c.Now}
-	control.status.Store(&madeStatus{})
-	control.published.Store(&published{})
-	control.roster.Store(&madeRoster{roster: &wire.Roster{}})
+	control.initialList = &initialList{endpoints: control.endpoints}
+	control.announceTargets = &announceTargets{now: c.Now}
+	control.status.Store(&timedStatus{})
+	control.published.Store(&publishedState{})
+	control.roster.Store(&timedRoster{roster: &wire.Roster{}})
 	control.peers = newPeerLinks(control)
 	return control
 }
@@ -92,14 +92,14 @@
 // Run serves until the context ends; an error at once is of kind AddressInUse
 // where the peer address cannot be had.
 func (c *Control) Run(ctx context.Context) error {
-	links, err := newLinkServer(c.config.Peer.String(), &linkHandler{control: c}, &controlAnswers{control: c})
+	links, err := newLinkServer(c.config.Peer.String(), &linkHandler{control: c}, &controlAPI{control: c})
 	if err != nil {
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return links.run(ctx) })
+	group.Go(func() error { return links.serve(ctx) })
 	group.Go(func() error { return c.endpoints.loop(ctx) })
-	for _, b := range []*batches{c.endpoints.whole, c.endpoints.brief, c.endpoints.peers} {
+	for _, b := range []*batchLog{c.endpoints.fullBatches, c.endpoints.summaryBatches, c.endpoints.peerBatches} {
 		group.Go(func() error { return b.loop(ctx) })
 	}
 	group.Go(func() error { return c.suspicionLoop(ctx) })
@@ -112,23 +112,23 @@
 // loop owns the directory and the disk.
 func (c *Control) loop(ctx context.Context) error {
 	c.peers.setSeeds(ctx, c.config.Seeds)
-	ticker := time.NewTicker(controlTick)
+	ticker := time.NewTicker(controlTickInterval)
 	defer ticker.Stop()
-	c.open(c.config.Now())
+	c.openDisk(c.config.Now())
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case call := <-c.calls:
 			now := c.config.Now()
-			c.noteStandstill(now)
+			c.detectStall(now)
 			call(now)
 		case <-ticker.C:
 			c.tick(ctx)
 		}
-		if err := c.pump(); err != nil {
+		if err := c.processReady(); err != nil {
 			c.config.Log.Error("data folder failed", "error", err, "next", fault.KindOf(err).Answer().NextStep())
-			c.close(c.config.Now())
+			c.closeDisk(c.config.Now())
 		}
 	}
 }
@@ -137,20 +137,20 @@
 // directory and the links to others go on.
 func (c *Control) tick(ctx context.Context) {
 	now := c.config.Now()
-	c.noteStandstill(now)
+	c.detectStall(now)
 	if c.directory == nil {
 		if !now.Before(c.reopenAt) {
-			c.open(now)
+			c.openDisk(now)
 		}
 		return
 	}
 	c.directory.Tick(now)
-	c.roster.Store(&madeRoster{c.directory.Roster(now), now})
+	c.roster.Store(&timedRoster{c.directory.Roster(now), now})
 	c.peers.connect(ctx, c.directory.Addresses())
 }
 
-// pump persists, sends and answers, in this order.
-func (c *Control) pump() error {
+// processReady persists, sends and answers, in this order.
+func (c *Control) processReady() error {
 	if c.directory == nil {
 		return nil
 	}
@@ -158,38 +158,38 @@
 	if err != nil {
 		return err
 	}
-	if err := c.persistTimed(ready); err != nil {
+	if err := c.persistAndObserve(ready); err != nil {
 		return err
 	}
 	for _, m := range ready.Log.Messages {
-		c.peers.post(m)
+		c.peers.queueMessage(m)
 	}
 	c.publish()
 	for _, index := range ready.Done {
-		c.answer(index, true)
+		c.resolveProposal(index, true)
 	}
 	for _, index := range ready.Lost {
-		c.answer(index, false)
+		c.resolveProposal(index, false)
 	}
 	return nil
 }
 
-// persistTimed persists and takes the time where there is something to write.
-func (c *Control) persistTimed(ready directory.Ready) error {
+// persistAndObserve persists and takes the time where there is something to write.
+func (c *Control) persistAndObserve(ready directory.Ready) error {
 	if ready.Log.Record == nil && ready.Log.Snapshot == nil {
 		return c.persist(ready)
 	}
-	began := c.config.Now()
+	start := c.config.Now()
 	err := c.persist(ready)
-	observeSince(c.timings.sync, c.config.Now, began, err)
+	observeSince(c.timings.sync, c.config.Now, start, err)
 	return err
 }
 
-// answer tells whoever waits for a proposal whether it is committed.
-func (c *Control) answer(index uint64, committed bool) {
-	if w := c.waiting[index]; w != nil {
+// resolveProposal tells whoever waits for a proposal whether it is committed.
+func (c *Control) resolveProposal(index uint64, committed bool) {
+	if w := c.pendingProposals[index]; w != nil {
 		w <- committed
-		delete(c.waiting, index)
+		delete(c.pendingProposals, index)
 	}
 }
 
@@ -197,7 +197,7 @@
 func (c *Control) publish() {
 	now := c.config.Now()
 	status, last := c.directory.Status(now), c.status.Load().status
-	c.status.Store(&madeStatus{status, now})
+	c.status.Store(&timedStatus{status, now})
 	if status.Role != last.Role || status.Leader != last.Leader || status.Term != last.Term {
 		c.config.Log.Info("log role", "id", status.Self, "role", status.Role, "leader", status.Leader, "term", status.Term, "commit", status.Commit)
 	}
@@ -207,17 +207,17 @@
 	if !slices.Equal(status.Voters, last.Voters) {
 		c.config.Log.Info("voters", "voters", status.Voters, "before", last.Voters)
 	}
-	held := c.published.Load()
-	next := held.with(c.directory.Document(), status.Evacuations, held.confirmed || status.Confirmed)
-	if next == held {
+	current := c.published.Load()
+	next := current.with(c.directory.Document(), status.Evacuations, current.confirmed || status.Confirmed)
+	if next == current {
 		return
 	}
 	c.published.Store(next)
 	c.documents.notify()
-	if next.evacuations.Revision() > held.evacuations.Revision() {
+	if next.evacuations.Revision() > current.evacuations.Revision() {
 		c.config.Log.Info("evacuations in force", "revision", next.evacuations.Revision(), "domains", next.evacuations.Domains())
 	}
-	if doc := next.document(); doc != nil && (doc != held.document() || next.confirmed != held.confirmed) {
+	if doc := next.document(); doc != nil && (doc != current.document() || next.confirmed != current.confirmed) {
 		c.config.Log.Info("document in force", "version", doc.Version(), "routes", len(doc.Routes()), "confirmed", next.confirmed)
 	}
 }
@@ -247,20 +247,20 @@
 	}
 }
 
-// step hands a message of the log to the loop; one that finds the queue full
+// handleLogMessage hands a message of the log to the loop; one that finds the queue full
 // is lost, which the log bears.
-func (c *Control) step(m *wire.LogMessage) {
-	c.post(func(now time.Time, d *directory.Directory) { d.Step(now, m) })
+func (c *Control) handleLogMessage(m *wire.LogMessage) {
+	c.enqueue(func(now time.Time, d *directory.Directory) { d.Step(now, m) })
 }
 
-// hear hands the roster of another control instance to the loop.
-func (c *Control) hear(roster *wire.Roster) {
-	c.post(func(now time.Time, d *directory.Directory) { d.HandleRoster(now, roster) })
+// handleRoster hands the roster of another control instance to the loop.
+func (c *Control) handleRoster(roster *wire.Roster) {
+	c.enqueue(func(now time.Time, d *directory.Directory) { d.HandleRoster(now, roster) })
 }
 
-// post queues f for the loop without waiting; it is left out where the queue
+// enqueue queues f for the loop without waiting; it is left out where the queue
 // is full or the disk fails.
-func (c *Control) post(f func(now time.Time, d *directory.Directory)) {
+func (c *Control) enqueue(f func(now time.Time, d *directory.Directory)) {
 	run := func(now time.Time) {
 		if c.directory != nil {
 			f(now, c.directory)
@@ -278,9 +278,9 @@
 // Status returns what the instance believes. One whose loop has stood still
 // for longer than a lease leads no more, whatever it believed last.
 func (c *Control) Status() directory.Status {
-	made := c.status.Load()
-	s := made.status
-	if c.config.Now().Sub(made.at) > directory.Lease {
+	latest := c.status.Load()
+	s := latest.status
+	if c.config.Now().Sub(latest.at) > directory.Lease {
 		s.Current = false
 	}
 	return s
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -14,18 +14,18 @@
 		byReason [steer.ReasonCount]atomic.Uint64
 	}
 
-	// questionCounts counts questions to endpoints by what came of them.
-	questionCounts struct {
+	// probeOutcomeCounts counts questions to endpoints by what came of them.
+	probeOutcomeCounts struct {
 		byOutcome [steer.OutcomeCount]atomic.Uint64
 	}
 
 	// announcementCounts counts what came as announcements of control instances.
 	announcementCounts struct {
-		heard, malformed atomic.Uint64
+		received, malformed atomic.Uint64
 	}
 
-	// figure is a counter or gauge with its name, labels included.
-	figure struct {
+	// metric is a counter or gauge with its name, labels included.
+	metric struct {
 		name  string
 		value uint64
 	}
@@ -34,70 +34,70 @@
 // add counts the packet that a decision is about.
 func (c *packetCounts) add(d steer.Decision) { c.byReason[d.Reason].Add(1) }
 
-// writeFigures writes figures, a line each.
-func writeFigures(w io.Writer, figures []figure) {
-	for _, f := range figures {
+// writeMetrics writes figures, a line each.
+func writeMetrics(w io.Writer, metrics []metric) {
+	for _, f := range metrics {
 		fmt.Fprintf(w, "%s %d\n", f.name, f.value)
 	}
 }
 
 // WriteMetrics writes the entry's counters, gauges and timings, a line each.
 func (e *Entry) WriteMetrics(w io.Writer) {
-	writeFigures(w, e.figures())
+	writeMetrics(w, e.metrics())
 	e.timings.writeText(w)
 }
 
-// figures returns the entry's counters and gauges.
-func (e *Entry) figures() []figure {
-	var all []figure
+// metrics returns the entry's counters and gauges.
+func (e *Entry) metrics() []metric {
+	var all []metric
 	for _, reason := range steer.Reasons() {
-		all = append(all, figure{fmt.Sprintf("oxbowsaddle_packets_total{reason=%q}", reason), e.counts.byReason[reason].Load()})
+		all = append(all, metric{fmt.Sprintf("oxbowsaddle_packets_total{reason=%q}", reason), e.counts.byReason[reason].Load()})
 	}
 	for outcome := range steer.OutcomeCount {
-		all = append(all, figure{fmt.Sprintf("oxbowsaddle_questions_total{outcome=%q}", outcome), e.probeOutcomes.byOutcome[outcome].Load()})
+		all = append(all, metric{fmt.Sprintf("oxbowsaddle_questions_total{outcome=%q}", outcome), e.probeOutcomes.byOutcome[outcome].Load()})
 	}
 	now := e.config.Now()
 	e.mu.Lock()
 	c, evacuations := e.steerer.Counts(now), e.steerer.Evacuations()
 	e.mu.Unlock()
 	return append(all,
-		figure{"oxbowsaddle_flows", uint64(c.Flows)},
-		figure{"oxbowsaddle_endpoints", uint64(c.Endpoints)},
-		figure{"oxbowsaddle_endpoints_silent", uint64(c.Silent)},
-		figure{"oxbowsaddle_endpoints_suspect", uint64(c.Suspect)},
-		figure{"oxbowsaddle_endpoints_lost", uint64(c.Lost)},
-		figure{"oxbowsaddle_endpoints_hung", uint64(c.Ejected)},
-		figure{"oxbowsaddle_announcements_total", e.announcements.heard.Load()},
-		figure{"oxbowsaddle_announcements_malformed_total", e.announcements.malformed.Load()},
-		figure{"oxbowsaddle_document_version", c.Version},
-		figure{"oxbowsaddle_domains_evacuated", uint64(len(evacuations.Domains()))},
-		figure{"oxbowsaddle_evacuations_revision", evacuations.Revision()},
+		metric{"oxbowsaddle_flows", uint64(c.Flows)},
+		metric{"oxbowsaddle_endpoints", uint64(c.Endpoints)},
+		metric{"oxbowsaddle_endpoints_silent", uint64(c.Silent)},
+		metric{"oxbowsaddle_endpoints_suspect", uint64(c.Suspect)},
+		metric{"oxbowsaddle_endpoints_lost", uint64(c.Lost)},
+		metric{"oxbowsaddle_endpoints_hung", uint64(c.Ejected)},
+		metric{"oxbowsaddle_announcements_total", e.announcements.received.Load()},
+		metric{"oxbowsaddle_announcements_malformed_total", e.announcements.malformed.Load()},
+		metric{"oxbowsaddle_document_version", c.Version},
+		metric{"oxbowsaddle_domains_evacuated", uint64(len(evacuations.Domains()))},
+		metric{"oxbowsaddle_evacuations_revision", evacuations.Revision()},
 	)
 }
 
 // WriteMetrics writes the control instance's gauges and timings, a line each.
 func (c *Control) WriteMetrics(w io.Writer) {
-	writeFigures(w, c.figures())
+	writeMetrics(w, c.metrics())
 	c.timings.writeText(w)
 }
 
-// figures returns the control instance's gauges.
-func (c *Control) figures() []figure {
+// metrics returns the control instance's gauges.
+func (c *Control) metrics() []metric {
 	s := c.Status()
 	current := uint64(0)
 	if s.Current {
 		current = 1
 	}
-	return append([]figure{
+	return append([]metric{
 		{"oxbowsaddle_log_term", s.Term},
 		{"oxbowsaddle_log_commit", s.Commit},
 		{"oxbowsaddle_log_current", current},
 		{"oxbowsaddle_voters", uint64(len(s.Voters))},
 		{"oxbowsaddle_calls_waiting", uint64(len(c.calls))},
 		{"oxbowsaddle_entries", uint64(c.entries.count())},
-		{"oxbowsaddle_entries_remembered", uint64(c.audience.count())},
+		{"oxbowsaddle_entries_remembered", uint64(c.announceTargets.count())},
 		{"oxbowsaddle_document_version", s.Version},
 		{"oxbowsaddle_domains_evacuated", uint64(len(s.Evacuations.Domains()))},
 		{"oxbowsaddle_evacuations_revision", s.Evacuations.Revision()},
-	}, c.malformed.figures()...)
+	}, c.malformed.metrics()...)
 }
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -10,21 +10,21 @@
 )
 
 const (
-	// compactAt is the size of the log file at which a snapshot is taken.
-	compactAt = 1 << 20
-	// reopenAfter is the pause before a disk that failed is tried again.
-	reopenAfter = 250 * time.Millisecond
+	// compactThreshold is the size of the log file at which a snapshot is taken.
+	compactThreshold = 1 << 20
+	// reopenDelay is the pause before a disk that failed is tried again.
+	reopenDelay = 250 * time.Millisecond
 )
 
-// open reads the data folder; where that fails it is tried again later.
-func (c *Control) open(now time.Time) {
-	c.reopenAt = now.Add(reopenAfter)
+// openDisk reads the data folder; where that fails it is tried again later.
+func (c *Control) openDisk(now time.Time) {
+	c.reopenAt = now.Add(reopenDelay)
 	files, err := c.config.Files()
 	if err != nil {
 		c.config.Log.Error("data folder cannot be opened", "error", err)
 		return
 	}
-	if c.failed && !takesWrites(files) {
+	if c.diskFailed && !isWritable(files) {
 		return
 	}
 	identity, err := loadIdentity(files, c.config)
@@ -46,22 +46,22 @@
 		c.config.Log.Error("log cannot be used", "error", err)
 		return
 	}
-	c.store, c.directory, c.failed = store, d, false
+	c.store, c.directory, c.diskFailed = store, d, false
 	c.config.Log.Info("log opened", "id", identity.Id, "founders", identity.Founders, "entries", len(loaded.Entries),
 		"term", loaded.HardState.Term, "torn", loaded.Torn)
 }
 
-// takesWrites reports whether a disk that failed can be written again: reading
+// isWritable reports whether a disk that failed can be written again: reading
 // alone would not show that. Its failure was logged when it failed.
-func takesWrites(files storage.Files) bool { return storage.Probe(files) == nil }
+func isWritable(files storage.Files) bool { return storage.Probe(files) == nil }
 
-// close gives the disk up until it can be opened again, as after a crash.
-func (c *Control) close(now time.Time) {
+// closeDisk gives the disk up until it can be opened again, as after a crash.
+func (c *Control) closeDisk(now time.Time) {
 	_ = c.store.Close() // it has failed already
-	c.store, c.directory, c.failed, c.reopenAt = nil, nil, true, now.Add(reopenAfter)
-	c.status.Store(&madeStatus{})
-	for index := range c.waiting {
-		c.answer(index, false)
+	c.store, c.directory, c.diskFailed, c.reopenAt = nil, nil, true, now.Add(reopenDelay)
+	c.status.Store(&timedStatus{})
+	for index := range c.pendingProposals {
+		c.resolveProposal(index, false)
 	}
 }
 
@@ -78,12 +78,12 @@
 			return err
 		}
 	}
-	if c.store.Size() < compactAt {
+	if c.store.Size() < compactThreshold {
 		return nil
 	}
-	file, hard, after, err := c.directory.Compact()
-	if err != nil || file == nil {
+	snapshot, hard, after, err := c.directory.Compact()
+	if err != nil || snapshot == nil {
 		return err
 	}
-	return c.store.SaveSnapshot(file, hard, after)
+	return c.store.SaveSnapshot(snapshot, hard, after)
 }
--- a/internal/node/disk_test.go
+++ b/internal/node/disk_test.go
@@ -19,7 +19,7 @@
 	begin := func(subnet byte, n int) {
 		fleet = startFleet(subnet, n, 3, ginkgo.GinkgoT().TempDir, log.New(ginkgo.GinkgoWriter))
 		ginkgo.DeferCleanup(func() { fleet.stop() })
-		fleet.order(1)
+		fleet.put(1)
 	}
 	voters := func() []string {
 		if leader := fleet.leader(); leader != nil {
@@ -32,14 +32,14 @@
 		begin(41, 3)
 		full := fleet.leader()
 		full.disk.SetFull(true)
-		fleet.order(2)
+		fleet.put(2)
 		var err error
 		Eventually(func() fault.Kind {
-			_, err = full.Put(context.Background(), must(document.New(document.Config{Version: 3})))
+			_, err = full.Put(context.Background(), mustDocument(document.New(document.Config{Version: 3})))
 			return fault.KindOf(err)
-		}, patience).Should(Equal(fault.DataFolder), "it says itself that it cannot: %v", err)
+		}, settleTimeout).Should(Equal(fault.DataFolder), "it says itself that it cannot: %v", err)
 		full.disk.SetFull(false)
-		Eventually(func() uint64 { return full.Status().Version }, patience).Should(BeNumerically(">=", 2))
+		Eventually(func() uint64 { return full.Status().Version }, settleTimeout).Should(BeNumerically(">=", 2))
 	})
 
 	ginkgo.It("acknowledge on while the leader's disk stands still", func() {
@@ -47,10 +47,10 @@
 		stalled := fleet.leader()
 		goOn := stalled.disk.Stall()
 		defer goOn()
-		fleet.order(2)
+		fleet.put(2)
 		Expect(fleet.leader()).NotTo(BeIdenticalTo(stalled))
 		goOn()
-		Eventually(func() uint64 { return stalled.Status().Version }, patience).Should(Equal(uint64(2)))
+		Eventually(func() uint64 { return stalled.Status().Version }, settleTimeout).Should(Equal(uint64(2)))
 	})
 
 	ginkgo.It("acknowledge on while a disk is 40 times slower, the leader's or another", func() {
@@ -58,40 +58,40 @@
 		const slow = 100 * time.Millisecond // a write and a sync together take 40 times the 5 ms of the machines
 		for version, r := range []*runningControl{fleet.leader(), fleet.follower()} {
 			r.disk.SetDelay(slow)
-			fleet.order(uint64(2 + version))
+			fleet.put(uint64(2 + version))
 			r.disk.SetDelay(0)
 		}
 		for _, r := range fleet {
-			Eventually(func() uint64 { return r.Status().Version }, patience).Should(Equal(uint64(3)))
+			Eventually(func() uint64 { return r.Status().Version }, settleTimeout).Should(Equal(uint64(3)))
 		}
 	})
 
 	ginkgo.It("give the vote of one whose disk refuses every write to another one", func() {
 		begin(43, 4)
-		Eventually(voters, patience).Should(HaveLen(3))
+		Eventually(voters, settleTimeout).Should(HaveLen(3))
 		full := fleet[slices.IndexFunc(fleet, func(r *runningControl) bool {
 			return r != fleet.leader() && slices.Contains(voters(), r.Status().Self)
 		})]
 		lost := full.Status().Self
 		full.disk.SetFull(true)
-		fleet.order(2) // it notices when it writes
-		Eventually(voters, patience).Should(And(HaveLen(3), Not(ContainElement(lost))))
+		fleet.put(2) // it notices when it writes
+		Eventually(voters, settleTimeout).Should(And(HaveLen(3), Not(ContainElement(lost))))
 	})
 
 	ginkgo.It("give the vote of one whose disk stands still to another one", func() {
 		begin(44, 4)
-		Eventually(voters, patience).Should(HaveLen(3))
+		Eventually(voters, settleTimeout).Should(HaveLen(3))
 		stalled := fleet.leader()
 		lost := stalled.Status().Self
 		goOn := stalled.disk.Stall()
 		defer goOn()
-		fleet.order(2) // it notices when it writes
-		Eventually(voters, patience).Should(And(HaveLen(3), Not(ContainElement(lost))))
+		fleet.put(2) // it notices when it writes
+		Eventually(voters, settleTimeout).Should(And(HaveLen(3), Not(ContainElement(lost))))
 	})
 })
 
-// must returns a document that has no faults.
-func must(doc *document.Document, faults []string) *document.Document {
+// mustDocument returns a document that has no faults.
+func mustDocument(doc *document.Document, faults []string) *document.Document {
 	if len(faults) > 0 {
 		panic(errors.New(faults[0]))
 	}
--- a/internal/node/endpointlines.go
+++ b/internal/node/endpointlines.go
@@ -9,28 +9,28 @@
 )
 
 const (
-	// endpointLinesPerSecond and endpointLinesAtOnce bound the log lines about endpoints:
+	// endpointLogRate and endpointLinesAtOnce bound the log lines about endpoints:
 	// those of a release, and not of a fleet that starts.
-	endpointLinesPerSecond = 20
-	endpointLinesAtOnce    = 100
+	endpointLogRate  = 20
+	endpointLogBurst = 100
 )
 
-// endpointLines logs what becomes known of endpoints, within bounds.
-type endpointLines struct {
-	log   *log.Logger
-	lines *lineBound
+// endpointLog logs what becomes known of endpoints, within bounds.
+type endpointLog struct {
+	log     *log.Logger
+	limiter *logLimiter
 }
 
-func newEndpointLines(logger *log.Logger) *endpointLines {
-	return &endpointLines{logger, newLineBound(endpointLinesPerSecond, endpointLinesAtOnce)}
+func newEndpointLog(logger *log.Logger) *endpointLog {
+	return &endpointLog{logger, newLogLimiter(endpointLogRate, endpointLogBurst)}
 }
 
-// changed logs a change of an endpoint that was heard age ago.
-func (l *endpointLines) changed(e registry.Endpoint, silent bool, age time.Duration) {
-	leftOut, logged := l.lines.take()
-	if !logged {
+// logChange logs a change of an endpoint that was heard age ago.
+func (l *endpointLog) logChange(e registry.Endpoint, silent bool, age time.Duration) {
+	dropped, allowed := l.limiter.allow()
+	if !allowed {
 		return
 	}
 	l.log.Info("endpoint", "endpoint", e.ID, "service", e.Service, "address", e.Addr, "domain", e.Domain, "sequence", e.Sequence,
-		"leaving", e.Leaving, "gone", e.Gone, "silent", silent, "age", age, "left_out", leftOut)
+		"leaving", e.Leaving, "gone", e.Gone, "silent", silent, "age", age, "left_out", dropped)
 }
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -13,25 +13,25 @@
 // endpointList is the registry of a control instance with what the others
 // have confirmed to hold of it.
 type endpointList struct {
-	now                 func() time.Time
-	changes             notifier // a change that entries must know
-	receipts            notifier // somebody confirmed something
-	whole, brief, peers *batches // of what entries and other control instances are told
+	now                                      func() time.Time
+	changes                                  notifier  // a change that entries must know
+	acknowledgements                         notifier  // somebody confirmed something
+	fullBatches, summaryBatches, peerBatches *batchLog // of what entries and other control instances are told
 
-	mu        sync.Mutex
-	registry  *registry.Registry
-	confirmed map[string]uint64 // number by peer address
+	mu           sync.Mutex
+	registry     *registry.Registry
+	acknowledged map[string]uint64 // number by peer address
 }
 
 func newEndpointList(c ControlConfig) *endpointList {
-	lines := newEndpointLines(c.Log)
+	changeLog := newEndpointLog(c.Log)
 	l := &endpointList{
-		now: c.Now, registry: registry.New(registry.Config{HeartbeatPeriod: c.Beat, OnChange: lines.changed}, c.Now()), confirmed: map[string]uint64{},
+		now: c.Now, registry: registry.New(registry.Config{HeartbeatPeriod: c.Beat, OnChange: changeLog.logChange}, c.Now()), acknowledged: map[string]uint64{},
 	}
-	l.whole = &batches{gap: feedGap, changes: &l.changes, reports: l.changesAfter, empty: nothingTold}
-	l.brief = &batches{gap: briefGap, changes: &l.changes, reports: l.changesBrieflyAfter, empty: nothingTold}
+	l.fullBatches = &batchLog{delay: fullBatchDelay, changes: &l.changes, collect: l.changesAfter, isEmpty: nothingForEntry}
+	l.summaryBatches = &batchLog{delay: summaryBatchDelay, changes: &l.changes, collect: l.changeSummaryAfter, isEmpty: nothingForEntry}
 	// Other control instances take the frame of a calm time for a sign of life.
-	l.peers = &batches{gap: peerGap, every: frameEvery, changes: &l.changes, reports: l.beatsAfter, empty: func(*wire.Reports) bool { return false }}
+	l.peerBatches = &batchLog{delay: peerBatchDelay, interval: frameInterval, changes: &l.changes, collect: l.peerChangesAfter, isEmpty: func(*wire.Reports) bool { return false }}
 	return l
 }
 
@@ -54,16 +54,16 @@
 	}
 }
 
-// hear takes a heartbeat and returns the number of the change.
-func (l *endpointList) hear(e registry.Endpoint) (number uint64) {
-	l.update(func(now time.Time, r *registry.Registry) { number, _ = r.Heartbeat(now, e) })
-	return number
+// heartbeat takes a heartbeat and returns the number of the change.
+func (l *endpointList) heartbeat(e registry.Endpoint) (revision uint64) {
+	l.update(func(now time.Time, r *registry.Registry) { revision, _ = r.Heartbeat(now, e) })
+	return revision
 }
 
 // leave marks an incarnation as gone and returns the number of the change.
-func (l *endpointList) leave(id string) (number uint64) {
-	l.update(func(now time.Time, r *registry.Registry) { number = r.Leave(now, id) })
-	return number
+func (l *endpointList) leave(id string) (revision uint64) {
+	l.update(func(now time.Time, r *registry.Registry) { revision = r.Leave(now, id) })
+	return revision
 }
 
 // merge takes the reports of another control instance.
@@ -71,15 +71,15 @@
 	l.update(func(now time.Time, r *registry.Registry) { r.Merge(now, reports) })
 }
 
-// allHeard reports whether every endpoint has had the time to be heard.
-func (l *endpointList) allHeard() bool {
+// complete reports whether every endpoint has had the time to be heard.
+func (l *endpointList) complete() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.registry.Complete(l.now())
 }
 
-// changed returns the number of the last change that entries must know.
-func (l *endpointList) changed() uint64 {
+// lastChange returns the number of the last change that entries must know.
+func (l *endpointList) lastChange() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.registry.LastChange()
@@ -93,14 +93,14 @@
 }
 
 // changesAfter returns what entries must know of the changes after a number.
-func (l *endpointList) changesAfter(number uint64) *wire.Reports {
-	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Changes(now, number) })
+func (l *endpointList) changesAfter(revision uint64) *wire.Reports {
+	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Changes(now, revision) })
 }
 
-// changesBrieflyAfter returns what an entry must know of the changes after a
+// changeSummaryAfter returns what an entry must know of the changes after a
 // number that somebody else tells it whole.
-func (l *endpointList) changesBrieflyAfter(number uint64) *wire.Reports {
-	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.ChangeSummary(now, number) })
+func (l *endpointList) changeSummaryAfter(revision uint64) *wire.Reports {
+	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.ChangeSummary(now, revision) })
 }
 
 // records returns what is known of some endpoints.
@@ -108,63 +108,63 @@
 	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Records(now, ids) })
 }
 
-// lacking returns what an entry lacks whose digest is given.
-func (l *endpointList) lacking(known registry.Digest) *wire.Reports {
+// missing returns what an entry lacks whose digest is given.
+func (l *endpointList) missing(known registry.Digest) *wire.Reports {
 	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Missing(now, known) })
 }
 
-// beatsAfter returns what the other control instances must know of the
+// peerChangesAfter returns what the other control instances must know of the
 // heartbeats and changes after a number.
-func (l *endpointList) beatsAfter(number uint64) *wire.Reports {
-	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.PeerChanges(now, number) })
+func (l *endpointList) peerChangesAfter(revision uint64) *wire.Reports {
+	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.PeerChanges(now, revision) })
 }
 
-// confirm notes what the instance at an address holds; 0 after its link ended.
-func (l *endpointList) confirm(address string, number uint64) {
+// acknowledge notes what the instance at an address holds; 0 after its link ended.
+func (l *endpointList) acknowledge(address string, revision uint64) {
 	l.mu.Lock()
-	l.confirmed[address] = number
+	l.acknowledged[address] = revision
 	l.mu.Unlock()
-	l.receipts.notify()
+	l.acknowledgements.notify()
 }
 
-// await waits until enough of the instances at the addresses hold a change;
+// awaitAcknowledgements waits until enough of the instances at the addresses hold a change;
 // the error, once the context ends, is of kind NoQuorum.
-func (l *endpointList) await(ctx context.Context, number uint64, addresses []string, enough int) error {
-	receipts, cancel := l.receipts.subscribe()
+func (l *endpointList) awaitAcknowledgements(ctx context.Context, revision uint64, addresses []string, enough int) error {
+	acknowledgements, cancel := l.acknowledgements.subscribe()
 	defer cancel()
 	for {
-		if l.holders(number, addresses) >= enough {
+		if l.countAcknowledged(revision, addresses) >= enough {
 			return nil
 		}
 		select {
-		case <-receipts:
+		case <-acknowledgements:
 		case <-ctx.Done():
 			return fault.New(fault.NoQuorum, "too few control instances hold the change")
 		}
 	}
 }
 
-// holders returns how many of the instances at the addresses hold a change.
-func (l *endpointList) holders(number uint64, addresses []string) int {
+// countAcknowledged returns how many of the instances at the addresses hold a change.
+func (l *endpointList) countAcknowledged(revision uint64, addresses []string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	n := 0
 	for _, address := range addresses {
-		if l.confirmed[address] >= number {
+		if l.acknowledged[address] >= revision {
 			n++
 		}
 	}
 	return n
 }
 
-// view returns what an entry is told that begins to be told briefly.
-func (l *endpointList) view() *wire.Reports {
+// summary returns what an entry is told that begins to be told briefly.
+func (l *endpointList) summary() *wire.Reports {
 	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Summary(now) })
 }
 
 // loop looks for silent endpoints until the context ends.
 func (l *endpointList) loop(ctx context.Context) error {
-	ticker := time.NewTicker(frameEvery)
+	ticker := time.NewTicker(frameInterval)
 	defer ticker.Stop()
 	last := l.now()
 	for {
@@ -181,9 +181,9 @@
 
 // sweep looks for silent endpoints, a span after it did so last. What of it this process
 // was late says nothing of them.
-func (l *endpointList) sweep(since time.Duration) {
+func (l *endpointList) sweep(elapsed time.Duration) {
 	l.update(func(now time.Time, r *registry.Registry) {
-		if late := since - frameEvery; late > frameEvery {
+		if late := elapsed - frameInterval; late > frameInterval {
 			r.AddStall(late)
 		}
 		r.Sweep(now)
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -29,7 +29,7 @@
 	// await returns the outcome once the wait ends.
 	await := func(ctx context.Context, number uint64, enough int) <-chan error {
 		done := make(chan error, 1)
-		go func() { done <- list.await(ctx, number, others, enough) }()
+		go func() { done <- list.awaitAcknowledgements(ctx, number, others, enough) }()
 		return done
 	}
 
@@ -37,18 +37,18 @@
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		number := change()
-		list.confirm("b", number-1)
+		list.acknowledge("b", number-1)
 		done := await(ctx, number, 1)
 		Consistently(done, "50ms").ShouldNot(Receive())
-		list.confirm("b", number)
+		list.acknowledge("b", number)
 		Eventually(done).Should(Receive(BeNil()))
 	})
 
 	ginkgo.It("does not count one whose link has ended, nor one that is not asked", func() {
 		number := change()
-		list.confirm("b", number)
-		list.confirm("b", 0)
-		list.confirm("stranger", number)
+		list.acknowledge("b", number)
+		list.acknowledge("b", 0)
+		list.acknowledge("stranger", number)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := await(ctx, number, 1)
 		Consistently(done, "50ms").ShouldNot(Receive())
@@ -59,7 +59,7 @@
 	})
 
 	ginkgo.It("is none where this instance alone is a majority", func() {
-		Expect(list.await(context.Background(), change(), others, 0)).To(Succeed())
+		Expect(list.awaitAcknowledgements(context.Background(), change(), others, 0)).To(Succeed())
 	})
 
 	ginkgo.It("wakes those who tell entries only for what they must know", func() {
@@ -80,7 +80,7 @@
 		now := time.Unix(1000, 0)
 		l := newEndpointList(ControlConfig{Beat: beat, Log: log.New(io.Discard), Now: func() time.Time { return now }})
 		for n := range 100 {
-			l.hear(benchEndpoint(n))
+			l.heartbeat(benchEndpoint(n))
 		}
 		silent := func() (n int) {
 			for _, m := range l.changesAfter(0).Endpoints {
@@ -93,8 +93,8 @@
 		// pass lets time pass, in which it looks for silent endpoints as often as it should.
 		pass := func(span time.Duration) {
 			for end := now.Add(span); now.Before(end); {
-				now = now.Add(frameEvery)
-				l.sweep(frameEvery)
+				now = now.Add(frameInterval)
+				l.sweep(frameInterval)
 			}
 		}
 		pass(beat)
@@ -110,10 +110,10 @@
 	ginkgo.It("logs few lines of what many endpoints say, and how many it left out", func() {
 		var out bytes.Buffer
 		l := newEndpointList(ControlConfig{Beat: time.Second, Log: log.New(&out), Now: SteadyClock()})
-		for n := range 5 * endpointLinesAtOnce {
-			l.hear(benchEndpoint(n))
+		for n := range 5 * endpointLogBurst {
+			l.heartbeat(benchEndpoint(n))
 		}
-		Expect(bytes.Count(out.Bytes(), []byte("\n"))).To(BeNumerically("<", 2*endpointLinesAtOnce))
+		Expect(bytes.Count(out.Bytes(), []byte("\n"))).To(BeNumerically("<", 2*endpointLogBurst))
 		Expect(out.String()).To(ContainSubstring("left_out"))
 	})
 })
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -59,7 +59,7 @@
 		endpointsReceived atomic.Bool // by any control instance
 		stopping          atomic.Bool
 		counts            packetCounts
-		probeOutcomes     questionCounts
+		probeOutcomes     probeOutcomeCounts
 		announcements     announcementCounts
 		decisions         *decisionLog
 		timings           entryTimings
@@ -126,12 +126,12 @@
 	if !e.config.OperatorAddr.IsValid() {
 		return nil
 	}
-	server, err := newLinkServer(e.config.OperatorAddr.String(), nil, &entryAnswers{entry: e})
+	server, err := newLinkServer(e.config.OperatorAddr.String(), nil, &entryAPI{entry: e})
 	if err != nil {
 		e.config.Log.Error("cannot listen for operators' commands", "address", e.config.OperatorAddr, "error", err)
 		return nil
 	}
-	return server.run(ctx)
+	return server.serve(ctx)
 }
 
 // Stop makes the entry not ready, and returns when routers have had time to remove it;
--- a/internal/node/entrylink.go
+++ b/internal/node/entrylink.go
@@ -35,7 +35,7 @@
 	for {
 		frame, err := l.stream.Recv()
 		if err == nil {
-			frame, err = unpack(frame)
+			frame, err = decompressFrame(frame)
 		}
 		if err != nil {
 			return err
@@ -57,7 +57,7 @@
 	entry := l.manager.entry
 	entry.config.Log.Info("control instance reached", "control", l.address)
 	l.finishLoad = l.manager.acquireLoadSlot(ctx)
-	return entry.reach(l)
+	return entry.addLink(l)
 }
 
 // send sends one frame. It is safe for concurrent use.
@@ -115,12 +115,12 @@
 		l.manager.reconcile(rootCtx)
 	} else {
 		l.manager.setRoster(rootCtx, l.address, roster)
-		entry.locate(l.address, roster)
+		entry.setSourceDomain(l.address, roster)
 	}
 	if err := l.activate(ctx, rootCtx); err != nil || !l.active {
 		return err
 	}
-	entry.noteState(l.address, roster)
+	entry.recordSourceState(l.address, roster)
 	entry.requestDocument() // again, if the last request has timed out
 	return l.send(&wire.Frame{Body: &wire.Frame_Receipt{Receipt: entry.appliedReceipt()}})
 }
--- a/internal/node/evacuate_test.go
+++ b/internal/node/evacuate_test.go
@@ -18,7 +18,7 @@
 
 // evacuate sends an order until it is acknowledged.
 func (f controlFleet) evacuate(o evacuation.Order) {
-	f.untilTaken(func(ctx context.Context, r *runningControl) (string, error) { return r.Evacuate(ctx, o) })
+	f.retryUntilAccepted(func(ctx context.Context, r *runningControl) (string, error) { return r.Evacuate(ctx, o) })
 }
 
 var _ = ginkgo.Describe("an evacuation", func() {
@@ -34,18 +34,18 @@
 		ginkgo.BeforeEach(func() {
 			fleet = startFleet(41, 3, 3, ginkgo.GinkgoT().TempDir, log.New(io.Discard))
 			ginkgo.DeferCleanup(func() { fleet.stop() })
-			fleet.order(1)
+			fleet.put(1)
 			entry = startFleetEntry(fleet, "e1", DialTCP)
 		})
 
 		ginkgo.It("comes in force at entries, at those that come later too, and ends", func() {
 			fleet.evacuate(evacuation.Order{Domain: "d1"})
-			Eventually(inForce, patience).Should(Equal([]string{"d1"}))
+			Eventually(inForce, settleTimeout).Should(Equal([]string{"d1"}))
 			late := startFleetEntry(fleet, "e2", DialTCP)
-			Eventually(late.Ready, patience).Should(BeTrue())
+			Eventually(late.Ready, settleTimeout).Should(BeTrue())
 			Expect(late.steerer.Evacuations().Domains()).To(Equal([]string{"d1"}), "it serves before it knows")
 			fleet.evacuate(evacuation.Order{Domain: "d1", Undo: true})
-			Eventually(inForce, patience).Should(BeEmpty())
+			Eventually(inForce, settleTimeout).Should(BeEmpty())
 		})
 
 		ginkgo.It("outlives a restart of every control instance, and the loss of a disk", func() {
@@ -54,15 +54,15 @@
 			for _, r := range fleet {
 				r.stop()
 			}
-			fleet[0].lose(folder)
+			fleet[0].replaceDisk(folder)
 			for _, r := range fleet {
 				r.start()
 			}
-			fleet.order(2)
+			fleet.put(2)
 			leader := fleet.leader()
-			Eventually(func() []string { return leader.Status().Evacuations.Domains() }, patience).Should(Equal([]string{"d2"}))
+			Eventually(func() []string { return leader.Status().Evacuations.Domains() }, settleTimeout).Should(Equal([]string{"d2"}))
 			late := startFleetEntry(fleet, "e3", DialTCP)
-			Eventually(late.Ready, patience).Should(BeTrue())
+			Eventually(late.Ready, settleTimeout).Should(BeTrue())
 			Expect(late.appliedReceipt().Evacuations).NotTo(BeZero())
 		})
 
@@ -76,12 +76,12 @@
 		})
 
 		ginkgo.It("is not offered once its caller has gone, though the loop comes to it later", func() {
-			Eventually(fleet.leader, patience).ShouldNot(BeNil())
+			Eventually(fleet.leader, settleTimeout).ShouldNot(BeNil())
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			offered := make(chan bool, 20)
 			for range 20 { // the loop takes the call, or the caller is turned away before
-				_, err := fleet.leader().offerHere(ctx, func(time.Time, *directory.Directory) (uint64, bool, error) {
+				_, err := fleet.leader().propose(ctx, func(time.Time, *directory.Directory) (uint64, bool, error) {
 					offered <- true
 					return 0, true, nil
 				})
@@ -92,13 +92,13 @@
 		})
 
 		ginkgo.It("names the leader to the commands of operators elsewhere", func() {
-			Eventually(fleet.leader, patience).ShouldNot(BeNil())
-			answers := &controlAnswers{control: fleet.follower().Control}
+			Eventually(fleet.leader, settleTimeout).ShouldNot(BeNil())
+			answers := &controlAPI{control: fleet.follower().Control}
 			r, err := answers.Evacuate(context.Background(), &wire.EvacuateRequest{Domain: "d0"})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(r.Kind).To(Equal(fault.NotCurrent.Name()))
 			Expect(r.Elsewhere).To(Equal(fleet.leader().config.Peer.String()))
-			Eventually(entry.orderTaker, patience).ShouldNot(BeEmpty())
+			Eventually(entry.primaryAddress, settleTimeout).ShouldNot(BeEmpty())
 		})
 	})
 
@@ -111,12 +111,12 @@
 		})
 
 		ginkgo.It("is turned away for a while after the instance stood still", func() {
-			control.noteStandstill(now)
-			now = now.Add(standstill)
-			control.noteStandstill(now)
+			control.detectStall(now)
+			now = now.Add(stallThreshold)
+			control.detectStall(now)
 			Expect(control.resumedAt).To(BeZero(), "a slow turn is none")
-			now = now.Add(standstill + time.Millisecond)
-			control.noteStandstill(now)
+			now = now.Add(stallThreshold + time.Millisecond)
+			control.detectStall(now)
 			Expect(control.resumedAt).To(Equal(now))
 		})
 	})
@@ -150,12 +150,12 @@
 		ginkgo.It("is told with the offer and with each document", func() {
 			doc, _ := document.New(document.Config{Version: 7})
 			set := (*evacuation.Set)(nil).With(4, evacuation.Order{Domain: "d0"})
-			p := (&published{}).with(doc, nil, true)
+			p := (&publishedState{}).with(doc, nil, true)
 			next := p.with(doc, set, true)
 			Expect(next).NotTo(BeIdenticalTo(p))
 			Expect(next.with(doc, nil, true)).To(BeIdenticalTo(next), "an older one changes nothing")
 			Expect(next.offer().GetOffer().Evacuations.Domains).To(Equal([]string{"d0"}))
-			told, err := unpack(next.frame(0))
+			told, err := decompressFrame(next.frame(0))
 			Expect(err).NotTo(HaveOccurred())
 			Expect(told.GetDocument().Evacuations.Revision).To(Equal(uint64(4)))
 		})
--- a/internal/node/failover_bench_test.go
+++ b/internal/node/failover_bench_test.go
@@ -27,7 +27,7 @@
 		{"the leader restarts with an empty disk", func(b *testing.B, f controlFleet) {
 			lost := f.leader()
 			lost.stop()
-			lost.lose(b.TempDir())
+			lost.replaceDisk(b.TempDir())
 			lost.start()
 		}},
 		{"all restart", func(_ *testing.B, f controlFleet) {
@@ -41,11 +41,11 @@
 		b.Run(loss.name, func(b *testing.B) {
 			f := startFleet(byte(60+n), 3, 3, b.TempDir, log.New(io.Discard))
 			b.Cleanup(f.stop)
-			f.order(1)
+			f.put(1)
 			time.Sleep(time.Second) // until all instances follow the leader
 			b.ResetTimer()
 			loss.lose(b, f)
-			f.order(2)
+			f.put(2)
 			b.ReportMetric(float64(b.Elapsed().Milliseconds()), "ms/ack")
 		})
 	}
--- a/internal/node/feed_test.go
+++ b/internal/node/feed_test.go
@@ -19,7 +19,7 @@
 	var control *Control
 	ginkgo.BeforeEach(func() {
 		control = NewControl(ControlConfig{Beat: time.Second, Log: log.New(io.Discard), Now: SteadyClock()})
-		control.endpoints.hear(endpoint)
+		control.endpoints.heartbeat(endpoint)
 	})
 
 	// subscribed returns the feed of an entry that knows something, and what it was sent.
@@ -30,7 +30,7 @@
 		return f, stream
 	}
 	last := func(s *recordingStream) *wire.Reports {
-		frame, err := unpack(s.sent[len(s.sent)-1])
+		frame, err := decompressFrame(s.sent[len(s.sent)-1])
 		Expect(err).NotTo(HaveOccurred())
 		return frame.GetReports()
 	}
@@ -48,13 +48,13 @@
 
 		f, stream := subscribed(false, registry.Digest{})
 		Expect(last(stream).Endpoints).To(HaveLen(1))
-		control.endpoints.whole.make()
+		control.endpoints.fullBatches.appendNext()
 		Expect(f.sendBatches(false)).To(Succeed())
 		sent := len(stream.sent)
 		Expect(f.sendBatches(false)).To(Succeed())
 		Expect(stream.sent).To(HaveLen(sent))
 		control.endpoints.leave("i-1")
-		control.endpoints.whole.make()
+		control.endpoints.fullBatches.appendNext()
 		Expect(f.sendBatches(true)).To(Succeed())
 		Expect(stream.sent).To(HaveLen(sent), "it is not told briefly")
 		Expect(f.sendBatches(false)).To(Succeed())
@@ -70,73 +70,73 @@
 	})
 
 	ginkgo.It("is the sums of what changed where it is told briefly", func() {
-		control.endpoints.brief.make()
+		control.endpoints.summaryBatches.appendNext()
 		f, stream := subscribed(true, known)
 		other := endpoint
 		other.ID, other.Addr = "i-2", netip.MustParseAddrPort("10.0.0.2:80")
-		control.endpoints.hear(other)
-		control.endpoints.brief.make()
+		control.endpoints.heartbeat(other)
+		control.endpoints.summaryBatches.appendNext()
 		Expect(f.sendBatches(true)).To(Succeed())
 		told := last(stream)
 		Expect(told.Endpoints).To(BeEmpty())
 		Expect(told.Sums).To(HaveLen(1))
 		Expect(told.Sums[0].Id).To(Equal("i-2"))
-		Expect(f.answerRecords(&wire.RecordsWant{Ids: []string{"i-2", "unknown"}}).Endpoints).To(ConsistOf(HaveField("Id", "i-2")))
-		Expect(f.answerRecords(&wire.RecordsWant{Digest: known[:]}).Endpoints).To(ContainElement(HaveField("Id", "i-2")))
+		Expect(f.requestedRecords(&wire.RecordsWant{Ids: []string{"i-2", "unknown"}}).Endpoints).To(ConsistOf(HaveField("Id", "i-2")))
+		Expect(f.requestedRecords(&wire.RecordsWant{Digest: known[:]}).Endpoints).To(ContainElement(HaveField("Id", "i-2")))
 	})
 
 	ginkgo.It("is made once for all that are told alike", func() {
-		control.endpoints.whole.make()
+		control.endpoints.fullBatches.appendNext()
 		a, first := subscribed(false, known)
 		b, second := subscribed(false, known)
 		control.endpoints.leave("i-1")
-		control.endpoints.whole.make()
+		control.endpoints.fullBatches.appendNext()
 		Expect(a.sendBatches(false)).To(Succeed())
 		Expect(b.sendBatches(false)).To(Succeed())
 		Expect(second.sent[len(second.sent)-1]).To(BeIdenticalTo(first.sent[len(first.sent)-1]))
 	})
 
 	ginkgo.It("is made for one that is further behind than batches are kept, and goes on with them", func() {
-		control.endpoints.whole.make()
+		control.endpoints.fullBatches.appendNext()
 		f, stream := subscribed(false, known)
-		for n := range 2 * batchesKept {
+		for n := range 2 * maxKeptBatches {
 			e := endpoint
 			e.ID, e.Addr = fmt.Sprint("i-", 10+n), netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(n)}), 80)
-			control.endpoints.hear(e)
-			control.endpoints.whole.make()
+			control.endpoints.heartbeat(e)
+			control.endpoints.fullBatches.appendNext()
 		}
 		Expect(f.sendBatches(false)).To(Succeed())
-		Expect(last(stream).Endpoints).To(HaveLen(2 * batchesKept))
+		Expect(last(stream).Endpoints).To(HaveLen(2 * maxKeptBatches))
 		control.endpoints.leave("i-1")
-		control.endpoints.whole.make()
+		control.endpoints.fullBatches.appendNext()
 		Expect(f.sendBatches(false)).To(Succeed())
 		Expect(last(stream).Endpoints).To(ConsistOf(HaveField("Id", "i-1")))
 	})
 
 	ginkgo.It("is the digest again some times after it took the place of sums", func() {
 		f, stream := subscribed(true, known)
-		Expect(f.checkAt).NotTo(BeNil())
-		for range checks {
-			Expect(f.checkAt).NotTo(BeNil())
-			Expect(f.check()).To(Succeed())
+		Expect(f.repeatDue).NotTo(BeNil())
+		for range digestRepeats {
+			Expect(f.repeatDue).NotTo(BeNil())
+			Expect(f.repeatDigest()).To(Succeed())
 			Expect(last(stream).Digest).To(Equal(known[:]))
 		}
-		Expect(f.checkAt).To(BeNil())
+		Expect(f.repeatDue).To(BeNil())
 	})
 
 	ginkgo.It("names the control instances once, and says afterwards that they are the same", func() {
 		at := time.Duration(0)
-		roster := func(led bool, ids ...string) *madeRoster {
+		roster := func(led bool, ids ...string) *timedRoster {
 			r := &wire.Roster{Leads: led, Voters: []string{"c1"}}
 			for _, id := range ids {
 				at += time.Second
 				r.Instances = append(r.Instances, &wire.ControlInstance{Id: id, Address: id + ":1", Front: id + ":2", AgeNanos: int64(at)})
 			}
-			return &madeRoster{roster: r}
+			return &timedRoster{roster: r}
 		}
 		stream := &recordingStream{}
 		feed := newEntryFeed(control, stream, &wire.Hello{Id: "entry"})
-		sent := func(made *madeRoster) *wire.Roster {
+		sent := func(made *timedRoster) *wire.Roster {
 			control.roster.Store(made)
 			Expect(feed.sendRoster()).To(Succeed())
 			return stream.sent[len(stream.sent)-1].GetRoster()
--- a/internal/node/feedendpoints.go
+++ b/internal/node/feedendpoints.go
@@ -11,9 +11,9 @@
 // endpoints in another way.
 func (f *entryFeed) subscribe(s *wire.Subscription) error {
 	f.brief = s.Brief
-	if !f.told {
-		f.told = true
-		f.begin()
+	if !f.subscribed {
+		f.subscribed = true
+		f.registerEntry()
 	}
 	if err := f.sendOffer(); err != nil {
 		return err
@@ -21,99 +21,99 @@
 	known := registry.DecodeDigest(s.Digest)
 	switch {
 	case known == (registry.Digest{}):
-		return f.sendFirstList()
+		return f.sendInitialList()
 	case f.brief:
-		return f.sendView()
+		return f.sendSummary()
 	default:
-		f.checkAt = nil
-		return f.sendLacking(known)
+		f.repeatDue = nil
+		return f.sendMissing(known)
 	}
 }
 
-// begin notes that the entry is linked.
-func (f *entryFeed) begin() {
+// registerEntry notes that the entry is linked.
+func (f *entryFeed) registerEntry() {
 	f.control.entries.heard(f, &wire.Receipt{})
-	unlisten := f.control.audience.trackLink(f.listens)
-	f.unlink = func() {
-		unlisten()
+	untrack := f.control.announceTargets.trackLink(f.announceAddr)
+	f.onEnd = func() {
+		untrack()
 		f.control.entries.lost(f)
 	}
 }
 
-// batches returns those that the feed sends.
-func (f *entryFeed) batches() *batches {
+// batchLog returns those that the feed sends.
+func (f *entryFeed) batchLog() *batchLog {
 	if f.brief {
-		return f.control.endpoints.brief
+		return f.control.endpoints.summaryBatches
 	}
-	return f.control.endpoints.whole
+	return f.control.endpoints.fullBatches
 }
 
-// sendView tells an entry that is told briefly what is known of endpoints, in sum.
-func (f *entryFeed) sendView() error {
-	f.sent = f.batches().upTo()
-	f.beginChecks()
-	return f.stream.Send(pack(reportsFrame(f.control.endpoints.view()), packFast))
+// sendSummary tells an entry that is told briefly what is known of endpoints, in sum.
+func (f *entryFeed) sendSummary() error {
+	f.sentRevision = f.batchLog().lastRevision()
+	f.scheduleDigestRepeats()
+	return f.stream.Send(compressFrame(reportsFrame(f.control.endpoints.summary()), compressFast))
 }
 
-// beginChecks has the digest told again.
-func (f *entryFeed) beginChecks() {
-	f.checks = checks
-	f.checkAt = time.After(checkAfter)
+// scheduleDigestRepeats has the digest told again.
+func (f *entryFeed) scheduleDigestRepeats() {
+	f.repeatsLeft = digestRepeats
+	f.repeatDue = time.After(digestRepeatDelay)
 }
 
-// check tells the digest once more.
-func (f *entryFeed) check() error {
-	f.checkAt = nil
-	if f.checks--; f.checks > 0 {
-		f.checkAt = time.After(checkAfter)
+// repeatDigest tells the digest once more.
+func (f *entryFeed) repeatDigest() error {
+	f.repeatDue = nil
+	if f.repeatsLeft--; f.repeatsLeft > 0 {
+		f.repeatDue = time.After(digestRepeatDelay)
 	}
-	return f.stream.Send(pack(reportsFrame(f.control.endpoints.view()), packFast))
+	return f.stream.Send(compressFrame(reportsFrame(f.control.endpoints.summary()), compressFast))
 }
 
-// sendLacking tells the entry the parts of the list in which it knows something else.
-func (f *entryFeed) sendLacking(known registry.Digest) error {
-	f.sent = f.batches().upTo()
-	return f.stream.Send(pack(reportsFrame(f.control.endpoints.lacking(known)), packFast))
+// sendMissing tells the entry the parts of the list in which it knows something else.
+func (f *entryFeed) sendMissing(known registry.Digest) error {
+	f.sentRevision = f.batchLog().lastRevision()
+	return f.stream.Send(compressFrame(reportsFrame(f.control.endpoints.missing(known)), compressFast))
 }
 
-// answerRecords returns what the entry asks for.
-func (f *entryFeed) answerRecords(want *wire.RecordsWant) *wire.Reports {
-	if len(want.Digest) > 0 {
-		return f.control.endpoints.lacking(registry.DecodeDigest(want.Digest))
+// requestedRecords returns what the entry asks for.
+func (f *entryFeed) requestedRecords(request *wire.RecordsWant) *wire.Reports {
+	if len(request.Digest) > 0 {
+		return f.control.endpoints.missing(registry.DecodeDigest(request.Digest))
 	}
-	return f.control.endpoints.records(want.Ids)
+	return f.control.endpoints.records(request.Ids)
 }
 
 // sendBatches tells the entry what has changed since it was told last, if it is told so
 // at present. One that is too far behind is told it by itself.
 func (f *entryFeed) sendBatches(brief bool) error {
-	if !f.told || f.brief != brief {
+	if !f.subscribed || f.brief != brief {
 		return nil
 	}
-	told, number, ok := f.batches().after(f.sent)
+	pending, revision, ok := f.batchLog().after(f.sentRevision)
 	if !ok {
-		number = f.batches().upTo()
-		told = batchOf(f.reports())
+		revision = f.batchLog().lastRevision()
+		pending = singleBatch(f.unsentChanges())
 	}
-	for _, each := range told {
+	for _, each := range pending {
 		if err := f.stream.Send(each.frame); err != nil {
 			return err
 		}
-		if each.summed {
-			f.beginChecks()
+		if each.hasDigest {
+			f.scheduleDigestRepeats()
 		}
 	}
-	f.sent = number
+	f.sentRevision = revision
 	return nil
 }
 
-// sendFirstList tells an entry that knows nothing of the endpoints of its own
+// sendInitialList tells an entry that knows nothing of the endpoints of its own
 // failure domain; the rest follows, and what has changed since the list was made.
-func (f *entryFeed) sendFirstList() error {
-	frames, number := f.control.firstList.get(f.domain, f.batches())
-	f.sent = number
-	if f.rest = frames[1:]; len(f.rest) > 0 {
-		f.restDue = time.After(restGap)
+func (f *entryFeed) sendInitialList() error {
+	frames, revision := f.control.initialList.get(f.domain, f.batchLog())
+	f.sentRevision = revision
+	if f.remainder = frames[1:]; len(f.remainder) > 0 {
+		f.remainderDue = time.After(remainderDelay)
 	}
 	if err := f.stream.Send(frames[0]); err != nil {
 		return err
@@ -121,10 +121,10 @@
 	return f.sendBatches(f.brief)
 }
 
-// sendRest tells the rest of the first list.
-func (f *entryFeed) sendRest() error {
-	frames := f.rest
-	f.rest, f.restDue = nil, nil
+// sendRemainder tells the rest of the first list.
+func (f *entryFeed) sendRemainder() error {
+	frames := f.remainder
+	f.remainder, f.remainderDue = nil, nil
 	for _, frame := range frames {
 		if err := f.stream.Send(frame); err != nil {
 			return err
@@ -133,10 +133,10 @@
 	return nil
 }
 
-// reports returns what has changed since the entry was told last.
-func (f *entryFeed) reports() *wire.Reports {
+// unsentChanges returns what has changed since the entry was told last.
+func (f *entryFeed) unsentChanges() *wire.Reports {
 	if f.brief {
-		return f.control.endpoints.changesBrieflyAfter(f.sent)
+		return f.control.endpoints.changeSummaryAfter(f.sentRevision)
 	}
-	return f.control.endpoints.changesAfter(f.sent)
+	return f.control.endpoints.changesAfter(f.sentRevision)
 }
--- a/internal/node/firstlist_bench_test.go
+++ b/internal/node/firstlist_bench_test.go
@@ -25,33 +25,33 @@
 	f := startFleet(80, 1, 1, b.TempDir, log.New(io.Discard))
 	b.Cleanup(f.stop)
 	for n := range endpoints {
-		f[0].endpoints.hear(registry.Endpoint{
+		f[0].endpoints.heartbeat(registry.Endpoint{
 			ID: fmt.Sprintf("i-%08x", uint32(n)*2654435761), Number: uint64(uint32(n) * 2654435761), Service: "booking",
 			Addr: netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 128, byte(n >> 8), byte(n)}), 8080), Domain: "plateau", Slots: 2, Sequence: uint64(n),
 		})
 	}
 	for b.Loop() {
-		before := processorTime()
+		before := cpuTime()
 		var all sync.WaitGroup
 		size := 0
 		for range entries {
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				frame := askForList(b, f[0].config.Peer.String())
+				frame := requestInitialList(b, f[0].config.Peer.String())
 				if n := len(frame.GetPacked()); n > 0 {
 					size = n
 				}
 			}()
 		}
 		all.Wait()
-		b.ReportMetric(float64((processorTime()-before).Microseconds())/entries, "µs-cpu/entry")
+		b.ReportMetric(float64((cpuTime()-before).Microseconds())/entries, "µs-cpu/entry")
 		b.ReportMetric(float64(size), "bytes")
 	}
 }
 
-// askForList asks for all endpoints and returns the frame that tells of them.
-func askForList(b *testing.B, address string) *wire.Frame {
+// requestInitialList asks for all endpoints and returns the frame that tells of them.
+func requestInitialList(b *testing.B, address string) *wire.Frame {
 	raw, err := DialTCP(context.Background(), address, time.Second)
 	if err != nil {
 		b.Error(err)
@@ -82,8 +82,8 @@
 	}
 }
 
-// processorTime returns what this process has used.
-func processorTime() time.Duration {
+// cpuTime returns what this process has used.
+func cpuTime() time.Duration {
 	var used unix.Rusage
 	_ = unix.Getrusage(unix.RUSAGE_SELF, &used)
 	return time.Duration(used.Utime.Nano() + used.Stime.Nano())
--- a/internal/node/fleet_bench_test.go
+++ b/internal/node/fleet_bench_test.go
@@ -40,15 +40,15 @@
 	for n, size := range []struct{ links, endpoints int }{{0, 10_000}, {118, 10_000}, {985, 10_000}, {118, 20_000}} {
 		b.Run(fmt.Sprintf("links=%d/endpoints=%d", size.links, size.endpoints), func(b *testing.B) {
 			for b.Loop() {
-				startsWith(b, byte(140+n), size.links, size.endpoints)
+				benchFleetStart(b, byte(140+n), size.links, size.endpoints)
 			}
 		})
 	}
 }
 
-// startsWith starts a control instance before so many entries, has all endpoints become
+// benchFleetStart starts a control instance before so many entries, has all endpoints become
 // known, and reports what that cost.
-func startsWith(b *testing.B, subnet byte, links, endpoints int) {
+func benchFleetStart(b *testing.B, subnet byte, links, endpoints int) {
 	folder := b.TempDir()
 	peer := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%250), subnet, 1}), 17740)
 	control := NewControl(ControlConfig{
@@ -59,38 +59,38 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	go func() { _ = control.Run(ctx) }()
-	before, cpu := memoryInUse(), processorTime()
+	before, cpu := memoryInUse(), cpuTime()
 	for n := range links {
-		go readAll(ctx, peer.String(), n)
+		go readLink(ctx, peer.String(), n)
 	}
 	for control.entries.count() < links {
 		time.Sleep(time.Millisecond)
 	}
-	most := memoryInUse()
+	peak := memoryInUse()
 	for n := range endpoints {
-		control.endpoints.hear(benchEndpoint(n))
+		control.endpoints.heartbeat(benchEndpoint(n))
 		if n%500 == 0 {
 			time.Sleep(50 * time.Millisecond) // as many as a fleet's heartbeats bring in that time
-			most = max(most, memoryInUse())
+			peak = max(peak, memoryInUse())
 		}
 	}
 	time.Sleep(time.Second)
-	most = max(most, memoryInUse())
+	peak = max(peak, memoryInUse())
 	if path := os.Getenv("FLEET_HEAP"); path != "" {
 		if f, err := os.Create(path); err == nil {
 			_ = pprof.WriteHeapProfile(f)
 			_ = f.Close()
 		}
 	}
-	b.ReportMetric(float64(most-before)/(1<<20), "MB")
-	b.ReportMetric(float64(processorTime()-cpu)/float64(time.Millisecond), "ms-cpu")
+	b.ReportMetric(float64(peak-before)/(1<<20), "MB")
+	b.ReportMetric(float64(cpuTime()-cpu)/float64(time.Millisecond), "ms-cpu")
 	if links > 0 {
-		b.ReportMetric(float64(most-before)/float64(links)/(1<<10), "kB/link")
+		b.ReportMetric(float64(peak-before)/float64(links)/(1<<10), "kB/link")
 	}
 }
 
-// readAll is the other end of a link that reads what comes until the context ends.
-func readAll(ctx context.Context, address string, n int) {
+// readLink is the other end of a link that reads what comes until the context ends.
+func readLink(ctx context.Context, address string, n int) {
 	var raw net.Conn
 	for {
 		var err error
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -15,9 +15,9 @@
 	"oxbowsaddle/internal/storage/storagetest"
 )
 
-// patience bounds what control instances may take to settle; nothing is
+// settleTimeout bounds what control instances may take to settle; nothing is
 // asserted about how fast they do.
-const patience = 30 * time.Second
+const settleTimeout = 30 * time.Second
 
 type (
 	// runningControl is a control instance with its disk.
@@ -48,8 +48,8 @@
 	}
 }
 
-// lose replaces the disk by an empty one.
-func (r *runningControl) lose(folder string) {
+// replaceDisk replaces the disk by an empty one.
+func (r *runningControl) replaceDisk(folder string) {
 	r.config.First = false
 	r.disk = storagetest.NewFailing(func() (storage.Files, error) { return storage.Folder(folder) })
 	r.config.Files = r.disk.Files
@@ -57,11 +57,11 @@
 
 // startFleet starts n control instances on loopback addresses of their own.
 func startFleet(subnet byte, n, voters int, tempDir func() string, logger *log.Logger) controlFleet {
-	return startFleetBy(subnet, n, voters, tempDir, logger, DialTCP)
+	return startFleetWithDialer(subnet, n, voters, tempDir, logger, DialTCP)
 }
 
-// startFleetBy starts one whose instances open links by dial.
-func startFleetBy(subnet byte, n, voters int, tempDir func() string, logger *log.Logger, dial Dialer) controlFleet {
+// startFleetWithDialer starts one whose instances open links by dial.
+func startFleetWithDialer(subnet byte, n, voters int, tempDir func() string, logger *log.Logger, dial Dialer) controlFleet {
 	var all controlFleet
 	var seeds []netip.AddrPort
 	for i := range n {
@@ -74,7 +74,7 @@
 			Domain: fmt.Sprint("d", i%3), Peer: peer, Front: fmt.Sprint("front-", i), Voters: voters,
 			Beat: time.Second, Dial: dial, Log: logger, Now: SteadyClock(),
 		}}
-		r.lose(tempDir())
+		r.replaceDisk(tempDir())
 		r.config.First = true
 		all = append(all, r)
 	}
@@ -108,14 +108,14 @@
 	return f[slices.IndexFunc(f, func(r *runningControl) bool { return r != leader })]
 }
 
-// order offers a document until it is acknowledged.
-func (f controlFleet) order(version uint64) {
+// put offers a document until it is acknowledged.
+func (f controlFleet) put(version uint64) {
 	doc, _ := document.New(document.Config{Version: version})
-	f.untilTaken(func(ctx context.Context, r *runningControl) (string, error) { return r.Put(ctx, doc) })
+	f.retryUntilAccepted(func(ctx context.Context, r *runningControl) (string, error) { return r.Put(ctx, doc) })
 }
 
-// untilTaken asks one instance after the other until one acknowledges.
-func (f controlFleet) untilTaken(ask func(ctx context.Context, r *runningControl) (elsewhere string, err error)) {
+// retryUntilAccepted asks one instance after the other until one acknowledges.
+func (f controlFleet) retryUntilAccepted(ask func(ctx context.Context, r *runningControl) (elsewhere string, err error)) {
 	for {
 		for _, r := range f {
 			ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
--- a/internal/node/hints.go
+++ b/internal/node/hints.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// hintsName is the file that keeps hints.
-	hintsName = "hints"
-	// hintsEvery bounds how often hints are written: two syncs each time.
-	hintsEvery = 250 * time.Millisecond
-	// hintsRest is how many times as long as a write took none follows: what is written grows
+	// hintsFile is the file that keeps hints.
+	hintsFile = "hints"
+	// hintsInterval bounds how often hints are written: two syncs each time.
+	hintsInterval = 250 * time.Millisecond
+	// hintsPauseFactor is how many times as long as a write took none follows: what is written grows
 	// with the fleet, and this bounds its part of the processor and of the disk.
-	hintsRest = 20
+	hintsPauseFactor = 20
 )
 
 // loadHints reads what was known before the restart, and fills the lists of
 // endpoints and of entries with it; a damaged file is none.
 func (c *Control) loadHints(files storage.Files) *wire.Hints {
 	hints := &wire.Hints{}
-	if _, err := storage.LoadMessage(files, hintsName, hints); err != nil {
+	if _, err := storage.LoadMessage(files, hintsFile, hints); err != nil {
 		c.config.Log.Warn("hints cannot be read", "error", err)
 		return &wire.Hints{}
 	}
-	c.audience.restore(hints.Entries)
+	c.announceTargets.restore(hints.Entries)
 	if hints.Reports == nil {
 		return hints
 	}
@@ -43,32 +43,32 @@
 // hintsLoop writes hints when they have changed, beside the log's loop, which
 // must not wait for it.
 func (c *Control) hintsLoop(ctx context.Context) error {
-	ticker := time.NewTicker(hintsEvery)
+	ticker := time.NewTicker(hintsInterval)
 	defer ticker.Stop()
-	var commit, number, entries uint64
-	var rested time.Time
+	var savedCommit, savedRevision, savedEntries uint64
+	var pauseEnd time.Time
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		began := c.config.Now()
-		if began.Before(rested) {
+		start := c.config.Now()
+		if start.Before(pauseEnd) {
 			continue
 		}
-		known, changed, audience := c.Status().Commit, c.endpoints.changed(), c.audience.revision()
-		if known == commit && changed == number && audience == entries {
+		commit, revision, entries := c.Status().Commit, c.endpoints.lastChange(), c.announceTargets.revision()
+		if commit == savedCommit && revision == savedRevision && entries == savedEntries {
 			continue
 		}
-		hints := &wire.Hints{Commit: known, Reports: c.endpoints.changesAfter(0), Entries: c.audience.addresses()}
+		hints := &wire.Hints{Commit: commit, Reports: c.endpoints.changesAfter(0), Entries: c.announceTargets.addresses()}
 		if err := c.saveHints(hints); err != nil {
 			c.config.Log.Warn("hints not written", "error", err)
 			continue
 		}
-		commit, number, entries = known, changed, audience
-		wrote := c.config.Now()
-		rested = wrote.Add(hintsRest * wrote.Sub(began))
+		savedCommit, savedRevision, savedEntries = commit, revision, entries
+		finished := c.config.Now()
+		pauseEnd = finished.Add(hintsPauseFactor * finished.Sub(start))
 	}
 }
 
@@ -78,5 +78,5 @@
 	if err != nil {
 		return err
 	}
-	return storage.SaveMessage(files, hintsName, hints)
+	return storage.SaveMessage(files, hintsFile, hints)
 }
--- a/internal/node/identity.go
+++ b/internal/node/identity.go
@@ -8,21 +8,21 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// identityName is the file that keeps who a control instance is.
-const identityName = "identity"
+// identityFile is the file that keeps who a control instance is.
+const identityFile = "identity"
 
 // loadIdentity reads who the instance is, or makes and keeps it. An id lives
 // as long as the disk: an instance whose disk is lost gets another one at the
 // same address, so that nothing the old one promised is counted for, or broken
 // by, the new one.
 func loadIdentity(files storage.Files, c ControlConfig) (*wire.Identity, error) {
-	held := &wire.Identity{}
-	found, err := storage.LoadMessage(files, identityName, held)
+	stored := &wire.Identity{}
+	found, err := storage.LoadMessage(files, identityFile, stored)
 	if found || err != nil {
-		return held, err
+		return stored, err
 	}
-	made := newIdentity(c)
-	return made, storage.SaveMessage(files, identityName, made)
+	created := newIdentity(c)
+	return created, storage.SaveMessage(files, identityFile, created)
 }
 
 // newIdentity makes a founder of a seed at the very first start, and somebody
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -14,12 +14,12 @@
 )
 
 const (
-	// frameEvery is how often each end of a link says something at least.
-	frameEvery = 200 * time.Millisecond
-	// linkIdle ends a link on which nothing came for so long: several frames.
-	linkIdle = 1200 * time.Millisecond
-	// unackedMost is how long sent bytes may stay unacknowledged.
-	unackedMost = time.Second
+	// frameInterval is how often each end of a link says something at least.
+	frameInterval = 200 * time.Millisecond
+	// linkIdleTimeout ends a link on which nothing came for so long: several frames.
+	linkIdleTimeout = 1200 * time.Millisecond
+	// maxUnackedTime is how long sent bytes may stay unacknowledged.
+	maxUnackedTime = time.Second
 )
 
 type (
@@ -34,7 +34,7 @@
 
 // Read reads what comes within linkIdle.
 func (c linkConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(linkIdle)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(linkIdleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
@@ -42,28 +42,28 @@
 
 // Write writes what is taken within linkIdle.
 func (c linkConn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(linkIdle)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(linkIdleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
 }
 
-// limitUnacked makes the kernel end a connection whose other end is gone
+// setUserTimeout makes the kernel end a connection whose other end is gone
 // without having closed it.
-func limitUnacked(_, _ string, raw syscall.RawConn) error {
-	var failed error
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedMost/time.Millisecond))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(maxUnackedTime/time.Millisecond))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
 // DialTCP is the Dialer that processes use.
 func DialTCP(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: timeout, Control: limitUnacked}
+	dialer := net.Dialer{Timeout: timeout, Control: setUserTimeout}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
@@ -71,13 +71,13 @@
 // closes it; the caller then says hello. An error is of kind Unreachable.
 func openLink(ctx context.Context, raw net.Conn) (wire.DRPCDirectory_LinkClient, func(), error) {
 	conn := drpcconn.New(linkConn{raw})
-	done := func() { _ = conn.Close() }
+	closeLink := func() { _ = conn.Close() }
 	stream, err := wire.NewDRPCDirectoryClient(conn).Link(ctx)
 	if err != nil {
-		done()
+		closeLink()
 		return nil, nil, fault.Wrap(fault.Unreachable, err)
 	}
-	return stream, done, nil
+	return stream, closeLink, nil
 }
 
 // helloFrame is the first frame of a link.
--- a/internal/node/linkloop.go
+++ b/internal/node/linkloop.go
@@ -11,7 +11,7 @@
 // maintainLink connects to an address, again after each failure, until ctx is done. rootCtx
 // is the parent context of all links.
 func (m *linkManager) maintainLink(ctx, rootCtx context.Context, address string, link *managedLink) {
-	var backoff redial
+	var backoff dialBackoff
 	for ctx.Err() == nil {
 		err := m.serveLink(ctx, rootCtx, address, &backoff)
 		if ctx.Err() != nil {
@@ -19,13 +19,13 @@
 		}
 		m.markUnreachable(rootCtx, address, link)
 		if fault.KindOf(err) == fault.Unreachable {
-			time.Sleep(backoff.rest(!m.entry.linked()))
+			time.Sleep(backoff.nextPause(!m.entry.linked()))
 		}
 	}
 }
 
 // serveLink connects to a control instance and handles its frames until the link fails.
-func (m *linkManager) serveLink(ctx, rootCtx context.Context, address string, backoff *redial) error {
+func (m *linkManager) serveLink(ctx, rootCtx context.Context, address string, backoff *dialBackoff) error {
 	raw, err := backoff.dial(ctx, m.entry.config.Dial, address, !m.entry.linked())
 	if err != nil {
 		return fault.Wrap(fault.Unreachable, err)
@@ -35,12 +35,12 @@
 		return err
 	}
 	defer done()
-	backoff.reached()
+	backoff.reset()
 	link := &entryLink{manager: m, address: address, stream: stream, finishLoad: func() {}}
 	err = link.serve(ctx, rootCtx)
 	link.finishLoad()
 	if link.active {
-		m.entry.forget(address)
+		m.entry.removeSource(address)
 	}
 	m.setRoster(rootCtx, address, nil)
 	if ctx.Err() == nil {
--- a/internal/node/linkmanager.go
+++ b/internal/node/linkmanager.go
@@ -18,7 +18,7 @@
 	// maxLoadStartWait and maxLoadWait bound how long a link waits for another link to start
 	// and to finish loading its initial endpoint list.
 	maxLoadStartWait = 150 * time.Millisecond
-	maxLoadWait      = linkIdle
+	maxLoadWait      = linkIdleTimeout
 	// leaderlessTimeout is how long a control instance may be without a leader before
 	// another one is used in addition. It exceeds the duration of an election.
 	leaderlessTimeout = 2 * time.Second
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -7,8 +7,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// reach notes that a control instance can be asked, and has it tell what is in force.
-func (e *Entry) reach(l *entryLink) error {
+// addLink notes that a control instance can be asked, and has it tell what is in force.
+func (e *Entry) addLink(l *entryLink) error {
 	e.mu.Lock()
 	e.links[l.address] = l
 	e.mu.Unlock()
@@ -22,8 +22,8 @@
 	return len(e.links) > 0
 }
 
-// noteState notes what a control instance says of itself.
-func (e *Entry) noteState(source string, roster *wire.Roster) {
+// recordSourceState notes what a control instance says of itself.
+func (e *Entry) recordSourceState(source string, roster *wire.Roster) {
 	now := e.config.Now()
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -35,8 +35,8 @@
 	}
 }
 
-// locate takes from a roster, whose sender comes first, where the sender is.
-func (e *Entry) locate(source string, roster *wire.Roster) {
+// setSourceDomain takes from a roster, whose sender comes first, where the sender is.
+func (e *Entry) setSourceDomain(source string, roster *wire.Roster) {
 	if len(roster.Instances) == 0 {
 		return
 	}
@@ -48,35 +48,35 @@
 
 // choosePrimary has one control instance tell every change of endpoints, and the
 // others tell them briefly. The error is that of the link that is new, nil for none.
-func (e *Entry) choosePrimary(fresh *entryLink) error {
+func (e *Entry) choosePrimary(added *entryLink) error {
 	e.primaryMu.Lock() // so that what is sent comes in the order of the choices
 	defer e.primaryMu.Unlock()
 	e.mu.Lock()
-	before, changed := e.primary.choose(slices.Sorted(maps.Keys(e.links)))
-	chosen, last := e.links[e.primary.chosen], e.links[before]
+	previousAddress, changed := e.primary.choose(slices.Sorted(maps.Keys(e.links)))
+	chosen, previous := e.links[e.primary.chosen], e.links[previousAddress]
 	e.mu.Unlock()
 	var err error
-	if fresh != nil && fresh != chosen {
-		err = fresh.subscribe(true)
+	if added != nil && added != chosen {
+		err = added.subscribe(true)
 	}
 	if !changed {
 		return err
 	}
 	// Another link that fails is noticed where it is read; another one is chosen then.
 	if chosen != nil {
-		if failed := chosen.subscribe(false); chosen == fresh {
+		if failed := chosen.subscribe(false); chosen == added {
 			err = failed
 		}
 	}
-	if last != nil {
-		_ = last.subscribe(true)
+	if previous != nil {
+		_ = previous.subscribe(true)
 	}
 	return err
 }
 
-// forget drops what a control instance said, since it is out of reach, and
+// removeSource drops what a control instance said, since it is out of reach, and
 // asks another one for the document.
-func (e *Entry) forget(source string) {
+func (e *Entry) removeSource(source string) {
 	now := e.config.Now()
 	e.mu.Lock()
 	e.steerer.ForgetSource(now, source)
@@ -87,8 +87,8 @@
 	e.requestDocument()
 }
 
-// orderTaker returns a control instance that is linked, "" for none.
-func (e *Entry) orderTaker() string {
+// primaryAddress returns a control instance that is linked, "" for none.
+func (e *Entry) primaryAddress() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.primary.chosen
--- a/internal/node/linkserver.go
+++ b/internal/node/linkserver.go
@@ -22,7 +22,7 @@
 // commands of operators; an error is of kind AddressInUse where the address
 // cannot be had.
 func newLinkServer(address string, links wire.DRPCDirectoryServer, operators wire.DRPCControlServer) (*linkServer, error) {
-	config := net.ListenConfig{Control: limitUnacked}
+	config := net.ListenConfig{Control: setUserTimeout}
 	listener, err := config.Listen(context.Background(), "tcp", address)
 	if err != nil {
 		return nil, fault.Wrap(fault.AddressInUse, err)
@@ -39,8 +39,8 @@
 	return &linkServer{listener: listener, server: drpcserver.New(mux)}, nil
 }
 
-// run serves links until the context ends.
-func (s *linkServer) run(ctx context.Context) error {
+// serve serves links until the context ends.
+func (s *linkServer) serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() })
 	defer stop()
 	for {
@@ -49,15 +49,15 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			time.Sleep(redialAfter) // out of descriptors: those in use end
+			time.Sleep(minDialPause) // out of descriptors: those in use end
 			continue
 		}
-		go s.runOne(ctx, linkConn{raw})
+		go s.serveConn(ctx, linkConn{raw})
 	}
 }
 
-// runOne serves one connection until it ends; why it ended is logged at the
+// serveConn serves one connection until it ends; why it ended is logged at the
 // end that opened it.
-func (s *linkServer) runOne(ctx context.Context, conn linkConn) {
+func (s *linkServer) serveConn(ctx context.Context, conn linkConn) {
 	_ = s.server.ServeOne(ctx, conn)
 }
--- a/internal/node/malformed.go
+++ b/internal/node/malformed.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// malformedLinesPerSecond and malformedLinesAtOnce bound the log lines about calls that
+	// malformedLogRate and malformedLinesAtOnce bound the log lines about calls that
 	// name no endpoint: whoever writes them may write many.
-	malformedLinesPerSecond = 1
-	malformedLinesAtOnce    = 10
+	malformedLogRate  = 1
+	malformedLogBurst = 10
 )
 
 // malformedCalls counts calls that name no endpoint, by the field that is wrong.
 type malformedCalls struct {
 	mu      sync.Mutex
 	byField map[string]uint64
-	lines   *lineBound
+	limiter *logLimiter
 }
 
 func newMalformedCalls() *malformedCalls {
-	return &malformedCalls{byField: map[string]uint64{}, lines: newLineBound(malformedLinesPerSecond, malformedLinesAtOnce)}
+	return &malformedCalls{byField: map[string]uint64{}, limiter: newLogLimiter(malformedLogRate, malformedLogBurst)}
 }
 
-// take counts one call. It reports whether it is logged, and how many were not since the
+// record counts one call. It reports whether it is logged, and how many were not since the
 // last line.
-func (m *malformedCalls) take(field string) (leftOut uint64, logged bool) {
+func (m *malformedCalls) record(field string) (dropped uint64, allowed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.byField[field]++
-	return m.lines.take()
+	return m.limiter.allow()
 }
 
-// figures returns the counts.
-func (m *malformedCalls) figures() (all []figure) {
+// metrics returns the counts.
+func (m *malformedCalls) metrics() (all []metric) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, field := range slices.Sorted(maps.Keys(m.byField)) {
-		all = append(all, figure{fmt.Sprintf("oxbowsaddle_calls_malformed_total{field=%q}", field), m.byField[field]})
+		all = append(all, metric{fmt.Sprintf("oxbowsaddle_calls_malformed_total{field=%q}", field), m.byField[field]})
 	}
 	return all
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -6,13 +6,13 @@
 
 import "time"
 
-// steadyOrigin is what a steady clock reads at its start: above zero, so that
+// monotonicOrigin is what a steady clock reads at its start: above zero, so that
 // no stamp is mistaken for none.
-const steadyOrigin = time.Hour
+const monotonicOrigin = time.Hour
 
 // SteadyClock returns a clock that jumps of the time of day do not move; its
 // readings mean nothing outside the process.
 func SteadyClock() func() time.Time {
-	began := time.Now()
-	return func() time.Time { return time.Unix(0, 0).Add(steadyOrigin + time.Since(began)) }
+	start := time.Now()
+	return func() time.Time { return time.Unix(0, 0).Add(monotonicOrigin + time.Since(start)) }
 }
--- a/internal/node/notifier.go
+++ b/internal/node/notifier.go
@@ -4,8 +4,8 @@
 
 // notifier wakes everybody who waits for a change.
 type notifier struct {
-	mu      sync.Mutex
-	waiting map[chan struct{}]struct{}
+	mu          sync.Mutex
+	subscribers map[chan struct{}]struct{}
 }
 
 // subscribe returns a channel that holds a value after each change, and what
@@ -14,14 +14,14 @@
 	ch := make(chan struct{}, 1)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.waiting == nil {
-		n.waiting = map[chan struct{}]struct{}{}
+	if n.subscribers == nil {
+		n.subscribers = map[chan struct{}]struct{}{}
 	}
-	n.waiting[ch] = struct{}{}
+	n.subscribers[ch] = struct{}{}
 	return ch, func() {
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		delete(n.waiting, ch)
+		delete(n.subscribers, ch)
 	}
 }
 
@@ -29,7 +29,7 @@
 func (n *notifier) notify() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for ch := range n.waiting {
+	for ch := range n.subscribers {
 		select {
 		case ch <- struct{}{}:
 		default: // it has not looked at the last change yet
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -12,11 +12,11 @@
 )
 
 const (
-	// callMost is how long an order or a leave may wait for its confirmation:
+	// callTimeout is how long an order or a leave may wait for its confirmation:
 	// callers turn elsewhere after a second.
-	callMost = 800 * time.Millisecond
-	// leaderPoll is how often an order looks for a leader.
-	leaderPoll = 40 * time.Millisecond
+	callTimeout = 800 * time.Millisecond
+	// leaderPollInterval is how often an order looks for a leader.
+	leaderPollInterval = 40 * time.Millisecond
 )
 
 // Put offers a document and waits until it is committed, or its version is
@@ -26,16 +26,16 @@
 // elsewhere is empty and the kind NotCurrent or NoQuorum; while the disk fails
 // it is DataFolder.
 func (c *Control) Put(ctx context.Context, doc *document.Document) (elsewhere string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callMost)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	began := c.config.Now()
-	elsewhere, err = c.atLeader(ctx, func() (string, error) { return c.putHere(ctx, doc) })
-	observeSince(c.timings.order, c.config.Now, began, err)
+	start := c.config.Now()
+	elsewhere, err = c.retryWithoutLeader(ctx, func() (string, error) { return c.proposeDocument(ctx, doc) })
+	observeSince(c.timings.order, c.config.Now, start, err)
 	return elsewhere, err
 }
 
-// atLeader asks until this instance or another one leads.
-func (c *Control) atLeader(ctx context.Context, ask func() (string, error)) (string, error) {
+// retryWithoutLeader asks until this instance or another one leads.
+func (c *Control) retryWithoutLeader(ctx context.Context, ask func() (string, error)) (string, error) {
 	for {
 		elsewhere, err := ask()
 		if err == nil || elsewhere != "" || fault.KindOf(err) != fault.NotCurrent {
@@ -44,48 +44,48 @@
 		select {
 		case <-ctx.Done():
 			return "", err
-		case <-time.After(leaderPoll):
+		case <-time.After(leaderPollInterval):
 		}
 	}
 }
 
-// putHere proposes the document where this instance leads, and waits.
-func (c *Control) putHere(ctx context.Context, doc *document.Document) (elsewhere string, err error) {
-	return c.offerHere(ctx, func(now time.Time, d *directory.Directory) (uint64, bool, error) { return d.Put(now, doc) })
+// proposeDocument proposes the document where this instance leads, and waits.
+func (c *Control) proposeDocument(ctx context.Context, doc *document.Document) (elsewhere string, err error) {
+	return c.propose(ctx, func(now time.Time, d *directory.Directory) (uint64, bool, error) { return d.Put(now, doc) })
 }
 
-// offerOutcome is what came of an offer in the loop.
-type offerOutcome struct {
+// proposalResult is what came of an offer in the loop.
+type proposalResult struct {
 	elsewhere string
 	err       error
 }
 
-// offerHere offers something to the log where this instance leads, and waits
+// propose offers something to the log where this instance leads, and waits
 // until it is committed. What the loop comes to only after the caller was turned
 // away is not offered: it may be out of turn by then.
-func (c *Control) offerHere(ctx context.Context, offer func(now time.Time, d *directory.Directory) (index uint64, done bool, err error)) (elsewhere string, err error) {
+func (c *Control) propose(ctx context.Context, proposeIn func(now time.Time, d *directory.Directory) (index uint64, done bool, err error)) (elsewhere string, err error) {
 	committed := make(chan bool, 1)
-	outcome := &offerOutcome{} // the loop's until the call returns without an error, and for good where it does not
+	result := &proposalResult{} // the loop's until the call returns without an error, and for good where it does not
 	callErr := c.call(ctx, func(now time.Time, d *directory.Directory) {
 		if ctx.Err() != nil {
-			outcome.err = fault.New(fault.NoQuorum, "the caller has gone")
+			result.err = fault.New(fault.NoQuorum, "the caller has gone")
 			return
 		}
-		index, done, offerErr := offer(now, d)
+		index, done, proposeErr := proposeIn(now, d)
 		switch {
-		case offerErr != nil:
-			outcome.elsewhere, outcome.err = c.leaderFront(d), offerErr
+		case proposeErr != nil:
+			result.elsewhere, result.err = c.otherLeaderAddr(d), proposeErr
 		case done:
 			committed <- true
 		default:
-			c.waiting[index] = committed
+			c.pendingProposals[index] = committed
 		}
 	})
 	if callErr != nil {
 		return "", callErr
 	}
-	if outcome.err != nil {
-		return outcome.elsewhere, outcome.err
+	if result.err != nil {
+		return result.elsewhere, result.err
 	}
 	select {
 	case ok := <-committed:
@@ -98,8 +98,8 @@
 	}
 }
 
-// leaderFront returns where the other instance that leads takes orders.
-func (c *Control) leaderFront(d *directory.Directory) string {
+// otherLeaderAddr returns where the other instance that leads takes orders.
+func (c *Control) otherLeaderAddr(d *directory.Directory) string {
 	if front := d.Front(d.Leader()); front != c.config.Front {
 		return front
 	}
@@ -109,21 +109,21 @@
 // Read returns the document in force, if it can be shown to be the newest;
 // nil is that there is none yet. Elsewhere is as for Put.
 func (c *Control) Read(ctx context.Context) (doc *document.Document, elsewhere string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callMost)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	elsewhere, err = c.atLeader(ctx, func() (string, error) {
+	elsewhere, err = c.retryWithoutLeader(ctx, func() (string, error) {
 		var read *document.Document
-		outcome := &offerOutcome{}
+		result := &proposalResult{}
 		callErr := c.call(ctx, func(now time.Time, d *directory.Directory) {
-			if read, outcome.err = d.Read(now); outcome.err != nil {
-				outcome.elsewhere = c.leaderFront(d)
+			if read, result.err = d.Read(now); result.err != nil {
+				result.elsewhere = c.otherLeaderAddr(d)
 			}
 		})
 		if callErr != nil {
 			return "", callErr
 		}
 		doc = read
-		return outcome.elsewhere, outcome.err
+		return result.elsewhere, result.err
 	})
 	return doc, elsewhere, err
 }
@@ -131,8 +131,8 @@
 // Malformed takes that a call which is to name an endpoint names none: which field is
 // wrong, and how.
 func (c *Control) Malformed(id, field, detail string) {
-	if leftOut, ok := c.malformed.take(field); ok {
-		c.config.Log.Warn("no endpoint named", "endpoint", id, "field", field, "error", detail, "left_out", leftOut)
+	if dropped, ok := c.malformed.record(field); ok {
+		c.config.Log.Warn("no endpoint named", "endpoint", id, "field", field, "error", detail, "left_out", dropped)
 	}
 }
 
@@ -140,11 +140,11 @@
 // acknowledged only once a majority of the voters knows; the error where they
 // do not within callMost is of kind NoQuorum.
 func (c *Control) Heartbeat(ctx context.Context, e registry.Endpoint) error {
-	number := c.endpoints.hear(e)
+	revision := c.endpoints.heartbeat(e)
 	if !e.Leaving {
 		return nil
 	}
-	return c.awaitMajority(ctx, number)
+	return c.awaitMajority(ctx, revision)
 }
 
 // Leave takes the message of an endpoint that it ends; it is acknowledged only
@@ -155,8 +155,8 @@
 
 // awaitMajority waits until a majority of the voters, this instance counted if
 // it is one, holds a change of the registry.
-func (c *Control) awaitMajority(ctx context.Context, number uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, callMost)
+func (c *Control) awaitMajority(ctx context.Context, revision uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	status := c.Status()
 	if len(status.Voters) == 0 {
@@ -172,8 +172,8 @@
 			others = append(others, directory.AddressOf(id))
 		}
 	}
-	began := c.config.Now()
-	err := c.endpoints.await(ctx, number, others, enough)
-	observeSince(c.timings.leaving, c.config.Now, began, err)
+	start := c.config.Now()
+	err := c.endpoints.awaitAcknowledgements(ctx, revision, others, enough)
+	observeSince(c.timings.leave, c.config.Now, start, err)
 	return err
 }
--- a/internal/node/pack.go
+++ b/internal/node/pack.go
@@ -13,29 +13,29 @@
 )
 
 const (
-	// packFrom is the size from which frames to entries are compressed, in bytes:
+	// minCompressedSize is the size from which frames to entries are compressed, in bytes:
 	// below a packet nothing is won.
-	packFrom = 1200
-	// unpackMost bounds what a compressed frame may hold, in bytes.
-	unpackMost = 64 << 20
+	minCompressedSize = 1200
+	// maxDecompressedSize bounds what a compressed frame may hold, in bytes.
+	maxDecompressedSize = 64 << 20
 	// Frames that are sent to many are compressed well, others fast.
-	packWell, packFast = flate.DefaultCompression, flate.BestSpeed
+	compressDefault, compressFast = flate.DefaultCompression, flate.BestSpeed
 )
 
-// packers keeps what compresses, by level: each takes some 0.6 MB to make.
-var packers = map[int]*sync.Pool{packWell: newPackers(packWell), packFast: newPackers(packFast)}
+// compressors keeps what compresses, by level: each takes some 0.6 MB to make.
+var compressors = map[int]*sync.Pool{compressDefault: newCompressorPool(compressDefault), compressFast: newCompressorPool(compressFast)}
 
-func newPackers(level int) *sync.Pool {
+func newCompressorPool(level int) *sync.Pool {
 	return &sync.Pool{New: func() any {
 		w, _ := flate.NewWriter(nil, level) // fails for unknown levels alone
 		return w
 	}}
 }
 
-// pack returns a frame as it travels over the small links of entries: compressed
+// compressFrame returns a frame as it travels over the small links of entries: compressed
 // where it is large.
-func pack(frame *wire.Frame, level int) *wire.Frame {
-	if proto.Size(frame) < packFrom {
+func compressFrame(frame *wire.Frame, level int) *wire.Frame {
+	if proto.Size(frame) < minCompressedSize {
 		return frame
 	}
 	raw, err := proto.Marshal(frame)
@@ -43,8 +43,8 @@
 		return frame // whoever sends it meets the error again
 	}
 	var out bytes.Buffer
-	w := packers[level].Get().(*flate.Writer)
-	defer packers[level].Put(w)
+	w := compressors[level].Get().(*flate.Writer)
+	defer compressors[level].Put(w)
 	w.Reset(&out)
 	if _, err := w.Write(raw); err != nil {
 		return frame
@@ -55,14 +55,14 @@
 	return &wire.Frame{Body: &wire.Frame_Packed{Packed: out.Bytes()}}
 }
 
-// unpack returns the frame that was sent. An error is of kind Internal: the other
+// decompressFrame returns the frame that was sent. An error is of kind Internal: the other
 // end sent what is none.
-func unpack(frame *wire.Frame) (*wire.Frame, error) {
+func decompressFrame(frame *wire.Frame) (*wire.Frame, error) {
 	packed := frame.GetPacked()
 	if packed == nil {
 		return frame, nil
 	}
-	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), unpackMost))
+	raw, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(packed)), maxDecompressedSize))
 	if err != nil {
 		return nil, fault.Wrap(fault.Internal, err)
 	}
--- a/internal/node/pack_test.go
+++ b/internal/node/pack_test.go
@@ -22,9 +22,9 @@
 var _ = ginkgo.Describe("a frame on the link of an entry", func() {
 	ginkgo.It("comes out as it went in, compressed where it is large", func() {
 		for _, n := range []int{0, 1, 300} {
-			for _, level := range []int{packWell, packFast} {
-				sent := pack(largeFrame(n), level)
-				got, err := unpack(sent)
+			for _, level := range []int{compressDefault, compressFast} {
+				sent := compressFrame(largeFrame(n), level)
+				got, err := decompressFrame(sent)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(proto.Equal(got, largeFrame(n))).To(BeTrue())
 				if n == 300 {
@@ -35,8 +35,8 @@
 	})
 
 	ginkgo.It("is refused where it is none", func() {
-		for _, packed := range [][]byte{{}, {1, 2, 3}, pack(largeFrame(300), packFast).GetPacked()[:40]} {
-			_, err := unpack(&wire.Frame{Body: &wire.Frame_Packed{Packed: packed}})
+		for _, packed := range [][]byte{{}, {1, 2, 3}, compressFrame(largeFrame(300), compressFast).GetPacked()[:40]} {
+			_, err := decompressFrame(&wire.Frame{Body: &wire.Frame_Packed{Packed: packed}})
 			Expect(err).To(HaveOccurred())
 		}
 	})
--- a/internal/node/packets.go
+++ b/internal/node/packets.go
@@ -75,7 +75,7 @@
 
 // sampleDecisionTime records the duration of one in timeOneIn decisions.
 func (e *Entry) sampleDecisionTime(start time.Time) {
-	if e.untimedPackets++; e.untimedPackets >= timeOneIn {
+	if e.untimedPackets++; e.untimedPackets >= decisionSampleInterval {
 		e.untimedPackets = 0
 		e.timings.decision.Observe(e.config.Now().Sub(start))
 	}
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// outboxSize bounds the log messages that wait for one peer; what finds it
+	// maxQueuedMessages bounds the log messages that wait for one peer; what finds it
 	// full is lost, which the log bears.
-	outboxSize = 128
-	// wholeRosterEach is each how many rosters names all instances; the others name the
+	maxQueuedMessages = 128
+	// fullRosterPeriod is each how many rosters names all instances; the others name the
 	// sender alone, and show that it is alive. Told whole each time, rosters would grow
 	// with the cube of the number of instances. What is said of others is still younger
 	// than the time after which a voter counts as lost.
-	wholeRosterEach = 5
+	fullRosterPeriod = 5
 )
 
 type (
@@ -32,18 +32,18 @@
 		seeds []string
 		links map[string]*peerLink // by address
 
-		linked atomic.Int32 // how many stand
+		active atomic.Int32 // how many stand
 	}
 
 	// peerLink sends to the control instance at one address.
 	peerLink struct {
-		control *Control
-		address string
-		outbox  chan *wire.LogMessage
-		doubts  chan *wire.Frame // for the entries of the other one
-		cancel  context.CancelFunc
-		redial  redial
-		rosters int // told on the present link
+		control     *Control
+		address     string
+		outbox      chan *wire.LogMessage
+		suspicions  chan *wire.Frame // for the entries of the other one
+		cancel      context.CancelFunc
+		backoff     dialBackoff
+		rostersSent int // told on the present link
 	}
 )
 
@@ -75,7 +75,7 @@
 			linkCtx, cancel := context.WithCancel(ctx)
 			l := &peerLink{
 				control: p.control, address: address, cancel: cancel,
-				outbox: make(chan *wire.LogMessage, outboxSize), doubts: make(chan *wire.Frame, doubtsWaiting),
+				outbox: make(chan *wire.LogMessage, maxQueuedMessages), suspicions: make(chan *wire.Frame, maxQueuedSuspicions),
 			}
 			p.links[address] = l
 			go l.run(linkCtx)
@@ -89,11 +89,11 @@
 	}
 }
 
-// alone reports whether no link stands.
-func (p *peerLinks) alone() bool { return p.linked.Load() == 0 }
+// isolated reports whether no link stands.
+func (p *peerLinks) isolated() bool { return p.active.Load() == 0 }
 
-// post queues a message of the log.
-func (p *peerLinks) post(m *wire.LogMessage) {
+// queueMessage queues a message of the log.
+func (p *peerLinks) queueMessage(m *wire.LogMessage) {
 	p.mu.Lock()
 	l := p.links[directory.AddressOf(m.To)]
 	p.mu.Unlock()
@@ -106,22 +106,22 @@
 	}
 }
 
-// rosterFor returns the n-th roster that a link tells, of one that names all.
-func rosterFor(roster *wire.Roster, n int) *wire.Roster {
-	if n%wholeRosterEach == 1 || len(roster.Instances) == 0 {
+// rosterToSend returns the n-th roster that a link tells, of one that names all.
+func rosterToSend(roster *wire.Roster, n int) *wire.Roster {
+	if n%fullRosterPeriod == 1 || len(roster.Instances) == 0 {
 		return roster
 	}
 	return &wire.Roster{Instances: roster.Instances[:1]}
 }
 
-// spread queues a frame about doubts for every other instance; one whose queue is full
+// broadcast queues a frame about doubts for every other instance; one whose queue is full
 // is left out.
-func (p *peerLinks) spread(frame *wire.Frame) {
+func (p *peerLinks) broadcast(frame *wire.Frame) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
 		select {
-		case l.doubts <- frame:
+		case l.suspicions <- frame:
 		default:
 		}
 	}
@@ -132,7 +132,7 @@
 	for ctx.Err() == nil {
 		if err := l.serve(ctx); err != nil && ctx.Err() == nil {
 			l.drain()
-			time.Sleep(redialAfter)
+			time.Sleep(minDialPause)
 		}
 	}
 }
@@ -150,48 +150,48 @@
 
 // serve sends until the link fails.
 func (l *peerLink) serve(ctx context.Context) error {
-	raw, err := l.redial.dial(ctx, l.control.config.Dial, l.address, l.control.peers.alone())
+	raw, err := l.backoff.dial(ctx, l.control.config.Dial, l.address, l.control.peers.isolated())
 	if err != nil {
 		return fault.Wrap(fault.Unreachable, err)
 	}
-	stream, done, err := openLink(ctx, raw)
+	stream, closeLink, err := openLink(ctx, raw)
 	if err != nil {
 		return err
 	}
-	l.control.peers.linked.Add(1)
-	defer l.control.peers.linked.Add(-1)
+	l.control.peers.active.Add(1)
+	defer l.control.peers.active.Add(-1)
 	if err := stream.Send(helloFrame(&wire.Hello{Id: l.control.Status().Self, Control: true})); err != nil {
-		done()
+		closeLink()
 		return err
 	}
-	l.redial.reached()
-	l.rosters = 0
+	l.backoff.reset()
+	l.rostersSent = 0
 	log := l.control.config.Log
 	log.Info("peer reached", "peer", l.address)
 	ctx, cancel := context.WithCancel(ctx)
-	received := make(chan struct{})
+	receiverDone := make(chan struct{})
 	go l.receiveLoop(stream, func() {
 		cancel()
-		close(received)
+		close(receiverDone)
 	})
 	err = l.send(ctx, stream)
-	done()
-	<-received // so that no late receipt is noted after this
-	l.control.endpoints.confirm(l.address, 0)
+	closeLink()
+	<-receiverDone // so that no late receipt is noted after this
+	l.control.endpoints.acknowledge(l.address, 0)
 	log.Warn("peer lost", "peer", l.address, "error", err)
 	return err
 }
 
 // receiveLoop takes receipts until the link fails, and then calls failed.
-func (l *peerLink) receiveLoop(stream wire.DRPCDirectory_LinkClient, failed func()) {
-	defer failed()
+func (l *peerLink) receiveLoop(stream wire.DRPCDirectory_LinkClient, onFailure func()) {
+	defer onFailure()
 	for {
 		frame, err := stream.Recv()
 		if err != nil {
 			return
 		}
 		if receipt := frame.GetReceipt(); receipt != nil {
-			l.control.endpoints.confirm(l.address, receipt.Number)
+			l.control.endpoints.acknowledge(l.address, receipt.Number)
 		}
 	}
 }
@@ -200,35 +200,35 @@
 // between them messages of the log, until the link or the context ends.
 func (l *peerLink) send(ctx context.Context, stream wire.DRPCDirectory_LinkClient) error {
 	endpoints := l.control.endpoints
-	made, unsubscribe := endpoints.peers.made.subscribe()
+	appended, unsubscribe := endpoints.peerBatches.appended.subscribe()
 	defer unsubscribe()
-	ticker := time.NewTicker(frameEvery)
+	ticker := time.NewTicker(frameInterval)
 	defer ticker.Stop()
-	sent := endpoints.peers.upTo()
-	if err := stream.Send(pack(reportsFrame(endpoints.beatsAfter(0)), packFast)); err != nil {
+	sent := endpoints.peerBatches.lastRevision()
+	if err := stream.Send(compressFrame(reportsFrame(endpoints.peerChangesAfter(0)), compressFast)); err != nil {
 		return err
 	}
 	for {
-		if err := l.sendLog(ctx, stream, made, ticker.C); err != nil {
+		if err := l.sendUntilReportsDue(ctx, stream, appended, ticker.C); err != nil {
 			return err
 		}
-		told, number, ok := endpoints.peers.after(sent)
+		pending, revision, ok := endpoints.peerBatches.after(sent)
 		if !ok {
-			number = endpoints.peers.upTo()
-			told = batchOf(endpoints.beatsAfter(sent))
+			revision = endpoints.peerBatches.lastRevision()
+			pending = singleBatch(endpoints.peerChangesAfter(sent))
 		}
-		for _, each := range told {
+		for _, each := range pending {
 			if err := stream.Send(each.frame); err != nil {
 				return err
 			}
 		}
-		sent = number
+		sent = revision
 	}
 }
 
-// sendLog sends messages of the log and doubts until reports are due; each tick sends a
+// sendUntilReportsDue sends messages of the log and doubts until reports are due; each tick sends a
 // roster too, if it vouches for this instance.
-func (l *peerLink) sendLog(ctx context.Context, stream wire.DRPCDirectory_LinkClient, changed <-chan struct{}, tick <-chan time.Time) error {
+func (l *peerLink) sendUntilReportsDue(ctx context.Context, stream wire.DRPCDirectory_LinkClient, reportsDue <-chan struct{}, tick <-chan time.Time) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -237,19 +237,19 @@
 			if err := stream.Send(&wire.Frame{Body: &wire.Frame_Log{Log: m}}); err != nil {
 				return err
 			}
-		case frame := <-l.doubts:
+		case frame := <-l.suspicions:
 			if err := stream.Send(frame); err != nil {
 				return err
 			}
-		case <-changed:
+		case <-reportsDue:
 			return nil
 		case <-tick:
-			roster := l.control.roster.Load().vouched(l.control.config.Now())
+			roster := l.control.roster.Load().fresh(l.control.config.Now())
 			if roster == nil {
 				return nil
 			}
-			l.rosters++
-			return stream.Send(&wire.Frame{Body: &wire.Frame_Roster{Roster: rosterFor(roster, l.rosters)}})
+			l.rostersSent++
+			return stream.Send(&wire.Frame{Body: &wire.Frame_Roster{Roster: rosterToSend(roster, l.rostersSent)}})
 		}
 	}
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -11,8 +11,8 @@
 	ginkgo.It("name all of them at first and often enough, and otherwise the sender alone", func() {
 		all := rosterOf("a:1", "b:1", "c:1")
 		whole := 0
-		for n := 1; n <= 4*wholeRosterEach; n++ {
-			told := rosterFor(all, n)
+		for n := 1; n <= 4*fullRosterPeriod; n++ {
+			told := rosterToSend(all, n)
 			Expect(told.Instances[0].Address).To(Equal("a:1"))
 			if len(told.Instances) == len(all.Instances) {
 				whole++
@@ -20,12 +20,12 @@
 				Expect(told.Instances).To(HaveLen(1))
 			}
 		}
-		Expect(rosterFor(all, 1).Instances).To(HaveLen(3))
+		Expect(rosterToSend(all, 1).Instances).To(HaveLen(3))
 		Expect(whole).To(Equal(4))
-		Expect(wholeRosterEach*frameEvery).To(BeNumerically("<=", time.Second), "within the time in which a voter must be heard of")
+		Expect(fullRosterPeriod*frameInterval).To(BeNumerically("<=", time.Second), "within the time in which a voter must be heard of")
 	})
 
 	ginkgo.It("may name nobody while the disk fails", func() {
-		Expect(rosterFor(rosterOf(), 2).Instances).To(BeEmpty())
+		Expect(rosterToSend(rosterOf(), 2).Instances).To(BeEmpty())
 	})
 })
--- a/internal/node/probes_test.go
+++ b/internal/node/probes_test.go
@@ -36,7 +36,7 @@
 		defer cancel()
 		connectable.Store(true)
 		go func() { _ = e.probeLoop(ctx, nil) }()
-		Eventually(func() int { return len(e.probeQueue) }, patience).Should(BeZero())
+		Eventually(func() int { return len(e.probeQueue) }, settleTimeout).Should(BeZero())
 	})
 
 	// steppingClock returns a clock that advances by step at each read, and counts the reads.
@@ -65,8 +65,8 @@
 		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		Expect(err).NotTo(HaveOccurred())
 		addr := listener.Addr().(*net.TCPAddr).AddrPort()
-		Expect(ProbeTCP(context.Background(), addr, patience)).To(BeTrue())
+		Expect(ProbeTCP(context.Background(), addr, settleTimeout)).To(BeTrue())
 		Expect(listener.Close()).To(Succeed())
-		Expect(ProbeTCP(context.Background(), addr, patience)).To(BeFalse())
+		Expect(ProbeTCP(context.Background(), addr, settleTimeout)).To(BeFalse())
 	})
 })
--- a/internal/node/redial.go
+++ b/internal/node/redial.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// dialEvery is how soon an attempt at an address is followed by another one
+	// dialInterval is how soon an attempt at an address is followed by another one
 	// beside it, while nobody is linked: a host without power says nothing, an
 	// attempt that began before it is back is not answered, and it may be back
 	// within a moment. Several times the round trip between failure domains.
-	dialEvery = 40 * time.Millisecond
-	// dialMost is how long attempts may take, for slow hosts.
-	dialMost = 500 * time.Millisecond
-	// redialAfter is the pause between two attempts at one address; while others are linked
+	dialInterval = 40 * time.Millisecond
+	// maxDialTimeout is how long attempts may take, for slow hosts.
+	maxDialTimeout = 500 * time.Millisecond
+	// minDialPause is the pause between two attempts at one address; while others are linked
 	// it doubles with each, up to redialMost: many entries try an instance that refuses.
-	redialAfter = 20 * time.Millisecond
-	redialMost  = 640 * time.Millisecond
+	minDialPause = 20 * time.Millisecond
+	maxDialPause = 640 * time.Millisecond
 )
 
 type (
-	// redial paces the attempts at one address.
-	redial struct {
+	// dialBackoff paces the attempts at one address.
+	dialBackoff struct {
 		timeout time.Duration // of the next attempt, 0 for dialEvery
 		pause   time.Duration // after the last attempt, 0 before the first
 	}
@@ -31,11 +31,11 @@
 	dialAttempt struct {
 		dial    Dialer
 		address string
-		done    chan<- dialed
+		results chan<- dialResult
 	}
 
-	// dialed is what came of an attempt.
-	dialed struct {
+	// dialResult is what came of an attempt.
+	dialResult struct {
 		conn net.Conn
 		err  error
 	}
@@ -44,58 +44,58 @@
 // dial opens a connection. Where nobody else is linked, attempts overlap: the
 // first one that is answered counts. Otherwise one is made, for twice as long as
 // the one before.
-func (r *redial) dial(ctx context.Context, dial Dialer, address string, alone bool) (net.Conn, error) {
-	if alone {
+func (r *dialBackoff) dial(ctx context.Context, dial Dialer, address string, isolated bool) (net.Conn, error) {
+	if isolated {
 		return dialOverlapping(ctx, dial, address)
 	}
 	if r.timeout == 0 {
-		r.timeout = dialEvery
+		r.timeout = dialInterval
 	}
-	now := r.timeout
-	r.timeout = min(2*r.timeout, dialMost)
-	return dial(ctx, address, now)
+	timeout := r.timeout
+	r.timeout = min(2*r.timeout, maxDialTimeout)
+	return dial(ctx, address, timeout)
 }
 
-// rest returns how long to wait after an attempt that failed, where nobody is linked or
+// nextPause returns how long to wait after an attempt that failed, where nobody is linked or
 // others are.
-func (r *redial) rest(alone bool) time.Duration {
-	if alone {
+func (r *dialBackoff) nextPause(isolated bool) time.Duration {
+	if isolated {
 		r.pause = 0
-		return redialAfter
+		return minDialPause
 	}
-	r.pause = min(max(redialAfter, 2*r.pause), redialMost)
+	r.pause = min(max(minDialPause, 2*r.pause), maxDialPause)
 	return r.pause
 }
 
-// reached makes the next attempt a first one again.
-func (r *redial) reached() { r.timeout, r.pause = 0, 0 }
+// reset makes the next attempt a first one again.
+func (r *dialBackoff) reset() { r.timeout, r.pause = 0, 0 }
 
 // dialOverlapping makes attempts beside each other for dialMost in all.
 func dialOverlapping(ctx context.Context, dial Dialer, address string) (net.Conn, error) {
-	ctx, cancel := context.WithTimeout(ctx, dialMost)
-	attempts := make(chan dialed)
+	ctx, cancel := context.WithTimeout(ctx, maxDialTimeout)
+	results := make(chan dialResult)
 	pending := 0
 	defer func() {
 		cancel()
-		go closeLate(pending, func() net.Conn { return (<-attempts).conn })
+		go closeUnused(pending, func() net.Conn { return (<-results).conn })
 	}()
-	next := time.NewTicker(dialEvery)
+	next := time.NewTicker(dialInterval)
 	defer next.Stop()
-	begin := func() {
+	startAttempt := func() {
 		pending++
-		go dialAttempt{dial, address, attempts}.run(ctx)
+		go dialAttempt{dial, address, results}.run(ctx)
 	}
-	begin()
+	startAttempt()
 	for {
 		select {
-		case a := <-attempts:
+		case result := <-results:
 			pending--
-			if a.err == nil || pending == 0 {
-				return a.conn, a.err // with nothing under way, the host is up and refuses
+			if result.err == nil || pending == 0 {
+				return result.conn, result.err // with nothing under way, the host is up and refuses
 			}
 		case <-next.C:
 			if ctx.Err() == nil {
-				begin()
+				startAttempt()
 			}
 		}
 	}
@@ -103,12 +103,12 @@
 
 // run makes the attempt and tells what came of it.
 func (a dialAttempt) run(ctx context.Context) {
-	conn, err := a.dial(ctx, a.address, dialMost)
-	a.done <- dialed{conn, err}
+	conn, err := a.dial(ctx, a.address, maxDialTimeout)
+	a.results <- dialResult{conn, err}
 }
 
-// closeLate closes the connections of attempts that another one has overtaken.
-func closeLate(pending int, next func() net.Conn) {
+// closeUnused closes the connections of attempts that another one has overtaken.
+func closeUnused(pending int, next func() net.Conn) {
 	for range pending {
 		if conn := next(); conn != nil {
 			_ = conn.Close()
--- a/internal/node/redial_test.go
+++ b/internal/node/redial_test.go
@@ -11,18 +11,18 @@
 	. "github.com/onsi/gomega"
 )
 
-// silentHost is a host that answers no attempt that began before the n-th, and
+// unresponsiveHost is a host that answers no attempt that began before the n-th, and
 // counts those that were made and how many connections are open.
-type silentHost struct {
-	mu         sync.Mutex
-	n          int
-	made, open int
+type unresponsiveHost struct {
+	mu             sync.Mutex
+	answersFrom    int
+	attempts, open int
 }
 
 // countedConn is a connection of a silentHost.
 type countedConn struct {
 	net.Conn
-	host *silentHost
+	host *unresponsiveHost
 }
 
 func (c countedConn) Close() error {
@@ -32,10 +32,10 @@
 	return nil
 }
 
-func (h *silentHost) dial(ctx context.Context, _ string, timeout time.Duration) (net.Conn, error) {
+func (h *unresponsiveHost) dial(ctx context.Context, _ string, timeout time.Duration) (net.Conn, error) {
 	h.mu.Lock()
-	h.made++
-	answered := h.made >= h.n
+	h.attempts++
+	answered := h.attempts >= h.answersFrom
 	h.mu.Unlock()
 	if !answered {
 		select {
@@ -50,16 +50,16 @@
 	return countedConn{host: h}, nil
 }
 
-func (h *silentHost) counts() (made, open int) {
+func (h *unresponsiveHost) counts() (attempts, open int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.made, h.open
+	return h.attempts, h.open
 }
 
 var _ = ginkgo.Describe("attempts at a control instance", func() {
 	ginkgo.It("overlap while nobody is linked: one that began before the host was up holds nothing up", func() {
-		host := &silentHost{n: 3}
-		conn, err := (&redial{}).dial(context.Background(), host.dial, "there", true)
+		host := &unresponsiveHost{answersFrom: 3}
+		conn, err := (&dialBackoff{}).dial(context.Background(), host.dial, "there", true)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(conn).NotTo(BeNil())
 		made, open := host.counts()
@@ -68,8 +68,8 @@
 	})
 
 	ginkgo.It("end within dialMost where nobody answers, and leave nothing open", func() {
-		host := &silentHost{n: 1 << 30}
-		_, err := (&redial{}).dial(context.Background(), host.dial, "there", true)
+		host := &unresponsiveHost{answersFrom: 1 << 30}
+		_, err := (&dialBackoff{}).dial(context.Background(), host.dial, "there", true)
 		Expect(err).To(HaveOccurred())
 		Expect(host.counts()).To(BeNumerically(">", 2))
 	})
@@ -77,7 +77,7 @@
 	ginkgo.It("end at once where the host is up and refuses", func() {
 		refused := errors.New("refused")
 		made := 0
-		_, err := (&redial{}).dial(context.Background(), func(context.Context, string, time.Duration) (net.Conn, error) {
+		_, err := (&dialBackoff{}).dial(context.Background(), func(context.Context, string, time.Duration) (net.Conn, error) {
 			made++
 			return nil, refused
 		}, "there", true)
@@ -87,8 +87,8 @@
 
 	ginkgo.It("close what another one has overtaken", func() {
 		closed := 0
-		host := &silentHost{open: 2}
-		closeLate(3, func() net.Conn {
+		host := &unresponsiveHost{open: 2}
+		closeUnused(3, func() net.Conn {
 			closed++
 			if closed == 2 {
 				return nil // this one failed
@@ -101,7 +101,7 @@
 
 	ginkgo.It("are made one by one, each for longer, while others are linked", func() {
 		var timeouts []time.Duration
-		pace := &redial{}
+		pace := &dialBackoff{}
 		dial := func(_ context.Context, _ string, timeout time.Duration) (net.Conn, error) {
 			timeouts = append(timeouts, timeout)
 			return nil, context.DeadlineExceeded
@@ -109,26 +109,26 @@
 		for range 6 {
 			_, _ = pace.dial(context.Background(), dial, "there", false)
 		}
-		pace.reached()
+		pace.reset()
 		_, _ = pace.dial(context.Background(), dial, "there", false)
-		Expect(timeouts).To(Equal([]time.Duration{dialEvery, 2 * dialEvery, 4 * dialEvery, 8 * dialEvery, dialMost, dialMost, dialEvery}))
+		Expect(timeouts).To(Equal([]time.Duration{dialInterval, 2 * dialInterval, 4 * dialInterval, 8 * dialInterval, maxDialTimeout, maxDialTimeout, dialInterval}))
 	})
 
 	ginkgo.It("pause longer after each failure while others are linked, and no longer than a bound", func() {
-		var r redial
-		Expect(r.rest(true)).To(Equal(redialAfter))
-		Expect(r.rest(true)).To(Equal(redialAfter), "nothing is told meanwhile")
+		var r dialBackoff
+		Expect(r.nextPause(true)).To(Equal(minDialPause))
+		Expect(r.nextPause(true)).To(Equal(minDialPause), "nothing is told meanwhile")
 		last := time.Duration(0)
 		for range 3 {
-			pause := r.rest(false)
+			pause := r.nextPause(false)
 			Expect(pause).To(BeNumerically(">", last))
 			last = pause
 		}
 		for range 9 {
-			last = r.rest(false)
+			last = r.nextPause(false)
 		}
-		Expect(last).To(Equal(redialMost))
-		r.reached()
-		Expect(r.rest(false)).To(Equal(redialAfter))
+		Expect(last).To(Equal(maxDialPause))
+		r.reset()
+		Expect(r.nextPause(false)).To(Equal(minDialPause))
 	})
 })
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -33,16 +33,16 @@
 	for {
 		frame, err := stream.Recv()
 		if err == nil {
-			frame, err = unpack(frame)
+			frame, err = decompressFrame(frame)
 		}
 		if err != nil {
 			return err
 		}
 		switch body := frame.Body.(type) {
 		case *wire.Frame_Log:
-			h.control.step(body.Log)
+			h.control.handleLogMessage(body.Log)
 		case *wire.Frame_Roster:
-			h.control.hear(body.Roster)
+			h.control.handleRoster(body.Roster)
 		case *wire.Frame_Doubts:
 			h.control.entries.broadcast(frame)
 		case *wire.Frame_Reports:
--- a/internal/node/suspicions.go
+++ b/internal/node/suspicions.go
@@ -116,13 +116,13 @@
 	batch := &wire.Doubts{Unanswered: slices.Sorted(maps.Keys(b.unanswered)), Hung: slices.Sorted(maps.Keys(b.hung))}
 	clear(b.unanswered)
 	clear(b.hung)
-	return pack(&wire.Frame{Body: &wire.Frame_Doubts{Doubts: batch}}, packFast)
+	return compressFrame(&wire.Frame{Body: &wire.Frame_Doubts{Doubts: batch}}, compressFast)
 }
 
 // suspicionLoop sends batches of suspicions to the linked entries, and to the peers, which
 // forward them to theirs, until the context is done.
 func (c *Control) suspicionLoop(ctx context.Context) error {
-	pending, cancel := c.doubts.pending.subscribe()
+	pending, cancel := c.suspicions.pending.subscribe()
 	defer cancel()
 	for {
 		select {
@@ -130,9 +130,9 @@
 			return ctx.Err()
 		case <-pending:
 		}
-		if frame := c.doubts.flush(); frame != nil {
+		if frame := c.suspicions.flush(); frame != nil {
 			c.entries.broadcast(frame)
-			c.peers.spread(frame)
+			c.peers.broadcast(frame)
 		}
 		select {
 		case <-ctx.Done():
@@ -147,16 +147,16 @@
 // themselves; failed requests are forwarded once several entries have reported them.
 func (c *Control) handleSuspicion(from *entryFeed, d *wire.Doubt) {
 	if !d.Hung {
-		c.doubts.add(d)
+		c.suspicions.add(d)
 		return
 	}
 	now := c.config.Now()
-	c.judging.Lock()
+	c.outliersMu.Lock()
 	confirmed := c.outliers.Report(now, d.Id, from.name)
-	c.judging.Unlock()
+	c.outliersMu.Unlock()
 	if confirmed {
 		c.config.Log.Warn("endpoint fails requests", "endpoint", d.Id, "entry", from.name)
-		c.doubts.add(d)
+		c.suspicions.add(d)
 	}
 }
 
@@ -166,7 +166,7 @@
 	defer l.mu.Unlock()
 	for _, e := range l.entries {
 		select {
-		case e.feed.doubts <- frame:
+		case e.feed.suspicions <- frame:
 		default:
 		}
 	}
--- a/internal/node/suspicions_test.go
+++ b/internal/node/suspicions_test.go
@@ -22,7 +22,7 @@
 		reports := &wire.Reports{Whole: true, Endpoints: []*wire.EndpointReport{{Id: "i-1", Service: "a", Address: "127.0.0.1:1", Sequence: 1, Slots: 1}}}
 		probes := make(chan steer.Probe, 1)
 		other.mu.Lock()
-		other.steerer = steer.New(steer.Config{MaxFlow: patience, MaxFlows: 9, StartProbe: func(q steer.Probe) bool {
+		other.steerer = steer.New(steer.Config{MaxFlow: settleTimeout, MaxFlows: 9, StartProbe: func(q steer.Probe) bool {
 			probes <- q
 			return true
 		}})
@@ -32,7 +32,7 @@
 		}) // opens a flow on the endpoint, so that it is probed
 		other.mu.Unlock()
 		for _, r := range fleet {
-			Eventually(r.entries.count, patience).Should(Equal(2))
+			Eventually(r.entries.count, settleTimeout).Should(Equal(2))
 		}
 		Eventually(func() bool {
 			reporter.reportUnanswered("i-1")
@@ -42,17 +42,17 @@
 			default:
 				return false
 			}
-		}, patience).Should(BeTrue())
+		}, settleTimeout).Should(BeTrue())
 	})
 
 	ginkgo.It("do not block on an entry whose queue is full", func() {
 		l := newEntryList(SteadyClock())
 		slow := newEntryFeed(nil, nil, &wire.Hello{Id: "slow"})
 		l.heard(slow, &wire.Receipt{Version: 1})
-		for range 2 * doubtsWaiting {
+		for range 2 * maxQueuedSuspicions {
 			l.broadcast(&wire.Frame{})
 		}
-		Expect(slow.doubts).To(HaveLen(doubtsWaiting))
+		Expect(slow.suspicions).To(HaveLen(maxQueuedSuspicions))
 	})
 
 	ginkgo.It("are sent in batches, without repeating an endpoint within suspicionRepeatInterval", func() {
@@ -93,11 +93,11 @@
 			n++ // a new endpoint each time, since repeats are suppressed
 			fleet[0].handleSuspicion(nil, &wire.Doubt{Id: fmt.Sprint("i-", n)})
 			select {
-			case <-feed.doubts:
+			case <-feed.suspicions:
 				return true
 			default:
 				return false
 			}
-		}, patience).Should(BeTrue())
+		}, settleTimeout).Should(BeTrue())
 	})
 })
--- a/internal/node/timings.go
+++ b/internal/node/timings.go
@@ -7,9 +7,9 @@
 	"oxbowsaddle/internal/telemetry"
 )
 
-// timeOneIn is how many packets come on each decision whose time is taken: two
+// decisionSampleInterval is how many packets come on each decision whose time is taken: two
 // looks at the clock cost about as much as the decision.
-const timeOneIn = 16
+const decisionSampleInterval = 16
 
 type (
 	// entryTimings is what an entry measures of itself.
@@ -22,7 +22,7 @@
 	controlTimings struct {
 		order      *telemetry.Timing // from an order to its acknowledgement here
 		evacuation *telemetry.Timing // the same for an order about an evacuation
-		leaving    *telemetry.Timing // from a leave to its acknowledgement here
+		leave      *telemetry.Timing // from a leave to its acknowledgement here
 		sync       *telemetry.Timing // of a batch of the log
 	}
 )
@@ -38,7 +38,7 @@
 	return controlTimings{
 		order:      telemetry.NewTiming("oxbowsaddle_order_seconds"),
 		evacuation: telemetry.NewTiming("oxbowsaddle_evacuation_seconds"),
-		leaving:    telemetry.NewTiming("oxbowsaddle_leave_seconds"),
+		leave:      telemetry.NewTiming("oxbowsaddle_leave_seconds"),
 		sync:       telemetry.NewTiming("oxbowsaddle_sync_seconds"),
 	}
 }
@@ -51,14 +51,14 @@
 func (t controlTimings) writeText(w io.Writer) {
 	t.order.WriteText(w)
 	t.evacuation.WriteText(w)
-	t.leaving.WriteText(w)
+	t.leave.WriteText(w)
 	t.sync.WriteText(w)
 }
 
 // observeSince adds the time since began if it went well: what fails is counted
 // by its callers.
-func observeSince(t *telemetry.Timing, now func() time.Time, began time.Time, err error) {
+func observeSince(t *telemetry.Timing, now func() time.Time, start time.Time, err error) {
 	if err == nil {
-		t.Observe(now().Sub(began))
+		t.Observe(now().Sub(start))
 	}
 }
