--- a/internal/node/answers.go
+++ b/internal/node/answers.go
@@ -12,30 +12,30 @@
 )
 
 const (
-	// kindAccepted is the kind of an answer that grants what was asked.
+	// kindAccepted is the kind of a reply to a successful request.
 	kindAccepted = "accepted"
-	// What operators may ask an entry about.
+	// Matters that operators may ask an entry about.
 	matterFlow    = "flow"
 	matterRefused = "refused"
 )
 
 type (
-	// controlAPI answers the commands of operators at a control instance.
-	// Indexes and revisions are versions of the document here.
+	// controlAPI answers operators' commands at a control instance. The log indexes and
+	// revisions in its replies are versions of the document.
 	controlAPI struct {
 		wire.DRPCControlUnimplementedServer
 		control *Control
 	}
 
-	// entryAPI answers them at an entry.
+	// entryAPI answers operators' commands at an entry.
 	entryAPI struct {
 		wire.DRPCControlUnimplementedServer
 		entry *Entry
 	}
 )
 
-// Status tells what the instance believes, and which version each entry that is
-// linked to it has in force.
+// Status returns the state of the replicated log, and the document version in force at each
+// linked entry.
 func (a *controlAPI) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
 	s := a.control.Status()
 	reply := &wire.StatusReply{
@@ -50,17 +50,19 @@
 	return reply, nil
 }
 
-// Voters lists the voters; they are not changed by hand in this fabric.
+// Voters lists the voters. It rejects requests to change them: control instances do so
+// automatically.
 func (a *controlAPI) Voters(_ context.Context, r *wire.VotersRequest) (*wire.VotersReply, error) {
 	if r.Add != "" || r.Remove != "" {
 		return &wire.VotersReply{
-			Kind: fault.Usage.Name(), Detail: "control instances of this fabric find and replace each other by themselves",
+			Kind: fault.Usage.Name(), Detail: "control instances choose the voters automatically",
 		}, nil
 	}
 	return &wire.VotersReply{Kind: kindAccepted, Voters: a.control.Status().Voters}, nil
 }
 
-// Evacuate takes an order about a failure domain, or names the instance that does.
+// Evacuate executes an order to evacuate a failure domain, or to end that. If another
+// instance leads, the reply contains its address.
 func (a *controlAPI) Evacuate(ctx context.Context, r *wire.EvacuateRequest) (*wire.EvacuateReply, error) {
 	_, err := a.control.Evacuate(ctx, evacuation.Order{Domain: r.Domain, Undo: r.Undo})
 	if err == nil {
@@ -73,17 +75,17 @@
 	return reply, nil
 }
 
-// Why says whom to ask: what operators ask about is decided at entries.
+// Why refers to the entries, which make the decisions that operators ask about.
 func (a *controlAPI) Why(_ context.Context, r *wire.WhyRequest) (*wire.WhyReply, error) {
-	return &wire.WhyReply{Lines: []string{"a control instance carries no packets: ask an entry about a " + r.Matter}}, nil
+	return &wire.WhyReply{Lines: []string{"a control instance forwards no packets: ask an entry about a " + r.Matter}}, nil
 }
 
-// Stats returns the instance's figures.
+// Stats returns the metrics of the control instance.
 func (a *controlAPI) Stats(context.Context, *wire.StatsRequest) (*wire.StatsReply, error) {
 	return statsReply(a.control.metrics()), nil
 }
 
-// Status tells which version is in force at the entry, and what drains wait for.
+// Status returns the document version in force at the entry, and what drains wait for.
 func (a *entryAPI) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
 	e := a.entry
 	now := e.config.Now()
@@ -101,21 +103,21 @@
 	return reply, nil
 }
 
-// Evacuate names a control instance, which takes such orders.
+// Evacuate refers to a control instance, since entries do not accept orders.
 func (a *entryAPI) Evacuate(context.Context, *wire.EvacuateRequest) (*wire.EvacuateReply, error) {
 	return &wire.EvacuateReply{
-		Kind: fault.NotCurrent.Name(), Detail: "an entry takes no orders itself", Elsewhere: a.entry.primaryAddress(),
+		Kind: fault.NotCurrent.Name(), Detail: "entries do not accept orders", Elsewhere: a.entry.primaryAddress(),
 	}, nil
 }
 
-// Why tells the kept decisions on a flow and where it is now, or the last packets
-// that were refused.
+// Why returns the recorded decisions on a flow and its present state, or the last refused
+// packets.
 func (a *entryAPI) Why(_ context.Context, r *wire.WhyRequest) (*wire.WhyReply, error) {
 	if r.Matter == matterRefused {
 		return &wire.WhyReply{Decisions: a.withEntryName(a.entry.decisions.refused())}, nil
 	}
 	if r.Matter != matterFlow {
-		return &wire.WhyReply{Lines: []string{"an entry of this fabric explains flows; look for what was " + r.Matter + " in its log lines"}}, nil
+		return &wire.WhyReply{Lines: []string{"this entry explains only flows and refused packets; look for what was " + r.Matter + " in its log"}}, nil
 	}
 	src, err := netip.ParseAddrPort(r.Source)
 	if err != nil {
@@ -128,19 +130,19 @@
 	return &wire.WhyReply{Decisions: a.withEntryName(a.explain(src, dst))}, nil
 }
 
-// explain returns the kept decisions on the flow between two addresses, and then
-// where it is now.
+// explain returns the recorded decisions on the flow between two addresses, followed by the
+// decision that a packet of the flow would get now.
 func (a *entryAPI) explain(src, dst netip.AddrPort) []*wire.Decision {
 	e := a.entry
 	now := e.config.Now()
 	e.mu.Lock()
 	d := e.steerer.Explain(now, src, dst)
 	e.mu.Unlock()
-	d.UnixNano = time.Now().UnixNano() // the steady clock tells no time of day
+	d.UnixNano = time.Now().UnixNano() // the clock of the config is not the wall clock
 	return append(e.decisions.forFlow(src, dst), d)
 }
 
-// withEntryName names this entry in its decisions.
+// withEntryName sets the entry name in decisions.
 func (a *entryAPI) withEntryName(decisions []*wire.Decision) []*wire.Decision {
 	for _, d := range decisions {
 		d.Entry = a.entry.config.Name
@@ -148,12 +150,12 @@
 	return decisions
 }
 
-// Stats returns the entry's figures.
+// Stats returns the metrics of the entry.
 func (a *entryAPI) Stats(context.Context, *wire.StatsRequest) (*wire.StatsReply, error) {
 	return statsReply(a.entry.metrics()), nil
 }
 
-// statsReply returns figures as they travel.
+// statsReply encodes metrics for the wire.
 func statsReply(metrics []metric) *wire.StatsReply {
 	reply := &wire.StatsReply{}
 	for _, f := range metrics {
--- a/internal/node/batches.go
+++ b/internal/node/batches.go
@@ -9,46 +9,47 @@
 )
 
 const (
-	// maxKeptBatches is how many batches are remembered for links that are behind; one that is
-	// further behind is told what it lacks by itself.
+	// maxKeptBatches bounds the recent batches that are kept for links that lag. A link that
+	// lags further gets a batch of its own.
 	maxKeptBatches = 32
-	// peerBatchDelay is how long changes gather before other control instances are told: an
-	// endpoint that leaves waits for it.
+	// peerBatchDelay is how long changes are collected before they are sent to peers. The
+	// acknowledgement of a leaving endpoint waits for it.
 	peerBatchDelay = 3 * time.Millisecond
-	// fullBatchDelay is the same for entries that are told whole records: far below the time that
-	// an entry has for any of them, and one frame instead of many when a fleet starts.
+	// fullBatchDelay is how long changes are collected before their records are sent to
+	// entries. It is far below the time within which an entry needs any of them, and merges
+	// many changes into one frame while a fleet starts.
 	fullBatchDelay = 20 * time.Millisecond
-	// summaryBatchDelay is the same for entries that another control instance tells them whole:
-	// long enough for that one to have told them, and still far below the time that an
-	// entry has.
+	// summaryBatchDelay is how long changes are collected before summaries of them are sent
+	// to entries that receive the records from another control instance. It gives that
+	// instance time to send them first.
 	summaryBatchDelay = 200 * time.Millisecond
 )
 
 type (
-	// batchLog makes what is told of endpoints to many links once for all of them, so that
-	// a change costs its encoding and compression once, and a link its bytes alone.
+	// batchLog encodes endpoint changes into batches that are shared by many links, so that
+	// each change is encoded and compressed only once.
 	batchLog struct {
 		delay    time.Duration
-		interval time.Duration // a batch is made at least so often, 0 for only after changes
-		changes  *notifier     // of what is told of
-		collect  func(after uint64) *wire.Reports
-		isEmpty  func(*wire.Reports) bool
-		appended notifier
+		interval time.Duration                    // between batches without a change, 0 to make batches only after changes
+		changes  *notifier                        // notifies of changes to collect
+		collect  func(after uint64) *wire.Reports // returns the changes after a revision
+		isEmpty  func(*wire.Reports) bool         // reports whether there is nothing to send
+		appended notifier                         // notifies of new batches
 
 		mu     sync.Mutex
-		recent []batch // the newest last; each goes on where the one before ends
-		last   uint64  // number up to which batches were made
+		recent []batch // oldest first; each begins at the revision at which the previous one ends
+		last   uint64  // revision at which the newest batch ends
 	}
 
-	// batch tells of the changes after a number, up to another one.
+	// batch contains the changes after revision after, up to and including revision last.
 	batch struct {
 		after, last uint64
-		frame       *wire.Frame // nil where there is nothing to tell
-		hasDigest   bool        // it tells the digest in place of what has changed
+		frame       *wire.Frame // nil if there is nothing to send
+		hasDigest   bool        // the frame contains a digest in place of the changes
 	}
 )
 
-// loop makes batches until the context ends.
+// loop appends batches until the context is done.
 func (b *batchLog) loop(ctx context.Context) error {
 	changed, cancel := b.changes.subscribe()
 	defer cancel()
@@ -74,7 +75,7 @@
 	}
 }
 
-// appendNext makes a batch of what has changed since the last one.
+// appendNext appends a batch of the changes since the previous one.
 func (b *batchLog) appendNext() {
 	b.mu.Lock()
 	reports := b.collect(b.last)
@@ -93,15 +94,15 @@
 	b.appended.notify()
 }
 
-// lastRevision returns the number up to which batches were made.
+// lastRevision returns the revision at which the newest batch ends.
 func (b *batchLog) lastRevision() uint64 {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.last
 }
 
-// after returns the batches after a number that tell anything, and the number of the last
-// one. It reports false where no batch that is remembered begins there.
+// after returns the non-empty batches after a revision, and the revision at which the newest
+// batch ends. ok is false if no kept batch begins at the given revision.
 func (b *batchLog) after(revision uint64) (pending []batch, last uint64, ok bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -122,12 +123,12 @@
 	return nil, revision, false
 }
 
-// singleBatch returns the batch that tells one link what no batch does.
+// singleBatch returns a batch for a single link that lags too far behind the kept batches.
 func singleBatch(reports *wire.Reports) []batch {
 	return []batch{{frame: compressFrame(reportsFrame(reports), compressFast), hasDigest: len(reports.Digest) > 0}}
 }
 
-// nothingForEntry reports whether reports tell an entry nothing.
+// nothingForEntry reports whether reports contain nothing for an entry.
 func nothingForEntry(r *wire.Reports) bool {
 	return len(r.Endpoints)+len(r.Sums)+len(r.Silent)+len(r.Heard)+len(r.Digest) == 0
 }
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -18,26 +18,26 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// controlTickInterval is how often the loop looks for what is due: the grain of the
-// replicated log's times.
+// controlTickInterval is the interval of the periodic work of Control.loop, and so the
+// resolution of the timeouts of the replicated log.
 const controlTickInterval = 25 * time.Millisecond
 
 type (
-	// ControlConfig is what a control instance is told.
+	// ControlConfig configures a Control.
 	ControlConfig struct {
 		Domain string
-		// Domains are all failure domains that there are; nil where that is not known.
+		// Domains are all existing failure domains; nil if unknown.
 		Domains []string
-		Peer    netip.AddrPort   // listens for links
-		Front   string           // where operators and endpoints call
+		Peer    netip.AddrPort   // listens for links of entries and peers
+		Front   string           // address for operators and endpoints
 		Seeds   []netip.AddrPort // peer addresses of other control instances
-		First   bool             // the whole system starts for the first time
+		First   bool             // the whole fleet starts for the first time
 		// Files opens the data folder.
 		Files  func() (storage.Files, error)
-		Voters int           // wanted voters
-		Beat   time.Duration // heartbeat period of endpoints
+		Voters int           // number of voters to maintain
+		Beat   time.Duration // heartbeat interval of endpoints
 		Log    *log.Logger
-		Dial   Dialer // DialTCP, but for tests
+		Dial   Dialer // DialTCP outside tests
 		Now    func() time.Time
 	}
 
@@ -57,21 +57,21 @@
 		peers           *peerLinks
 		suspicions      *suspicionBatcher
 		malformed       *malformedCalls
-		outliersMu      sync.Mutex // held while outliers is used
+		outliersMu      sync.Mutex // guards outliers
 		outliers        *outlier.Tracker
 
-		// Owned by loop.
-		directory        *directory.Directory // nil while the disk fails
+		// Used by the goroutine of loop only.
+		directory        *directory.Directory // nil while the disk has failed
 		store            *storage.Store
-		pendingProposals map[uint64]chan bool // by proposal; true once committed
-		diskFailed       bool                 // the disk failed and has not been opened since
+		pendingProposals map[uint64]chan bool // receives whether the proposal was committed, by log index
+		diskFailed       bool                 // the disk failed and has not been reopened since
 		reopenAt         time.Time
-		lastTurnAt       time.Time // of the loop's last turn
-		resumedAt        time.Time // when the loop went on after a standstill
+		lastTurnAt       time.Time // last iteration of loop
+		resumedAt        time.Time // end of the last stall of loop
 	}
 )
 
-// NewControl returns a control instance that does not run yet.
+// NewControl returns a control instance; Run starts it.
 func NewControl(c ControlConfig) *Control {
 	const maxQueuedCalls = 256
 	control := &Control{
@@ -79,7 +79,7 @@
 		endpoints: newEndpointList(c), entries: newEntryList(c.Now), timings: newControlTimings(),
 		outliers: outlier.New(), suspicions: newSuspicionBatcher(c.Now), malformed: newMalformedCalls(),
 	}
-	control.endpoints.setRelay(false) // until it votes
+	control.endpoints.setRelay(false) // until the instance is a voter
 	control.initialList = &initialList{endpoints: control.endpoints}
 	control.announceTargets = &announceTargets{now: c.Now}
 	control.status.Store(&timedStatus{})
@@ -89,8 +89,8 @@
 	return control
 }
 
-// Run serves until the context ends; an error at once is of kind AddressInUse
-// where the peer address cannot be had.
+// Run serves until the context is done. It returns an error of kind AddressInUse if it cannot
+// listen on the peer address.
 func (c *Control) Run(ctx context.Context) error {
 	links, err := newLinkServer(c.config.Peer.String(), &linkHandler{control: c}, &controlAPI{control: c})
 	if err != nil {
@@ -109,7 +109,7 @@
 	return group.Wait()
 }
 
-// loop owns the directory and the disk.
+// loop runs all work that uses the directory or the disk.
 func (c *Control) loop(ctx context.Context) error {
 	c.peers.setSeeds(ctx, c.config.Seeds)
 	ticker := time.NewTicker(controlTickInterval)
@@ -133,8 +133,8 @@
 	}
 }
 
-// tick does what is due: it tries a disk that failed again, or lets the
-// directory and the links to others go on.
+// tick runs the periodic work: it reopens a failed disk, or advances the directory and
+// updates the links to peers.
 func (c *Control) tick(ctx context.Context) {
 	now := c.config.Now()
 	c.detectStall(now)
@@ -149,7 +149,8 @@
 	c.peers.connect(ctx, c.directory.Addresses())
 }
 
-// processReady persists, sends and answers, in this order.
+// processReady persists the new log entries, then sends messages, then resolves proposals.
+// The order matters: nothing may be sent or acknowledged before it is on disk.
 func (c *Control) processReady() error {
 	if c.directory == nil {
 		return nil
@@ -174,7 +175,7 @@
 	return nil
 }
 
-// persistAndObserve persists and takes the time where there is something to write.
+// persistAndObserve calls persist and records the duration if there was something to write.
 func (c *Control) persistAndObserve(ready directory.Ready) error {
 	if ready.Log.Record == nil && ready.Log.Snapshot == nil {
 		return c.persist(ready)
@@ -185,7 +186,7 @@
 	return err
 }
 
-// resolveProposal tells whoever waits for a proposal whether it is committed.
+// resolveProposal reports to the caller that waits for a proposal whether it was committed.
 func (c *Control) resolveProposal(index uint64, committed bool) {
 	if w := c.pendingProposals[index]; w != nil {
 		w <- committed
@@ -193,7 +194,7 @@
 	}
 }
 
-// publish tells entries and callers what is in force, and logs what changed.
+// publish makes the latest state available to entries and callers, and logs what has changed.
 func (c *Control) publish() {
 	now := c.config.Now()
 	status, last := c.directory.Status(now), c.status.Load().status
@@ -222,13 +223,13 @@
 	}
 }
 
-// call runs f in the loop and waits for it. The error is of kind DataFolder
-// while the disk fails, and NoQuorum where the loop takes too long.
+// call runs f in the loop and waits for it. The error is of kind DataFolder while the disk
+// has failed, and of kind NoQuorum if ctx is done before f has run.
 func (c *Control) call(ctx context.Context, f func(now time.Time, d *directory.Directory)) error {
 	done := make(chan error, 1)
 	run := func(now time.Time) {
 		if c.directory == nil {
-			done <- fault.New(fault.DataFolder, "the data folder takes no writes")
+			done <- fault.New(fault.DataFolder, "the data folder is not writable")
 			return
 		}
 		f(now, c.directory)
@@ -247,19 +248,19 @@
 	}
 }
 
-// handleLogMessage hands a message of the log to the loop; one that finds the queue full
-// is lost, which the log bears.
+// handleLogMessage queues a message of the replicated log for the loop. It is dropped if the
+// queue is full, which the log tolerates.
 func (c *Control) handleLogMessage(m *wire.LogMessage) {
 	c.enqueue(func(now time.Time, d *directory.Directory) { d.Step(now, m) })
 }
 
-// handleRoster hands the roster of another control instance to the loop.
+// handleRoster queues the roster of a peer for the loop. It is dropped if the queue is full.
 func (c *Control) handleRoster(roster *wire.Roster) {
 	c.enqueue(func(now time.Time, d *directory.Directory) { d.HandleRoster(now, roster) })
 }
 
-// enqueue queues f for the loop without waiting; it is left out where the queue
-// is full or the disk fails.
+// enqueue queues f for the loop without blocking. f is dropped if the queue is full or the
+// disk has failed.
 func (c *Control) enqueue(f func(now time.Time, d *directory.Directory)) {
 	run := func(now time.Time) {
 		if c.directory != nil {
@@ -272,11 +273,11 @@
 	}
 }
 
-// SetSeeds takes other seeds, after the settings have changed.
+// SetSeeds replaces the seeds after a change of the settings.
 func (c *Control) SetSeeds(ctx context.Context, seeds []netip.AddrPort) { c.peers.setSeeds(ctx, seeds) }
 
-// Status returns what the instance believes. One whose loop has stood still
-// for longer than a lease leads no more, whatever it believed last.
+// Status returns the last known state of the replicated log. If the loop has been stalled for
+// longer than a lease, the instance no longer counts as leader.
 func (c *Control) Status() directory.Status {
 	latest := c.status.Load()
 	s := latest.status
--- a/internal/node/counts.go
+++ b/internal/node/counts.go
@@ -9,45 +9,45 @@
 )
 
 type (
-	// packetCounts counts packets by why they were treated as they were.
+	// packetCounts counts packets by the reason of the decision on them.
 	packetCounts struct {
 		byReason [steer.ReasonCount]atomic.Uint64
 	}
 
-	// probeOutcomeCounts counts questions to endpoints by what came of them.
+	// probeOutcomeCounts counts probes of endpoints by outcome.
 	probeOutcomeCounts struct {
 		byOutcome [steer.OutcomeCount]atomic.Uint64
 	}
 
-	// announcementCounts counts what came as announcements of control instances.
+	// announcementCounts counts received announcements of control instances.
 	announcementCounts struct {
 		received, malformed atomic.Uint64
 	}
 
-	// metric is a counter or gauge with its name, labels included.
+	// metric is the value of a counter or gauge. The name includes the labels.
 	metric struct {
 		name  string
 		value uint64
 	}
 )
 
-// add counts the packet that a decision is about.
+// add counts the packet that a decision was made on.
 func (c *packetCounts) add(d steer.Decision) { c.byReason[d.Reason].Add(1) }
 
-// writeMetrics writes figures, a line each.
+// writeMetrics writes one line per metric.
 func writeMetrics(w io.Writer, metrics []metric) {
 	for _, f := range metrics {
 		fmt.Fprintf(w, "%s %d\n", f.name, f.value)
 	}
 }
 
-// WriteMetrics writes the entry's counters, gauges and timings, a line each.
+// WriteMetrics writes the counters, gauges and timings of the entry, one per line.
 func (e *Entry) WriteMetrics(w io.Writer) {
 	writeMetrics(w, e.metrics())
 	e.timings.writeText(w)
 }
 
-// metrics returns the entry's counters and gauges.
+// metrics returns the counters and gauges of the entry.
 func (e *Entry) metrics() []metric {
 	var all []metric
 	for _, reason := range steer.Reasons() {
@@ -75,13 +75,13 @@
 	)
 }
 
-// WriteMetrics writes the control instance's gauges and timings, a line each.
+// WriteMetrics writes the counters, gauges and timings of the control instance, one per line.
 func (c *Control) WriteMetrics(w io.Writer) {
 	writeMetrics(w, c.metrics())
 	c.timings.writeText(w)
 }
 
-// metrics returns the control instance's gauges.
+// metrics returns the counters and gauges of the control instance.
 func (c *Control) metrics() []metric {
 	s := c.Status()
 	current := uint64(0)
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -10,18 +10,19 @@
 )
 
 const (
-	// compactThreshold is the size of the log file at which a snapshot is taken.
+	// compactThreshold is the size of the log file in bytes at which a snapshot is taken.
 	compactThreshold = 1 << 20
-	// reopenDelay is the pause before a disk that failed is tried again.
+	// reopenDelay is the pause before a failed disk is opened again.
 	reopenDelay = 250 * time.Millisecond
 )
 
-// openDisk reads the data folder; where that fails it is tried again later.
+// openDisk loads the state from the data folder and creates the directory. If that fails,
+// tick calls it again later.
 func (c *Control) openDisk(now time.Time) {
 	c.reopenAt = now.Add(reopenDelay)
 	files, err := c.config.Files()
 	if err != nil {
-		c.config.Log.Error("data folder cannot be opened", "error", err)
+		c.config.Log.Error("cannot open data folder", "error", err)
 		return
 	}
 	if c.diskFailed && !isWritable(files) {
@@ -29,12 +30,12 @@
 	}
 	identity, err := loadIdentity(files, c.config)
 	if err != nil {
-		c.config.Log.Error("identity cannot be kept", "error", err)
+		c.config.Log.Error("cannot load or save identity", "error", err)
 		return
 	}
 	store, loaded, err := storage.Open(files)
 	if err != nil {
-		c.config.Log.Error("log cannot be opened", "error", err, "next", fault.KindOf(err).Answer().NextStep())
+		c.config.Log.Error("cannot open log", "error", err, "next", fault.KindOf(err).Answer().NextStep())
 		return
 	}
 	d, err := directory.New(directory.Config{
@@ -43,7 +44,7 @@
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}, now, loaded)
 	if err != nil {
-		c.config.Log.Error("log cannot be used", "error", err)
+		c.config.Log.Error("cannot use log", "error", err)
 		return
 	}
 	c.store, c.directory, c.diskFailed = store, d, false
@@ -51,13 +52,13 @@
 		"term", loaded.HardState.Term, "torn", loaded.Torn)
 }
 
-// isWritable reports whether a disk that failed can be written again: reading
-// alone would not show that. Its failure was logged when it failed.
+// isWritable reports whether a disk that failed is writable again, which reading alone would
+// not show. It logs nothing, since the failure has been logged already.
 func isWritable(files storage.Files) bool { return storage.Probe(files) == nil }
 
-// closeDisk gives the disk up until it can be opened again, as after a crash.
+// closeDisk drops all state of the disk until it can be opened again, as after a crash.
 func (c *Control) closeDisk(now time.Time) {
-	_ = c.store.Close() // it has failed already
+	_ = c.store.Close() // the disk has failed already
 	c.store, c.directory, c.diskFailed, c.reopenAt = nil, nil, true, now.Add(reopenDelay)
 	c.status.Store(&timedStatus{})
 	for index := range c.pendingProposals {
@@ -65,8 +66,8 @@
 	}
 }
 
-// persist writes what must last before anything is sent, and takes a snapshot
-// once the log has grown to compactAt.
+// persist writes the log entries that must be on disk before anything is sent. It takes a
+// snapshot once the log reaches compactThreshold.
 func (c *Control) persist(ready directory.Ready) error {
 	if s := ready.Log.Snapshot; s != nil {
 		if err := c.store.SaveSnapshot(s, ready.Log.HardState, nil); err != nil {
--- a/internal/node/disk_test.go
+++ b/internal/node/disk_test.go
@@ -14,7 +14,7 @@
 	"oxbowsaddle/internal/fault"
 )
 
-var _ = ginkgo.Describe("control instances on failing disks", func() {
+var _ = ginkgo.Describe("control instances with failing disks", func() {
 	var fleet controlFleet
 	begin := func(subnet byte, n int) {
 		fleet = startFleet(subnet, n, 3, ginkgo.GinkgoT().TempDir, log.New(ginkgo.GinkgoWriter))
@@ -28,7 +28,7 @@
 		return nil
 	}
 
-	ginkgo.It("acknowledge on while the leader's disk is full, and that one takes part again later", func() {
+	ginkgo.It("acknowledge orders while the leader's disk is full, and the leader rejoins later", func() {
 		begin(41, 3)
 		full := fleet.leader()
 		full.disk.SetFull(true)
@@ -37,12 +37,12 @@
 		Eventually(func() fault.Kind {
 			_, err = full.Put(context.Background(), mustDocument(document.New(document.Config{Version: 3})))
 			return fault.KindOf(err)
-		}, settleTimeout).Should(Equal(fault.DataFolder), "it says itself that it cannot: %v", err)
+		}, settleTimeout).Should(Equal(fault.DataFolder), "the instance reports its failed disk: %v", err)
 		full.disk.SetFull(false)
 		Eventually(func() uint64 { return full.Status().Version }, settleTimeout).Should(BeNumerically(">=", 2))
 	})
 
-	ginkgo.It("acknowledge on while the leader's disk stands still", func() {
+	ginkgo.It("acknowledge orders while the leader's disk hangs", func() {
 		begin(42, 3)
 		stalled := fleet.leader()
 		goOn := stalled.disk.Stall()
@@ -53,9 +53,9 @@
 		Eventually(func() uint64 { return stalled.Status().Version }, settleTimeout).Should(Equal(uint64(2)))
 	})
 
-	ginkgo.It("acknowledge on while a disk is 40 times slower, the leader's or another", func() {
+	ginkgo.It("acknowledge orders while the disk of the leader or of a follower is 40 times slower", func() {
 		begin(45, 3)
-		const slow = 100 * time.Millisecond // a write and a sync together take 40 times the 5 ms of the machines
+		const slow = 100 * time.Millisecond // 40 times the 5 ms that a write and a sync usually take
 		for version, r := range []*runningControl{fleet.leader(), fleet.follower()} {
 			r.disk.SetDelay(slow)
 			fleet.put(uint64(2 + version))
@@ -66,7 +66,7 @@
 		}
 	})
 
-	ginkgo.It("give the vote of one whose disk refuses every write to another one", func() {
+	ginkgo.It("replace a voter whose disk rejects writes", func() {
 		begin(43, 4)
 		Eventually(voters, settleTimeout).Should(HaveLen(3))
 		full := fleet[slices.IndexFunc(fleet, func(r *runningControl) bool {
@@ -74,23 +74,23 @@
 		})]
 		lost := full.Status().Self
 		full.disk.SetFull(true)
-		fleet.put(2) // it notices when it writes
+		fleet.put(2) // the write detects the failure
 		Eventually(voters, settleTimeout).Should(And(HaveLen(3), Not(ContainElement(lost))))
 	})
 
-	ginkgo.It("give the vote of one whose disk stands still to another one", func() {
+	ginkgo.It("replace a voter whose disk hangs", func() {
 		begin(44, 4)
 		Eventually(voters, settleTimeout).Should(HaveLen(3))
 		stalled := fleet.leader()
 		lost := stalled.Status().Self
 		goOn := stalled.disk.Stall()
 		defer goOn()
-		fleet.put(2) // it notices when it writes
+		fleet.put(2) // the write detects the failure
 		Eventually(voters, settleTimeout).Should(And(HaveLen(3), Not(ContainElement(lost))))
 	})
 })
 
-// mustDocument returns a document that has no faults.
+// mustDocument returns the document and panics if it is invalid.
 func mustDocument(doc *document.Document, faults []string) *document.Document {
 	if len(faults) > 0 {
 		panic(errors.New(faults[0]))
--- a/internal/node/endpointlines.go
+++ b/internal/node/endpointlines.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	// endpointLogRate and endpointLinesAtOnce bound the log lines about endpoints:
-	// those of a release, and not of a fleet that starts.
+	// endpointLogRate and endpointLogBurst limit the log lines about endpoints. They suffice
+	// for a release, but not for the start of a fleet.
 	endpointLogRate  = 20
 	endpointLogBurst = 100
 )
 
-// endpointLog logs what becomes known of endpoints, within bounds.
+// endpointLog writes rate-limited log lines about changes of endpoints.
 type endpointLog struct {
 	log     *log.Logger
 	limiter *logLimiter
@@ -25,7 +25,7 @@
 	return &endpointLog{logger, newLogLimiter(endpointLogRate, endpointLogBurst)}
 }
 
-// logChange logs a change of an endpoint that was heard age ago.
+// logChange logs a change of an endpoint that was last heard the given age ago.
 func (l *endpointLog) logChange(e registry.Endpoint, silent bool, age time.Duration) {
 	dropped, allowed := l.limiter.allow()
 	if !allowed {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -10,17 +10,19 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// endpointList is the registry of a control instance with what the others
-// have confirmed to hold of it.
+// endpointList is the endpoint registry of a control instance. It also tracks which revisions
+// of the registry the peers have acknowledged. It is safe for concurrent use.
 type endpointList struct {
-	now                                      func() time.Time
-	changes                                  notifier  // a change that entries must know
-	acknowledgements                         notifier  // somebody confirmed something
-	fullBatches, summaryBatches, peerBatches *batchLog // of what entries and other control instances are told
+	now              func() time.Time
+	changes          notifier // the registry has changed in a way that matters to entries
+	acknowledgements notifier // a peer has acknowledged a revision
+	// Batches for entries that receive records, for entries that receive only summaries, and
+	// for peers.
+	fullBatches, summaryBatches, peerBatches *batchLog
 
 	mu           sync.Mutex
 	registry     *registry.Registry
-	acknowledged map[string]uint64 // number by peer address
+	acknowledged map[string]uint64 // revision by peer address
 }
 
 func newEndpointList(c ControlConfig) *endpointList {
@@ -30,19 +32,19 @@
 	}
 	l.fullBatches = &batchLog{delay: fullBatchDelay, changes: &l.changes, collect: l.changesAfter, isEmpty: nothingForEntry}
 	l.summaryBatches = &batchLog{delay: summaryBatchDelay, changes: &l.changes, collect: l.changeSummaryAfter, isEmpty: nothingForEntry}
-	// Other control instances take the frame of a calm time for a sign of life.
+	// Peers take each frame as a sign of life, so that empty batches are sent too.
 	l.peerBatches = &batchLog{delay: peerBatchDelay, interval: frameInterval, changes: &l.changes, collect: l.peerChangesAfter, isEmpty: func(*wire.Reports) bool { return false }}
 	return l
 }
 
-// setRelay has other control instances told on of what they told, or not.
+// setRelay sets whether reports of peers are forwarded to other peers.
 func (l *endpointList) setRelay(relays bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.registry.SetRelay(relays)
 }
 
-// update changes the registry and wakes the senders if entries must know.
+// update changes the registry, and notifies subscribers if the change matters to entries.
 func (l *endpointList) update(change func(now time.Time, r *registry.Registry)) {
 	l.mu.Lock()
 	before := l.registry.LastChange()
@@ -54,72 +56,72 @@
 	}
 }
 
-// heartbeat takes a heartbeat and returns the number of the change.
+// heartbeat records a heartbeat and returns the revision of the change.
 func (l *endpointList) heartbeat(e registry.Endpoint) (revision uint64) {
 	l.update(func(now time.Time, r *registry.Registry) { revision, _ = r.Heartbeat(now, e) })
 	return revision
 }
 
-// leave marks an incarnation as gone and returns the number of the change.
+// leave marks an incarnation as gone and returns the revision of the change.
 func (l *endpointList) leave(id string) (revision uint64) {
 	l.update(func(now time.Time, r *registry.Registry) { revision = r.Leave(now, id) })
 	return revision
 }
 
-// merge takes the reports of another control instance.
+// merge applies the reports of a peer.
 func (l *endpointList) merge(reports *wire.Reports) {
 	l.update(func(now time.Time, r *registry.Registry) { r.Merge(now, reports) })
 }
 
-// complete reports whether every endpoint has had the time to be heard.
+// complete reports whether every live endpoint has had time to send a heartbeat.
 func (l *endpointList) complete() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.registry.Complete(l.now())
 }
 
-// lastChange returns the number of the last change that entries must know.
+// lastChange returns the revision of the last change that matters to entries.
 func (l *endpointList) lastChange() uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.registry.LastChange()
 }
 
-// read reports of the registry while nothing changes it.
+// read calls reports with the registry while holding the lock.
 func (l *endpointList) read(reports func(now time.Time, r *registry.Registry) *wire.Reports) *wire.Reports {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return reports(l.now(), l.registry)
 }
 
-// changesAfter returns what entries must know of the changes after a number.
+// changesAfter returns, for an entry, the changes after a revision.
 func (l *endpointList) changesAfter(revision uint64) *wire.Reports {
 	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Changes(now, revision) })
 }
 
-// changeSummaryAfter returns what an entry must know of the changes after a
-// number that somebody else tells it whole.
+// changeSummaryAfter returns a summary of the changes after a revision, for an entry that
+// receives the records from another control instance.
 func (l *endpointList) changeSummaryAfter(revision uint64) *wire.Reports {
 	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.ChangeSummary(now, revision) })
 }
 
-// records returns what is known of some endpoints.
+// records returns the records of the given endpoints.
 func (l *endpointList) records(ids []string) *wire.Reports {
 	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Records(now, ids) })
 }
 
-// missing returns what an entry lacks whose digest is given.
+// missing returns the records that an entry with the given digest lacks.
 func (l *endpointList) missing(known registry.Digest) *wire.Reports {
 	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Missing(now, known) })
 }
 
-// peerChangesAfter returns what the other control instances must know of the
-// heartbeats and changes after a number.
+// peerChangesAfter returns, for a peer, the heartbeats and changes after a revision.
 func (l *endpointList) peerChangesAfter(revision uint64) *wire.Reports {
 	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.PeerChanges(now, revision) })
 }
 
-// acknowledge notes what the instance at an address holds; 0 after its link ended.
+// acknowledge records the revision that the peer at an address has acknowledged; 0 resets it
+// when the link ends.
 func (l *endpointList) acknowledge(address string, revision uint64) {
 	l.mu.Lock()
 	l.acknowledged[address] = revision
@@ -127,8 +129,8 @@
 	l.acknowledgements.notify()
 }
 
-// awaitAcknowledgements waits until enough of the instances at the addresses hold a change;
-// the error, once the context ends, is of kind NoQuorum.
+// awaitAcknowledgements waits until enough of the peers at the addresses have acknowledged a
+// revision. If ctx is done first, the error is of kind NoQuorum.
 func (l *endpointList) awaitAcknowledgements(ctx context.Context, revision uint64, addresses []string, enough int) error {
 	acknowledgements, cancel := l.acknowledgements.subscribe()
 	defer cancel()
@@ -139,12 +141,13 @@
 		select {
 		case <-acknowledgements:
 		case <-ctx.Done():
-			return fault.New(fault.NoQuorum, "too few control instances hold the change")
+			return fault.New(fault.NoQuorum, "too few control instances acknowledged the change")
 		}
 	}
 }
 
-// countAcknowledged returns how many of the instances at the addresses hold a change.
+// countAcknowledged returns how many of the peers at the addresses have acknowledged a
+// revision.
 func (l *endpointList) countAcknowledged(revision uint64, addresses []string) int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -157,12 +160,13 @@
 	return n
 }
 
-// summary returns what an entry is told that begins to be told briefly.
+// summary returns the digest and the silent endpoints, for an entry that receives only
+// summaries from now on.
 func (l *endpointList) summary() *wire.Reports {
 	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.Summary(now) })
 }
 
-// loop looks for silent endpoints until the context ends.
+// loop sweeps the registry until the context is done.
 func (l *endpointList) loop(ctx context.Context) error {
 	ticker := time.NewTicker(frameInterval)
 	defer ticker.Stop()
@@ -179,8 +183,9 @@
 	}
 }
 
-// sweep looks for silent endpoints, a span after it did so last. What of it this process
-// was late says nothing of them.
+// sweep marks endpoints without recent heartbeats as silent. elapsed is the time since the
+// previous sweep: if this process was paused meanwhile, the pause does not count against the
+// endpoints.
 func (l *endpointList) sweep(elapsed time.Duration) {
 	l.update(func(now time.Time, r *registry.Registry) {
 		if late := elapsed - frameInterval; late > frameInterval {
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -14,7 +14,7 @@
 	"oxbowsaddle/internal/registry"
 )
 
-var _ = ginkgo.Describe("the wait until enough control instances know", func() {
+var _ = ginkgo.Describe("waiting for acknowledgements of peers", func() {
 	var list *endpointList
 	others := []string{"b", "c"}
 	ginkgo.BeforeEach(func() {
@@ -26,14 +26,14 @@
 		})
 		return number
 	}
-	// await returns the outcome once the wait ends.
+	// await returns a channel that receives the result of the wait.
 	await := func(ctx context.Context, number uint64, enough int) <-chan error {
 		done := make(chan error, 1)
 		go func() { done <- list.awaitAcknowledgements(ctx, number, others, enough) }()
 		return done
 	}
 
-	ginkgo.It("ends when they have confirmed that change, not an earlier one", func() {
+	ginkgo.It("ends when enough peers have acknowledged the revision, not an earlier one", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		number := change()
@@ -44,11 +44,11 @@
 		Eventually(done).Should(Receive(BeNil()))
 	})
 
-	ginkgo.It("does not count one whose link has ended, nor one that is not asked", func() {
+	ginkgo.It("does not count a peer whose link has ended, nor one at another address", func() {
 		number := change()
 		list.acknowledge("b", number)
 		list.acknowledge("b", 0)
-		list.acknowledge("stranger", number)
+		list.acknowledge("other", number)
 		ctx, cancel := context.WithCancel(context.Background())
 		done := await(ctx, number, 1)
 		Consistently(done, "50ms").ShouldNot(Receive())
@@ -58,11 +58,11 @@
 		Expect(fault.KindOf(err)).To(Equal(fault.NoQuorum))
 	})
 
-	ginkgo.It("is none where this instance alone is a majority", func() {
+	ginkgo.It("returns at once if this instance alone is a majority", func() {
 		Expect(list.awaitAcknowledgements(context.Background(), change(), others, 0)).To(Succeed())
 	})
 
-	ginkgo.It("wakes those who tell entries only for what they must know", func() {
+	ginkgo.It("subscribers are notified only of changes that matter to entries", func() {
 		changed, cancel := list.changes.subscribe()
 		defer cancel()
 		change()
@@ -74,8 +74,8 @@
 	})
 })
 
-var _ = ginkgo.Describe("a control instance that stood still", func() {
-	ginkgo.It("takes no endpoint away for that, and those that stay silent after it", func() {
+var _ = ginkgo.Describe("the endpoint list", func() {
+	ginkgo.It("marks no endpoints as silent because of a pause of the process, only those still silent afterwards", func() {
 		const beat = time.Second
 		now := time.Unix(1000, 0)
 		l := newEndpointList(ControlConfig{Beat: beat, Log: log.New(io.Discard), Now: func() time.Time { return now }})
@@ -90,7 +90,7 @@
 			}
 			return n
 		}
-		// pass lets time pass, in which it looks for silent endpoints as often as it should.
+		// pass advances the clock by span with sweeps at the usual interval.
 		pass := func(span time.Duration) {
 			for end := now.Add(span); now.Before(end); {
 				now = now.Add(frameInterval)
@@ -102,12 +102,12 @@
 		l.sweep(3 * time.Second)
 		Expect(silent()).To(BeZero())
 		pass(beat)
-		Expect(silent()).To(BeZero(), "the heartbeats that waited may still come")
+		Expect(silent()).To(BeZero(), "heartbeats delayed by the pause may still arrive")
 		pass(2 * beat)
 		Expect(silent()).To(Equal(100))
 	})
 
-	ginkgo.It("logs few lines of what many endpoints say, and how many it left out", func() {
+	ginkgo.It("limits the log lines about endpoints and counts the dropped ones", func() {
 		var out bytes.Buffer
 		l := newEndpointList(ControlConfig{Beat: time.Second, Log: log.New(&out), Now: SteadyClock()})
 		for n := range 5 * endpointLogBurst {
--- a/internal/node/evacuate_test.go
+++ b/internal/node/evacuate_test.go
@@ -16,13 +16,13 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// evacuate sends an order until it is acknowledged.
+// evacuate retries an order until it is acknowledged.
 func (f controlFleet) evacuate(o evacuation.Order) {
 	f.retryUntilAccepted(func(ctx context.Context, r *runningControl) (string, error) { return r.Evacuate(ctx, o) })
 }
 
 var _ = ginkgo.Describe("an evacuation", func() {
-	ginkgo.Context("ordered at a fleet", func() {
+	ginkgo.Context("in a fleet", func() {
 		var fleet controlFleet
 		var entry *Entry
 		evacuated := func() []string { return entry.steerer.Evacuations().Domains() }
@@ -38,17 +38,17 @@
 			entry = startFleetEntry(fleet, "e1", DialTCP)
 		})
 
-		ginkgo.It("comes in force at entries, at those that come later too, and ends", func() {
+		ginkgo.It("applies at entries, including new ones, until it is undone", func() {
 			fleet.evacuate(evacuation.Order{Domain: "d1"})
 			Eventually(inForce, settleTimeout).Should(Equal([]string{"d1"}))
 			late := startFleetEntry(fleet, "e2", DialTCP)
 			Eventually(late.Ready, settleTimeout).Should(BeTrue())
-			Expect(late.steerer.Evacuations().Domains()).To(Equal([]string{"d1"}), "it serves before it knows")
+			Expect(late.steerer.Evacuations().Domains()).To(Equal([]string{"d1"}), "the entry is ready only with the evacuations")
 			fleet.evacuate(evacuation.Order{Domain: "d1", Undo: true})
 			Eventually(inForce, settleTimeout).Should(BeEmpty())
 		})
 
-		ginkgo.It("outlives a restart of every control instance, and the loss of a disk", func() {
+		ginkgo.It("survives a restart of every control instance, and the loss of a disk", func() {
 			fleet.evacuate(evacuation.Order{Domain: "d2"})
 			folder := ginkgo.GinkgoT().TempDir()
 			for _, r := range fleet {
@@ -66,7 +66,7 @@
 			Expect(late.appliedReceipt().Evacuations).NotTo(BeZero())
 		})
 
-		ginkgo.It("is refused for a failure domain that is not known", func() {
+		ginkgo.It("is rejected for an unknown failure domain", func() {
 			for _, r := range fleet {
 				r.Control.config.Domains = []string{"d0", "d1", "d2"}
 			}
@@ -75,23 +75,23 @@
 			fleet.evacuate(evacuation.Order{Domain: "d0"})
 		})
 
-		ginkgo.It("is not offered once its caller has gone, though the loop comes to it later", func() {
+		ginkgo.It("is not proposed if the caller disconnects before the loop gets to it", func() {
 			Eventually(fleet.leader, settleTimeout).ShouldNot(BeNil())
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
 			offered := make(chan bool, 20)
-			for range 20 { // the loop takes the call, or the caller is turned away before
+			for range 20 { // whether the loop accepts the call before it is canceled is random
 				_, err := fleet.leader().propose(ctx, func(time.Time, *directory.Directory) (uint64, bool, error) {
 					offered <- true
 					return 0, true, nil
 				})
 				Expect(fault.KindOf(err)).To(Equal(fault.NoQuorum))
 			}
-			Expect(fleet.leader().call(context.Background(), func(time.Time, *directory.Directory) {})).To(Succeed(), "after all that were taken")
+			Expect(fleet.leader().call(context.Background(), func(time.Time, *directory.Directory) {})).To(Succeed(), "runs after all accepted calls")
 			Expect(offered).To(BeEmpty())
 		})
 
-		ginkgo.It("names the leader to the commands of operators elsewhere", func() {
+		ginkgo.It("is redirected to the leader by the other instances", func() {
 			Eventually(fleet.leader, settleTimeout).ShouldNot(BeNil())
 			answers := &controlAPI{control: fleet.follower().Control}
 			r, err := answers.Evacuate(context.Background(), &wire.EvacuateRequest{Domain: "d0"})
@@ -102,7 +102,7 @@
 		})
 	})
 
-	ginkgo.Context("that may be out of turn", func() {
+	ginkgo.Context("that may be outdated", func() {
 		var now time.Time
 		var control *Control
 		ginkgo.BeforeEach(func() {
@@ -110,11 +110,11 @@
 			control = NewControl(ControlConfig{Log: log.New(io.Discard), Now: func() time.Time { return now }, Beat: time.Second})
 		})
 
-		ginkgo.It("is turned away for a while after the instance stood still", func() {
+		ginkgo.It("is rejected for a while after a stall", func() {
 			control.detectStall(now)
 			now = now.Add(stallThreshold)
 			control.detectStall(now)
-			Expect(control.resumedAt).To(BeZero(), "a slow turn is none")
+			Expect(control.resumedAt).To(BeZero(), "a slow iteration is not a stall")
 			now = now.Add(stallThreshold + time.Millisecond)
 			control.detectStall(now)
 			Expect(control.resumedAt).To(Equal(now))
@@ -134,26 +134,26 @@
 			return f
 		}
 
-		ginkgo.It("is in force before a document of the same frame is", func() {
+		ginkgo.It("is applied before the document in the same frame", func() {
 			entry.handleDocument("c1", frame(7, 4, "d0"))
 			Expect(entry.appliedReceipt()).To(HaveField("Evacuations", uint64(4)))
 			Expect(entry.steerer.Evacuations().Has("d0")).To(BeTrue())
 		})
 
-		ginkgo.It("is not undone by a later document of an instance that lags", func() {
+		ginkgo.It("is not undone by a newer document from an instance with older evacuations", func() {
 			entry.handleOffer("c1", &wire.DocumentOffer{Version: 7, Evacuations: &wire.Evacuations{Revision: 9, Domains: []string{"d0"}}})
 			entry.handleDocument("c2", frame(8, 3))
 			Expect(entry.appliedReceipt()).To(HaveField("Version", uint64(8)))
 			Expect(entry.steerer.Evacuations().Has("d0")).To(BeTrue())
 		})
 
-		ginkgo.It("is told with the offer and with each document", func() {
+		ginkgo.It("is part of the offer and of each document frame", func() {
 			doc, _ := document.New(document.Config{Version: 7})
 			set := (*evacuation.Set)(nil).With(4, evacuation.Order{Domain: "d0"})
 			p := (&publishedState{}).with(doc, nil, true)
 			next := p.with(doc, set, true)
 			Expect(next).NotTo(BeIdenticalTo(p))
-			Expect(next.with(doc, nil, true)).To(BeIdenticalTo(next), "an older one changes nothing")
+			Expect(next.with(doc, nil, true)).To(BeIdenticalTo(next), "older evacuations change nothing")
 			Expect(next.offer().GetOffer().Evacuations.Domains).To(Equal([]string{"d0"}))
 			told, err := decompressFrame(next.frame(0))
 			Expect(err).NotTo(HaveOccurred())
--- a/internal/node/feed.go
+++ b/internal/node/feed.go
@@ -9,47 +9,48 @@
 )
 
 const (
-	// digestRepeatDelay is how long after the digest was told it is told again, and checks how
-	// often, so that an entry finds out what it lacks though nothing changes any more: a
-	// part of the endpoints that has not changed meanwhile and that it knows otherwise.
+	// The digest is sent again digestRepeats times, at intervals of digestRepeatDelay, so
+	// that an entry detects missing records even if nothing changes any more. A single digest
+	// may not reveal them: the entry ignores parts of the list that are still changing.
 	digestRepeatDelay = 3 * summaryBatchDelay
 	digestRepeats     = 2
-	// remainderDelay is how long the rest of the first list waits for the entry to ask for
-	// the document, which it needs for new flows and would otherwise have after the list,
-	// 42 ms later over a link of 2 Mbit/s: several round trips between failure domains.
+	// remainderDelay is how long the remainder of the initial list waits for the entry to
+	// request the document, which the entry needs for new flows and would otherwise receive
+	// only after the whole list. It covers several round trips between failure domains.
 	remainderDelay = 15 * time.Millisecond
-	// maxQueuedSuspicions bounds the frames about doubts that an entry has not been told of yet.
+	// maxQueuedSuspicions bounds the frames with suspicions that wait to be sent on a link.
 	maxQueuedSuspicions = 64
-	// rosterInterval is how often an entry is told of the control instances: three
-	// times within linkIdle, so that its link stays while nothing changes.
+	// rosterInterval is how often a roster is sent to an entry: three times within
+	// linkIdleTimeout, so that an idle link stays up.
 	rosterInterval = 2 * frameInterval
 )
 
-// entryFeed sends one entry what it lacks, once it has subscribed; before that only
-// which control instances there are, so that it can choose.
+// entryFeed sends an entry the document, the endpoint reports and the suspicions, once the
+// entry has subscribed. Before that it sends only rosters, by which the entry chooses the
+// control instances to subscribe to.
 type entryFeed struct {
 	control          *Control
 	stream           wire.DRPCDirectory_LinkStream
-	name             string                  // of the entry
-	domain           string                  // of the entry
-	documentRequests chan uint64             // the version that the entry holds, when it asks
-	recordRequests   chan *wire.RecordsWant  // what the entry asks for
-	suspicions       chan *wire.Frame        // about doubts
-	subscriptions    chan *wire.Subscription // how it is told from now on
-	subscribed       bool                    // it has subscribed
-	announceAddr     string                  // where it listens for announcements, "" for nowhere
-	onEnd            func()                  // notes the end of the link of one that has subscribed
-	brief            bool                    // another control instance tells it whole records
-	sentRevision     uint64                  // number of the last reports
-	remainder        []*wire.Frame           // of the first list, not sent yet
-	remainderDue     <-chan time.Time        // when it is sent at the latest, nil while there is none
-	repeatsLeft      int                     // how often the digest is told again
-	repeatDue        <-chan time.Time        // when, nil while it is not
-	lastOffer        *publishedState         // what the last offer told of
-	sentRoster       *wire.Roster            // the last roster that was told whole, nil before the first
+	name             string      // of the entry
+	domain           string      // failure domain of the entry
+	documentRequests chan uint64 // document version that the entry has
+	recordRequests   chan *wire.RecordsWant
+	suspicions       chan *wire.Frame // frames to send
+	subscriptions    chan *wire.Subscription
+	subscribed       bool
+	announceAddr     string           // where the entry listens for announcements, "" for nowhere
+	onEnd            func()           // called when the link ends
+	brief            bool             // the entry receives only summaries, and records from another control instance
+	sentRevision     uint64           // revision of the last reports sent
+	remainder        []*wire.Frame    // of the initial list, not sent yet
+	remainderDue     <-chan time.Time // when remainder is sent at the latest, nil if there is none
+	repeatsLeft      int              // how many more times the digest is sent
+	repeatDue        <-chan time.Time // when the digest is sent again, nil if it is not
+	lastOffer        *publishedState  // state that was offered last
+	sentRoster       *wire.Roster     // last roster sent in full, nil for none
 }
 
-// newEntryFeed returns the feed of the entry that said hello on a stream.
+// newEntryFeed returns the feed of the entry that sent hello on a stream.
 func newEntryFeed(control *Control, stream wire.DRPCDirectory_LinkStream, hello *wire.Hello) *entryFeed {
 	return &entryFeed{
 		control: control, stream: stream, name: hello.Id, domain: hello.Domain,
@@ -58,11 +59,10 @@
 	}
 }
 
-// end notes that the link has ended.
+// end records the end of the link.
 func (f *entryFeed) end() { f.onEnd() }
 
-// receiveLoop takes what the entry asks for until the link fails, and then
-// calls failed.
+// receiveLoop handles the frames of the entry until the link fails, and then calls onFailure.
 func (f *entryFeed) receiveLoop(ctx context.Context, onFailure func()) {
 	defer onFailure()
 	for {
@@ -85,7 +85,7 @@
 	}
 }
 
-// sendOrDone gives a value to the goroutine that owns the feed.
+// sendOrDone sends a value to a channel, unless ctx is done first.
 func sendOrDone[T any](ctx context.Context, to chan<- T, value T) {
 	select {
 	case to <- value:
@@ -133,10 +133,9 @@
 	return err
 }
 
-// sendRoster tells of the control instances: whole where it names others than the
-// last one on this link, else that they are the same. A roster of 6 is 542 bytes; told
-// whole 2.5 times a second on each link they were 23 of the 35 MB that crossed a border
-// between failure domains on a calm day of 89 entries.
+// sendRoster sends the roster: in full if it lists other instances than the last one sent in
+// full, otherwise only a note that it is the same. This saves most of the traffic of idle
+// links.
 func (f *entryFeed) sendRoster() error {
 	latest := f.control.roster.Load()
 	roster := latest.roster
@@ -150,8 +149,8 @@
 	return f.stream.Send(&wire.Frame{Body: &wire.Frame_Roster{Roster: message}})
 }
 
-// sameInstances reports whether two rosters differ in ages alone, which entries have no
-// use for.
+// sameInstances reports whether two rosters differ only in the ages of instances, which
+// entries do not use.
 func sameInstances(a, b *wire.Roster) bool {
 	sameInstance := func(a, b *wire.ControlInstance) bool {
 		return a.Id == b.Id && a.Address == b.Address && a.Domain == b.Domain && a.Front == b.Front
@@ -159,7 +158,8 @@
 	return a.Leader == b.Leader && slices.Equal(a.Voters, b.Voters) && slices.EqualFunc(a.Instances, b.Instances, sameInstance)
 }
 
-// sendOffer offers a document that came in force, and tells of evacuations.
+// sendOffer offers the document in force, with the evacuations, if they have changed since
+// the last offer.
 func (f *entryFeed) sendOffer() error {
 	p := f.control.published.Load()
 	if p == f.lastOffer || p.document() == nil || !f.subscribed {
@@ -169,13 +169,13 @@
 	return f.stream.Send(p.offer())
 }
 
-// reportsFrame returns the frame that tells of endpoints.
+// reportsFrame returns the frame that carries reports.
 func reportsFrame(reports *wire.Reports) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_Reports{Reports: reports}}
 }
 
-// handleDocumentRequest sends the document to an entry that asks for it, and then what it
-// has held up.
+// handleDocumentRequest sends the requested document, and then the remainder of the initial
+// list, which was held back for it.
 func (f *entryFeed) handleDocumentRequest(held uint64) error {
 	if err := f.sendDocument(held); err != nil {
 		return err
@@ -183,8 +183,8 @@
 	return f.sendRemainder()
 }
 
-// sendDocument sends what is in force, as what differs from the version that
-// the entry holds where that one is remembered.
+// sendDocument sends the document in force, as a difference from the version that the entry
+// holds if that version is still kept.
 func (f *entryFeed) sendDocument(held uint64) error {
 	p := f.control.published.Load()
 	if p.document() == nil {
--- a/internal/node/feed_test.go
+++ b/internal/node/feed_test.go
@@ -14,7 +14,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var _ = ginkgo.Describe("what an entry is told of endpoints", func() {
+var _ = ginkgo.Describe("the feed of an entry", func() {
 	endpoint := registry.Endpoint{ID: "i-1", Addr: netip.MustParseAddrPort("10.0.0.1:80"), Sequence: 1}
 	var control *Control
 	ginkgo.BeforeEach(func() {
@@ -22,7 +22,7 @@
 		control.endpoints.heartbeat(endpoint)
 	})
 
-	// subscribed returns the feed of an entry that knows something, and what it was sent.
+	// subscribed returns the feed of an entry with the given digest, and its stream.
 	subscribed := func(brief bool, known registry.Digest) (*entryFeed, *recordingStream) {
 		stream := &recordingStream{}
 		f := newEntryFeed(control, stream, &wire.Hello{Id: "entry"})
@@ -40,7 +40,7 @@
 		known.Toggle(endpoint.ID, registry.Sum(endpoint))
 	})
 
-	ginkgo.It("is nothing before it subscribes, and then what it lacks, and later only changes", func() {
+	ginkgo.It("sends nothing before the subscription, then the missing records, and later only changes", func() {
 		f := newEntryFeed(control, &recordingStream{}, &wire.Hello{Id: "entry"})
 		Expect(f.sendBatches(false)).To(Succeed())
 		Expect(f.sendOffer()).To(Succeed())
@@ -56,12 +56,12 @@
 		control.endpoints.leave("i-1")
 		control.endpoints.fullBatches.appendNext()
 		Expect(f.sendBatches(true)).To(Succeed())
-		Expect(stream.sent).To(HaveLen(sent), "it is not told briefly")
+		Expect(stream.sent).To(HaveLen(sent), "the entry has not subscribed to summaries")
 		Expect(f.sendBatches(false)).To(Succeed())
 		Expect(last(stream).Endpoints).To(ConsistOf(HaveField("Gone", true)))
 	})
 
-	ginkgo.It("leaves out what another control instance told it already", func() {
+	ginkgo.It("omits records that the entry has from another control instance", func() {
 		_, stream := subscribed(false, known)
 		Expect(last(stream).Endpoints).To(BeEmpty())
 		_, stream = subscribed(true, known)
@@ -69,7 +69,7 @@
 		Expect(last(stream).Digest).To(Equal(known[:]))
 	})
 
-	ginkgo.It("is the sums of what changed where it is told briefly", func() {
+	ginkgo.It("sends checksums of the changes to an entry that has subscribed to summaries", func() {
 		control.endpoints.summaryBatches.appendNext()
 		f, stream := subscribed(true, known)
 		other := endpoint
@@ -85,7 +85,7 @@
 		Expect(f.requestedRecords(&wire.RecordsWant{Digest: known[:]}).Endpoints).To(ContainElement(HaveField("Id", "i-2")))
 	})
 
-	ginkgo.It("is made once for all that are told alike", func() {
+	ginkgo.It("shares frames with other feeds in the same mode", func() {
 		control.endpoints.fullBatches.appendNext()
 		a, first := subscribed(false, known)
 		b, second := subscribed(false, known)
@@ -96,7 +96,7 @@
 		Expect(second.sent[len(second.sent)-1]).To(BeIdenticalTo(first.sent[len(first.sent)-1]))
 	})
 
-	ginkgo.It("is made for one that is further behind than batches are kept, and goes on with them", func() {
+	ginkgo.It("sends a batch of its own if the entry lags behind the kept batches, then continues with these", func() {
 		control.endpoints.fullBatches.appendNext()
 		f, stream := subscribed(false, known)
 		for n := range 2 * maxKeptBatches {
@@ -113,7 +113,7 @@
 		Expect(last(stream).Endpoints).To(ConsistOf(HaveField("Id", "i-1")))
 	})
 
-	ginkgo.It("is the digest again some times after it took the place of sums", func() {
+	ginkgo.It("repeats the digest after a summary", func() {
 		f, stream := subscribed(true, known)
 		Expect(f.repeatDue).NotTo(BeNil())
 		for range digestRepeats {
@@ -124,7 +124,7 @@
 		Expect(f.repeatDue).To(BeNil())
 	})
 
-	ginkgo.It("names the control instances once, and says afterwards that they are the same", func() {
+	ginkgo.It("sends the list of control instances only when it has changed", func() {
 		at := time.Duration(0)
 		roster := func(led bool, ids ...string) *timedRoster {
 			r := &wire.Roster{Leads: led, Voters: []string{"c1"}}
@@ -143,7 +143,7 @@
 		}
 		Expect(sent(roster(true, "c1", "c2")).Instances).To(HaveLen(2))
 		again := sent(roster(false, "c1", "c2"))
-		Expect(again.Same).To(BeTrue(), "though they were heard later")
+		Expect(again.Same).To(BeTrue(), "only the ages differ")
 		Expect(again.Leads).To(BeFalse())
 		Expect(again.Instances).To(BeEmpty())
 		Expect(sent(roster(true, "c1", "c2")).Leads).To(BeTrue())
--- a/internal/node/feedendpoints.go
+++ b/internal/node/feedendpoints.go
@@ -7,8 +7,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// subscribe tells the entry of the document and of endpoints from now on, or of
-// endpoints in another way.
+// subscribe starts sending the document and endpoint reports, or changes whether the entry
+// receives records or only summaries.
 func (f *entryFeed) subscribe(s *wire.Subscription) error {
 	f.brief = s.Brief
 	if !f.subscribed {
@@ -30,7 +30,7 @@
 	}
 }
 
-// registerEntry notes that the entry is linked.
+// registerEntry adds the entry to the linked entries until the link ends.
 func (f *entryFeed) registerEntry() {
 	f.control.entries.heard(f, &wire.Receipt{})
 	untrack := f.control.announceTargets.trackLink(f.announceAddr)
@@ -40,7 +40,7 @@
 	}
 }
 
-// batchLog returns those that the feed sends.
+// batchLog returns the batches that this entry receives.
 func (f *entryFeed) batchLog() *batchLog {
 	if f.brief {
 		return f.control.endpoints.summaryBatches
@@ -48,20 +48,20 @@
 	return f.control.endpoints.fullBatches
 }
 
-// sendSummary tells an entry that is told briefly what is known of endpoints, in sum.
+// sendSummary sends the digest and the silent endpoints.
 func (f *entryFeed) sendSummary() error {
 	f.sentRevision = f.batchLog().lastRevision()
 	f.scheduleDigestRepeats()
 	return f.stream.Send(compressFrame(reportsFrame(f.control.endpoints.summary()), compressFast))
 }
 
-// scheduleDigestRepeats has the digest told again.
+// scheduleDigestRepeats schedules the digest to be sent again.
 func (f *entryFeed) scheduleDigestRepeats() {
 	f.repeatsLeft = digestRepeats
 	f.repeatDue = time.After(digestRepeatDelay)
 }
 
-// repeatDigest tells the digest once more.
+// repeatDigest sends the digest again.
 func (f *entryFeed) repeatDigest() error {
 	f.repeatDue = nil
 	if f.repeatsLeft--; f.repeatsLeft > 0 {
@@ -70,13 +70,13 @@
 	return f.stream.Send(compressFrame(reportsFrame(f.control.endpoints.summary()), compressFast))
 }
 
-// sendMissing tells the entry the parts of the list in which it knows something else.
+// sendMissing sends the records that an entry with the given digest lacks.
 func (f *entryFeed) sendMissing(known registry.Digest) error {
 	f.sentRevision = f.batchLog().lastRevision()
 	return f.stream.Send(compressFrame(reportsFrame(f.control.endpoints.missing(known)), compressFast))
 }
 
-// requestedRecords returns what the entry asks for.
+// requestedRecords returns the records that the entry requests.
 func (f *entryFeed) requestedRecords(request *wire.RecordsWant) *wire.Reports {
 	if len(request.Digest) > 0 {
 		return f.control.endpoints.missing(registry.DecodeDigest(request.Digest))
@@ -84,8 +84,9 @@
 	return f.control.endpoints.records(request.Ids)
 }
 
-// sendBatches tells the entry what has changed since it was told last, if it is told so
-// at present. One that is too far behind is told it by itself.
+// sendBatches sends the changes since the last reports, as shared batches or, if the entry
+// lags too far behind these, as a batch of its own. It does nothing unless the entry is
+// subscribed in the given mode.
 func (f *entryFeed) sendBatches(brief bool) error {
 	if !f.subscribed || f.brief != brief {
 		return nil
@@ -107,8 +108,8 @@
 	return nil
 }
 
-// sendInitialList tells an entry that knows nothing of the endpoints of its own
-// failure domain; the rest follows, and what has changed since the list was made.
+// sendInitialList sends the endpoints of the entry's own failure domain to an entry that has
+// no records yet. The remainder follows later.
 func (f *entryFeed) sendInitialList() error {
 	frames, revision := f.control.initialList.get(f.domain, f.batchLog())
 	f.sentRevision = revision
@@ -121,7 +122,7 @@
 	return f.sendBatches(f.brief)
 }
 
-// sendRemainder tells the rest of the first list.
+// sendRemainder sends the remainder of the initial list.
 func (f *entryFeed) sendRemainder() error {
 	frames := f.remainder
 	f.remainder, f.remainderDue = nil, nil
@@ -133,7 +134,7 @@
 	return nil
 }
 
-// unsentChanges returns what has changed since the entry was told last.
+// unsentChanges returns the changes since the last reports sent.
 func (f *entryFeed) unsentChanges() *wire.Reports {
 	if f.brief {
 		return f.control.endpoints.changeSummaryAfter(f.sentRevision)
--- a/internal/node/firstlist.go
+++ b/internal/node/firstlist.go
@@ -8,27 +8,26 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// initialListLifetime is how long the list of all endpoints is used again for entries
-// that know nothing: what changes meanwhile is told after it, as to everybody.
-// Below a heartbeat period, so that ages and sequences in it are right enough.
+// initialListLifetime is how long an initial list is reused; changes made meanwhile are sent
+// after it. It is below the heartbeat interval, so that ages and sequence numbers in the list
+// are recent enough.
 const initialListLifetime = 250 * time.Millisecond
 
-// initialList is the frames that tell an entry of every endpoint, made once for all
-// of a failure domain that ask within firstListFor. After a loss of power all
-// entries ask at once: making them for each took 1.9 of 2.3 ms of processor time
-// an entry, at 600 endpoints, which are 1.2 s for 295 entries on half a core.
+// initialList caches the frames that list all endpoints. All entries request them at once
+// after a power failure, and encoding them separately for each entry would take more than a
+// second of processor time.
 type initialList struct {
 	endpoints *endpointList
 
-	mu       sync.Mutex // held while frames are made, so that they are made once
+	mu       sync.Mutex // held while frames are encoded, so that this happens only once
 	reports  *wire.Reports
-	revision uint64                   // up to which batches were made before
+	revision uint64                   // of the batch log when the list was made
 	frames   map[string][]*wire.Frame // by failure domain
 	madeAt   time.Time
 }
 
-// get returns the frames for an entry of a failure domain, and the number up to which
-// they tell of changes at least, at which one of the batches ends.
+// get returns the frames for an entry in a failure domain, and the revision at which the
+// batches to send after them begin.
 func (l *initialList) get(domain string, batches *batchLog) ([]*wire.Frame, uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,10 +42,9 @@
 	return l.frames[domain], l.revision
 }
 
-// initialFrames returns the frames that tell of all endpoints. Those of the entry's
-// own failure domain, on which nearly all of its flows are, come first by
-// themselves: of 600 endpoints in five they take 10 ms of a link of 2 Mbit/s, and
-// all of them 42 ms.
+// initialFrames encodes the list of all endpoints. The endpoints of the given failure domain
+// come in a frame of their own before the others: nearly all flows of an entry go to them,
+// and on a slow link the whole list takes several times as long.
 func initialFrames(all *wire.Reports, domain string) []*wire.Frame {
 	local := &wire.Reports{More: true}
 	remainder := &wire.Reports{Number: all.Number, Whole: all.Whole, Same: all.Same}
--- a/internal/node/firstlist_bench_test.go
+++ b/internal/node/firstlist_bench_test.go
@@ -16,10 +16,10 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// BenchmarkFirstLists tells what it costs a control instance that 295 entries
-// which know nothing ask for 600 endpoints at once, as after a loss of power, in
-// processor time of both ends but for what the entry makes of the list: 2,340 µs an
-// entry where each has a list made, 410 µs where they share one: go test ./internal/node -run '^$' -bench FirstLists -benchtime 1x.
+// BenchmarkFirstLists measures the processor time per entry when 295 entries without records
+// request 600 endpoints at once, as after a power failure. It includes the client ends, but
+// not the processing of the list by an entry. Run: go test ./internal/node -run '^$' -bench
+// FirstLists -benchtime 1x
 func BenchmarkFirstLists(b *testing.B) {
 	const entries, endpoints = 295, 600
 	f := startFleet(80, 1, 1, b.TempDir, log.New(io.Discard))
@@ -50,7 +50,7 @@
 	}
 }
 
-// requestInitialList asks for all endpoints and returns the frame that tells of them.
+// requestInitialList requests all endpoints and returns the first frame with records.
 func requestInitialList(b *testing.B, address string) *wire.Frame {
 	raw, err := DialTCP(context.Background(), address, time.Second)
 	if err != nil {
@@ -82,7 +82,7 @@
 	}
 }
 
-// cpuTime returns what this process has used.
+// cpuTime returns the processor time that this process has used.
 func cpuTime() time.Duration {
 	var used unix.Rusage
 	_ = unix.Getrusage(unix.RUSAGE_SELF, &used)
--- a/internal/node/firstlist_test.go
+++ b/internal/node/firstlist_test.go
@@ -15,11 +15,11 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// recordingStream is the control instance's end of a link that keeps what is sent.
+// recordingStream is the control instance's end of a link; it records sent frames.
 type recordingStream struct {
 	wire.DRPCDirectory_LinkStream
 	sent   []*wire.Frame
-	onSend func(*wire.Frame) // nil where nobody listens
+	onSend func(*wire.Frame) // may be nil
 }
 
 func (s *recordingStream) Send(f *wire.Frame) error {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-var _ = ginkgo.Describe("the list for entries that know nothing", func() {
+var _ = ginkgo.Describe("the initial endpoint list", func() {
 	var control *Control
 	var now time.Time
 	endpoint := func(n byte) registry.Endpoint {
@@ -43,7 +43,8 @@
 		control = NewControl(ControlConfig{Beat: time.Second, Log: log.New(io.Discard), Now: func() time.Time { return now }})
 		control.endpoints.heartbeat(endpoint(1))
 	})
-	// newcomer returns the feed of an entry that has just been told all.
+	// newcomer returns the feed of an entry that has just subscribed with the given digest,
+	// and its stream.
 	newcomer := func(known registry.Digest) (*entryFeed, *recordingStream) {
 		stream := &recordingStream{}
 		f := newEntryFeed(control, stream, &wire.Hello{Id: "entry", Domain: "plateau"})
@@ -51,7 +52,7 @@
 		return f, stream
 	}
 
-	ginkgo.It("is made once for all that ask at about the same time", func() {
+	ginkgo.It("is shared by entries that subscribe within initialListLifetime", func() {
 		_, first := newcomer(registry.Digest{})
 		_, second := newcomer(registry.Digest{})
 		Expect(second.sent[0]).To(BeIdenticalTo(first.sent[0]))
@@ -61,7 +62,7 @@
 		Expect(third.sent[0]).NotTo(BeIdenticalTo(first.sent[0]))
 	})
 
-	ginkgo.It("is followed by what has changed since it was made", func() {
+	ginkgo.It("is followed by later changes", func() {
 		control.endpoints.fullBatches.appendNext()
 		newcomer(registry.Digest{})
 		control.endpoints.heartbeat(endpoint(2))
@@ -72,7 +73,7 @@
 		Expect(stream.sent[1].GetReports().Endpoints).To(ConsistOf(HaveField("Id", endpoint(2).ID)))
 	})
 
-	ginkgo.It("is made anew as long as no endpoint is known", func() {
+	ginkgo.It("is not reused while it is empty", func() {
 		control = NewControl(ControlConfig{Beat: time.Second, Log: log.New(io.Discard), Now: func() time.Time { return now }})
 		newcomer(registry.Digest{})
 		control.endpoints.heartbeat(endpoint(1))
@@ -80,33 +81,33 @@
 		Expect(stream.sent[0].GetReports().Endpoints).To(HaveLen(1))
 	})
 
-	ginkgo.It("begins with the entry's own failure domain, and is whole only with the rest", func() {
+	ginkgo.It("begins with the entry's own failure domain, and is complete only with the remainder", func() {
 		near := endpoint(2)
 		near.Domain = "plateau"
 		control.endpoints.heartbeat(near)
-		now = now.Add(time.Minute) // every endpoint has had the time to be heard
+		now = now.Add(time.Minute) // every endpoint has had time to send a heartbeat
 		f, stream := newcomer(registry.Digest{})
-		Expect(stream.sent).To(HaveLen(1), "the document may come before the rest")
+		Expect(stream.sent).To(HaveLen(1), "the document may be sent before the remainder")
 		Expect(f.remainderDue).NotTo(BeNil())
 		doc, _ := document.New(document.Config{Version: 1})
 		control.published.Store(control.published.Load().with(doc, nil, true))
 		Expect(f.handleDocumentRequest(0)).To(Succeed())
 		Expect(f.remainderDue).To(BeNil())
-		Expect(f.sendRemainder()).To(Succeed(), "which is no more")
+		Expect(f.sendRemainder()).To(Succeed(), "the remainder is sent only once")
 		Expect(stream.sent).To(HaveLen(3))
 		Expect(stream.sent[1].GetDocument()).NotTo(BeNil())
 		first, rest := stream.sent[0].GetReports(), stream.sent[2].GetReports()
 		Expect(first.Endpoints).To(ConsistOf(HaveField("Id", near.ID)))
 		Expect(first.More).To(BeTrue())
-		Expect(first.Whole).To(BeFalse(), "an endpoint that it does not name may live")
+		Expect(first.Whole).To(BeFalse(), "endpoints that are not listed yet may be alive")
 		Expect(rest.Endpoints).To(ConsistOf(HaveField("Id", endpoint(1).ID)))
 		Expect(rest.More).To(BeFalse())
 		Expect(rest.Whole).To(BeTrue())
-		Expect(f.sentRevision).To(Equal(control.endpoints.fullBatches.lastRevision()), "where the next batch goes on")
-		Expect(f.sentRevision).To(BeNumerically("<=", rest.Number), "so that nothing is left out between")
+		Expect(f.sentRevision).To(Equal(control.endpoints.fullBatches.lastRevision()), "the next batch begins here")
+		Expect(f.sentRevision).To(BeNumerically("<=", rest.Number), "no change is lost in between")
 	})
 
-	ginkgo.It("is told to its end though the entry asks for no document", func() {
+	ginkgo.It("is completed even if the entry does not request the document", func() {
 		near := endpoint(2)
 		near.Domain = "plateau"
 		control.endpoints.heartbeat(near)
@@ -124,7 +125,7 @@
 		Expect(stream.sent[len(stream.sent)-1].GetReports().Endpoints).To(ConsistOf(HaveField("Id", endpoint(1).ID)))
 	})
 
-	ginkgo.It("is not for an entry that knows some", func() {
+	ginkgo.It("is not sent to an entry that has records", func() {
 		var known registry.Digest
 		known.Toggle(endpoint(1).ID, registry.Sum(endpoint(1)))
 		newcomer(registry.Digest{})
--- a/internal/node/fleet_bench_test.go
+++ b/internal/node/fleet_bench_test.go
@@ -19,10 +19,10 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// benchDomains are the failure domains of the fleet that BenchmarkFleet makes.
+// benchDomains is the number of failure domains in BenchmarkFleet.
 const benchDomains = 5
 
-// benchEndpoint returns the n-th endpoint of a fleet as it says of itself first.
+// benchEndpoint returns the n-th endpoint of a fleet in its initial state.
 func benchEndpoint(n int) registry.Endpoint {
 	return registry.Endpoint{
 		ID: registry.Incarnation(fmt.Sprintf("i-%08x", uint32(n)*2654435761), 1764745945123+int64(n)), Number: uint64(uint32(n) * 2654435761),
@@ -31,11 +31,11 @@
 	}
 }
 
-// BenchmarkFleet tells what the entries that are linked to a control instance, and the
-// endpoints that all of them know, cost it while the fleet starts: memory in use and
-// processor time, by link and by record. The other ends of the links read and drop what
-// comes, in this process, so that their share is in the figures too. FLEET_HEAP=FILE
-// writes a profile of the heap: go test ./internal/node -run '^$' -bench Fleet -benchtime 1x.
+// BenchmarkFleet measures the memory and processor time that a control instance uses while a
+// fleet starts, by number of linked entries and of endpoints. The figures include the client
+// ends, which run in this process and discard what they receive. If FLEET_HEAP is set to a
+// file name, a heap profile is written there. Run: go test ./internal/node -run '^$' -bench
+// Fleet -benchtime 1x
 func BenchmarkFleet(b *testing.B) {
 	for n, size := range []struct{ links, endpoints int }{{0, 10_000}, {118, 10_000}, {985, 10_000}, {118, 20_000}} {
 		b.Run(fmt.Sprintf("links=%d/endpoints=%d", size.links, size.endpoints), func(b *testing.B) {
@@ -46,8 +46,8 @@
 	}
 }
 
-// benchFleetStart starts a control instance before so many entries, has all endpoints become
-// known, and reports what that cost.
+// benchFleetStart starts a control instance with the given number of entries linked, adds
+// endpoints, and reports the memory and processor time used.
 func benchFleetStart(b *testing.B, subnet byte, links, endpoints int) {
 	folder := b.TempDir()
 	peer := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%250), subnet, 1}), 17740)
@@ -70,7 +70,7 @@
 	for n := range endpoints {
 		control.endpoints.heartbeat(benchEndpoint(n))
 		if n%500 == 0 {
-			time.Sleep(50 * time.Millisecond) // as many as a fleet's heartbeats bring in that time
+			time.Sleep(50 * time.Millisecond) // as the heartbeats of a fleet would arrive
 			peak = max(peak, memoryInUse())
 		}
 	}
@@ -89,7 +89,8 @@
 	}
 }
 
-// readLink is the other end of a link that reads what comes until the context ends.
+// readLink is the client end of a link; it discards received frames until the context is
+// done.
 func readLink(ctx context.Context, address string, n int) {
 	var raw net.Conn
 	for {
@@ -123,7 +124,7 @@
 	}
 }
 
-// memoryInUse returns the bytes of heap and stacks in use.
+// memoryInUse returns the size of heap and stacks in bytes.
 func memoryInUse() uint64 {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -15,12 +15,12 @@
 	"oxbowsaddle/internal/storage/storagetest"
 )
 
-// settleTimeout bounds what control instances may take to settle; nothing is
-// asserted about how fast they do.
+// settleTimeout is the timeout for asynchronous conditions in tests. It is generous, since
+// the tests do not assert speed.
 const settleTimeout = 30 * time.Second
 
 type (
-	// runningControl is a control instance with its disk.
+	// runningControl is a control instance with its simulated disk.
 	runningControl struct {
 		*Control
 		config ControlConfig
@@ -28,12 +28,12 @@
 		stop   func()
 	}
 
-	// controlFleet is control instances in one process, the first three of them
-	// the seeds.
+	// controlFleet is a set of control instances in one process, of which the first three are
+	// seeds.
 	controlFleet []*runningControl
 )
 
-// start runs the instance on what its disk holds.
+// start starts the instance with the present contents of its disk.
 func (r *runningControl) start() {
 	r.Control = NewControl(r.config)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -48,24 +48,24 @@
 	}
 }
 
-// replaceDisk replaces the disk by an empty one.
+// replaceDisk replaces the disk by an empty one in folder.
 func (r *runningControl) replaceDisk(folder string) {
 	r.config.First = false
 	r.disk = storagetest.NewFailing(func() (storage.Files, error) { return storage.Folder(folder) })
 	r.config.Files = r.disk.Files
 }
 
-// startFleet starts n control instances on loopback addresses of their own.
+// startFleet starts n control instances, each on its own loopback address.
 func startFleet(subnet byte, n, voters int, tempDir func() string, logger *log.Logger) controlFleet {
 	return startFleetWithDialer(subnet, n, voters, tempDir, logger, DialTCP)
 }
 
-// startFleetWithDialer starts one whose instances open links by dial.
+// startFleetWithDialer is like startFleet with a Dialer for links.
 func startFleetWithDialer(subnet byte, n, voters int, tempDir func() string, logger *log.Logger, dial Dialer) controlFleet {
 	var all controlFleet
 	var seeds []netip.AddrPort
 	for i := range n {
-		const port, networks = 17740, 250 // a network for each test process, so that two do not meet
+		const port, networks = 17740, 250 // each test process uses its own network
 		peer := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%networks), subnet, byte(1 + i)}), port)
 		if len(seeds) < 3 {
 			seeds = append(seeds, peer)
@@ -85,14 +85,14 @@
 	return all
 }
 
-// stop ends all of them.
+// stop stops all instances.
 func (f controlFleet) stop() {
 	for _, r := range f {
 		r.stop()
 	}
 }
 
-// leader returns the instance that leads, nil for none.
+// leader returns the leader, nil if there is none.
 func (f controlFleet) leader() *runningControl {
 	for _, r := range f {
 		if r.Status().Current {
@@ -102,19 +102,19 @@
 	return nil
 }
 
-// follower returns an instance that does not lead.
+// follower returns an instance that is not the leader.
 func (f controlFleet) follower() *runningControl {
 	leader := f.leader()
 	return f[slices.IndexFunc(f, func(r *runningControl) bool { return r != leader })]
 }
 
-// put offers a document until it is acknowledged.
+// put retries putting a document until it is acknowledged.
 func (f controlFleet) put(version uint64) {
 	doc, _ := document.New(document.Config{Version: version})
 	f.retryUntilAccepted(func(ctx context.Context, r *runningControl) (string, error) { return r.Put(ctx, doc) })
 }
 
-// retryUntilAccepted asks one instance after the other until one acknowledges.
+// retryUntilAccepted calls ask for one instance after the other until it succeeds.
 func (f controlFleet) retryUntilAccepted(ask func(ctx context.Context, r *runningControl) (elsewhere string, err error)) {
 	for {
 		for _, r := range f {
--- a/internal/node/hints.go
+++ b/internal/node/hints.go
@@ -10,21 +10,23 @@
 )
 
 const (
-	// hintsFile is the file that keeps hints.
+	// hintsFile is the name of the file with hints: state that speeds up a restart but may be
+	// lost.
 	hintsFile = "hints"
-	// hintsInterval bounds how often hints are written: two syncs each time.
+	// hintsInterval is the minimum time between two writes, each of which takes two syncs.
 	hintsInterval = 250 * time.Millisecond
-	// hintsPauseFactor is how many times as long as a write took none follows: what is written grows
-	// with the fleet, and this bounds its part of the processor and of the disk.
+	// hintsPauseFactor is the ratio of the pause after a write to the duration of the write.
+	// It bounds the load on the processor and the disk, since the size of the hints grows
+	// with the fleet.
 	hintsPauseFactor = 20
 )
 
-// loadHints reads what was known before the restart, and fills the lists of
-// endpoints and of entries with it; a damaged file is none.
+// loadHints reads the hints and initializes the lists of endpoints and of entries with them.
+// A damaged file counts as empty.
 func (c *Control) loadHints(files storage.Files) *wire.Hints {
 	hints := &wire.Hints{}
 	if _, err := storage.LoadMessage(files, hintsFile, hints); err != nil {
-		c.config.Log.Warn("hints cannot be read", "error", err)
+		c.config.Log.Warn("cannot read hints", "error", err)
 		return &wire.Hints{}
 	}
 	c.announceTargets.restore(hints.Entries)
@@ -33,15 +35,15 @@
 	}
 	c.endpoints.update(func(now time.Time, r *registry.Registry) {
 		for _, e := range hints.Reports.Endpoints {
-			e.AgeNanos = 0 // each gets a full round to be heard again
+			e.AgeNanos = 0 // each endpoint gets the full time to send a heartbeat
 		}
 		r.Merge(now, hints.Reports)
 	})
 	return hints
 }
 
-// hintsLoop writes hints when they have changed, beside the log's loop, which
-// must not wait for it.
+// hintsLoop writes the hints after changes, in a goroutine of its own so that the loop of the
+// log does not wait for the disk.
 func (c *Control) hintsLoop(ctx context.Context) error {
 	ticker := time.NewTicker(hintsInterval)
 	defer ticker.Stop()
@@ -63,7 +65,7 @@
 		}
 		hints := &wire.Hints{Commit: commit, Reports: c.endpoints.changesAfter(0), Entries: c.announceTargets.addresses()}
 		if err := c.saveHints(hints); err != nil {
-			c.config.Log.Warn("hints not written", "error", err)
+			c.config.Log.Warn("cannot write hints", "error", err)
 			continue
 		}
 		savedCommit, savedRevision, savedEntries = commit, revision, entries
@@ -72,7 +74,7 @@
 	}
 }
 
-// saveHints replaces the file and returns once it lasts.
+// saveHints replaces the hints file durably.
 func (c *Control) saveHints(hints *wire.Hints) error {
 	files, err := c.config.Files()
 	if err != nil {
--- a/internal/node/identity.go
+++ b/internal/node/identity.go
@@ -8,13 +8,13 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// identityFile is the file that keeps who a control instance is.
+// identityFile is the name of the file with the identity of a control instance.
 const identityFile = "identity"
 
-// loadIdentity reads who the instance is, or makes and keeps it. An id lives
-// as long as the disk: an instance whose disk is lost gets another one at the
-// same address, so that nothing the old one promised is counted for, or broken
-// by, the new one.
+// loadIdentity reads the identity of the instance, or creates and saves a new one. An id
+// lives only as long as the disk: after the loss of a disk the instance gets a new id at the
+// same address, so that it cannot break votes and acknowledgements that it no longer
+// remembers.
 func loadIdentity(files storage.Files, c ControlConfig) (*wire.Identity, error) {
 	stored := &wire.Identity{}
 	found, err := storage.LoadMessage(files, identityFile, stored)
@@ -25,8 +25,8 @@
 	return created, storage.SaveMessage(files, identityFile, created)
 }
 
-// newIdentity makes a founder of a seed at the very first start, and somebody
-// new otherwise.
+// newIdentity returns the identity of a founder for a seed at the first start of the whole
+// fleet, and otherwise an id that has never been used.
 func newIdentity(c ControlConfig) *wire.Identity {
 	address := c.Peer.String()
 	var founders []string
--- a/internal/node/linebound.go
+++ b/internal/node/linebound.go
@@ -2,19 +2,20 @@
 
 import "golang.org/x/time/rate"
 
-// logLimiter bounds the log lines of one kind, and counts those that are left out. One
-// goroutine at a time uses it.
+// logLimiter limits the rate of log lines of one kind and counts the dropped ones. It is not
+// safe for concurrent use.
 type logLimiter struct {
 	limiter *rate.Limiter
 	dropped uint64 // since the last line
 }
 
-// newLogLimiter returns one that lets so many lines through a second, and at once.
+// newLogLimiter returns a limiter for the given rate in lines per second and burst.
 func newLogLimiter(perSecond rate.Limit, burst int) *logLimiter {
 	return &logLimiter{limiter: rate.NewLimiter(perSecond, burst)}
 }
 
-// allow reports whether a line is logged, and how many were left out since the last one.
+// allow reports whether a line may be logged, and how many were dropped since the previous
+// one.
 func (b *logLimiter) allow() (dropped uint64, allowed bool) {
 	if !b.limiter.Allow() {
 		b.dropped++
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -14,11 +14,12 @@
 )
 
 const (
-	// frameInterval is how often each end of a link says something at least.
+	// frameInterval is the maximum time between two frames from each end of a link.
 	frameInterval = 200 * time.Millisecond
-	// linkIdleTimeout ends a link on which nothing came for so long: several frames.
+	// linkIdleTimeout closes a link on which nothing was received or could be sent. It covers
+	// several frames.
 	linkIdleTimeout = 1200 * time.Millisecond
-	// maxUnackedTime is how long sent bytes may stay unacknowledged.
+	// maxUnackedTime is how long sent data may remain unacknowledged by TCP.
 	maxUnackedTime = time.Second
 )
 
@@ -26,13 +27,13 @@
 	// Dialer opens a connection to a control instance.
 	Dialer func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
 
-	// linkConn is a connection of a link: one that stands still ends.
+	// linkConn is a connection whose reads and writes fail after linkIdleTimeout.
 	linkConn struct {
 		net.Conn
 	}
 )
 
-// Read reads what comes within linkIdle.
+// Read reads with a deadline of linkIdleTimeout.
 func (c linkConn) Read(p []byte) (int, error) {
 	if err := c.SetReadDeadline(time.Now().Add(linkIdleTimeout)); err != nil {
 		return 0, err
@@ -40,7 +41,7 @@
 	return c.Conn.Read(p)
 }
 
-// Write writes what is taken within linkIdle.
+// Write writes with a deadline of linkIdleTimeout.
 func (c linkConn) Write(p []byte) (int, error) {
 	if err := c.SetWriteDeadline(time.Now().Add(linkIdleTimeout)); err != nil {
 		return 0, err
@@ -48,8 +49,8 @@
 	return c.Conn.Write(p)
 }
 
-// setUserTimeout makes the kernel end a connection whose other end is gone
-// without having closed it.
+// setUserTimeout makes the kernel close a connection whose peer has vanished without closing
+// it.
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	var sockErr error
 	err := raw.Control(func(fd uintptr) {
@@ -61,14 +62,14 @@
 	return sockErr
 }
 
-// DialTCP is the Dialer that processes use.
+// DialTCP is the Dialer for TCP.
 func DialTCP(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
 	dialer := net.Dialer{Timeout: timeout, Control: setUserTimeout}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// openLink opens a link on a connection to a control instance and returns what
-// closes it; the caller then says hello. An error is of kind Unreachable.
+// openLink opens a link on a connection to a control instance, and returns the function that
+// closes it. The caller sends the hello. An error is of kind Unreachable.
 func openLink(ctx context.Context, raw net.Conn) (wire.DRPCDirectory_LinkClient, func(), error) {
 	conn := drpcconn.New(linkConn{raw})
 	closeLink := func() { _ = conn.Close() }
@@ -80,7 +81,7 @@
 	return stream, closeLink, nil
 }
 
-// helloFrame is the first frame of a link.
+// helloFrame returns the first frame of a link.
 func helloFrame(hello *wire.Hello) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_Hello{Hello: hello}}
 }
--- a/internal/node/links.go
+++ b/internal/node/links.go
@@ -7,7 +7,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// addLink notes that a control instance can be asked, and has it tell what is in force.
+// addLink adds an active link and subscribes on it.
 func (e *Entry) addLink(l *entryLink) error {
 	e.mu.Lock()
 	e.links[l.address] = l
@@ -15,14 +15,15 @@
 	return e.choosePrimary(l)
 }
 
-// linked reports whether any control instance can be asked.
+// linked reports whether any link to a control instance is active.
 func (e *Entry) linked() bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return len(e.links) > 0
 }
 
-// recordSourceState notes what a control instance says of itself.
+// recordSourceState records what the control instance source reports about itself: whether it
+// leads, and whether its list of endpoints is complete.
 func (e *Entry) recordSourceState(source string, roster *wire.Roster) {
 	now := e.config.Now()
 	e.mu.Lock()
@@ -35,7 +36,8 @@
 	}
 }
 
-// setSourceDomain takes from a roster, whose sender comes first, where the sender is.
+// setSourceDomain records the failure domain of the control instance source, which is the
+// first one in its own roster.
 func (e *Entry) setSourceDomain(source string, roster *wire.Roster) {
 	if len(roster.Instances) == 0 {
 		return
@@ -46,10 +48,10 @@
 	_ = e.choosePrimary(nil)
 }
 
-// choosePrimary has one control instance tell every change of endpoints, and the
-// others tell them briefly. The error is that of the link that is new, nil for none.
+// choosePrimary subscribes to every change of endpoints at one control instance and to
+// summaries at the others. The error is that of the added link, which may be nil.
 func (e *Entry) choosePrimary(added *entryLink) error {
-	e.primaryMu.Lock() // so that what is sent comes in the order of the choices
+	e.primaryMu.Lock() // keeps subscriptions in the order of the choices
 	defer e.primaryMu.Unlock()
 	e.mu.Lock()
 	previousAddress, changed := e.primary.choose(slices.Sorted(maps.Keys(e.links)))
@@ -62,7 +64,7 @@
 	if !changed {
 		return err
 	}
-	// Another link that fails is noticed where it is read; another one is chosen then.
+	// The reader of a failed link notices the failure, and the next choice is made then.
 	if chosen != nil {
 		if failed := chosen.subscribe(false); chosen == added {
 			err = failed
@@ -74,8 +76,8 @@
 	return err
 }
 
-// removeSource drops what a control instance said, since it is out of reach, and
-// asks another one for the document.
+// removeSource drops the state received from an unreachable control instance, and requests
+// the document from another one if necessary.
 func (e *Entry) removeSource(source string) {
 	now := e.config.Now()
 	e.mu.Lock()
@@ -87,7 +89,7 @@
 	e.requestDocument()
 }
 
-// primaryAddress returns a control instance that is linked, "" for none.
+// primaryAddress returns the address of the primary control instance, "" for none.
 func (e *Entry) primaryAddress() string {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/node/linkserver.go
+++ b/internal/node/linkserver.go
@@ -12,15 +12,14 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// linkServer accepts links, and the calls of operators.
+// linkServer accepts links and operators' commands.
 type linkServer struct {
 	listener net.Listener
 	server   *drpcserver.Server
 }
 
-// newLinkServer listens at an address for links, nil for none, and for the
-// commands of operators; an error is of kind AddressInUse where the address
-// cannot be had.
+// newLinkServer listens at an address for operators' commands and, unless links is nil, for
+// links. It returns an error of kind AddressInUse if it cannot listen.
 func newLinkServer(address string, links wire.DRPCDirectoryServer, operators wire.DRPCControlServer) (*linkServer, error) {
 	config := net.ListenConfig{Control: setUserTimeout}
 	listener, err := config.Listen(context.Background(), "tcp", address)
@@ -39,7 +38,7 @@
 	return &linkServer{listener: listener, server: drpcserver.New(mux)}, nil
 }
 
-// serve serves links until the context ends.
+// serve accepts connections until the context is done.
 func (s *linkServer) serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() })
 	defer stop()
@@ -49,15 +48,15 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			time.Sleep(minDialPause) // out of descriptors: those in use end
+			time.Sleep(minDialPause) // out of file descriptors: wait until connections are closed
 			continue
 		}
 		go s.serveConn(ctx, linkConn{raw})
 	}
 }
 
-// serveConn serves one connection until it ends; why it ended is logged at the
-// end that opened it.
+// serveConn serves one connection until it ends. The end that opened the connection logs the
+// reason.
 func (s *linkServer) serveConn(ctx context.Context, conn linkConn) {
 	_ = s.server.ServeOne(ctx, conn)
 }
--- a/internal/node/malformed.go
+++ b/internal/node/malformed.go
@@ -8,13 +8,13 @@
 )
 
 const (
-	// malformedLogRate and malformedLinesAtOnce bound the log lines about calls that
-	// name no endpoint: whoever writes them may write many.
+	// malformedLogRate and malformedLogBurst limit the log lines about malformed calls, of
+	// which a faulty client may send many.
 	malformedLogRate  = 1
 	malformedLogBurst = 10
 )
 
-// malformedCalls counts calls that name no endpoint, by the field that is wrong.
+// malformedCalls counts calls that do not identify an endpoint, by the malformed field.
 type malformedCalls struct {
 	mu      sync.Mutex
 	byField map[string]uint64
@@ -25,8 +25,8 @@
 	return &malformedCalls{byField: map[string]uint64{}, limiter: newLogLimiter(malformedLogRate, malformedLogBurst)}
 }
 
-// record counts one call. It reports whether it is logged, and how many were not since the
-// last line.
+// record counts a call. It reports whether the call may be logged, and how many log lines
+// were dropped since the previous one.
 func (m *malformedCalls) record(field string) (dropped uint64, allowed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -34,7 +34,7 @@
 	return m.limiter.allow()
 }
 
-// metrics returns the counts.
+// metrics returns the counters by field.
 func (m *malformedCalls) metrics() (all []metric) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
--- a/internal/node/notifier.go
+++ b/internal/node/notifier.go
@@ -2,14 +2,14 @@
 
 import "sync"
 
-// notifier wakes everybody who waits for a change.
+// notifier notifies subscribers of changes. Its zero value is ready to use.
 type notifier struct {
 	mu          sync.Mutex
 	subscribers map[chan struct{}]struct{}
 }
 
-// subscribe returns a channel that holds a value after each change, and what
-// ends that.
+// subscribe returns a channel that receives a value after changes, and the function that ends
+// the subscription.
 func (n *notifier) subscribe() (changed <-chan struct{}, cancel func()) {
 	ch := make(chan struct{}, 1)
 	n.mu.Lock()
@@ -25,14 +25,14 @@
 	}
 }
 
-// notify tells every subscriber of a change, without waiting for any.
+// notify notifies every subscriber without blocking.
 func (n *notifier) notify() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for ch := range n.subscribers {
 		select {
 		case ch <- struct{}{}:
-		default: // it has not looked at the last change yet
+		default: // the previous notification is still pending
 		}
 	}
 }
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -12,19 +12,19 @@
 )
 
 const (
-	// callTimeout is how long an order or a leave may wait for its confirmation:
-	// callers turn elsewhere after a second.
+	// callTimeout is how long an order or a leave may wait to be acknowledged. It is below
+	// the second after which callers try another instance.
 	callTimeout = 800 * time.Millisecond
-	// leaderPollInterval is how often an order looks for a leader.
+	// leaderPollInterval is the time between two attempts at an order while no leader is
+	// known.
 	leaderPollInterval = 40 * time.Millisecond
 )
 
-// Put offers a document and waits until it is committed, or its version is
-// known not to be above the one in force. Where another instance leads, the
-// error is of kind NotCurrent and elsewhere is that one's address for
-// operators. Where nobody is known to lead, or too few answer within callMost,
-// elsewhere is empty and the kind NotCurrent or NoQuorum; while the disk fails
-// it is DataFolder.
+// Put proposes a document and waits until it is committed, or until the version in force is
+// known to be at least as high. If another instance leads, err is of kind NotCurrent and
+// elsewhere is the address for operators of that instance. If no leader is known, or too few
+// instances respond within callTimeout, elsewhere is empty and err is of kind NotCurrent or
+// NoQuorum. While the disk has failed, err is of kind DataFolder.
 func (c *Control) Put(ctx context.Context, doc *document.Document) (elsewhere string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -34,7 +34,7 @@
 	return elsewhere, err
 }
 
-// retryWithoutLeader asks until this instance or another one leads.
+// retryWithoutLeader calls ask again while no leader is known.
 func (c *Control) retryWithoutLeader(ctx context.Context, ask func() (string, error)) (string, error) {
 	for {
 		elsewhere, err := ask()
@@ -49,26 +49,27 @@
 	}
 }
 
-// proposeDocument proposes the document where this instance leads, and waits.
+// proposeDocument proposes a document if this instance leads, and waits until it is
+// committed.
 func (c *Control) proposeDocument(ctx context.Context, doc *document.Document) (elsewhere string, err error) {
 	return c.propose(ctx, func(now time.Time, d *directory.Directory) (uint64, bool, error) { return d.Put(now, doc) })
 }
 
-// proposalResult is what came of an offer in the loop.
+// proposalResult is the result of a rejected proposal.
 type proposalResult struct {
 	elsewhere string
 	err       error
 }
 
-// propose offers something to the log where this instance leads, and waits
-// until it is committed. What the loop comes to only after the caller was turned
-// away is not offered: it may be out of turn by then.
+// propose runs proposeIn in the loop and waits until its proposal is committed. If the caller
+// has given up before the loop gets to it, nothing is proposed: the order may be outdated by
+// then.
 func (c *Control) propose(ctx context.Context, proposeIn func(now time.Time, d *directory.Directory) (index uint64, done bool, err error)) (elsewhere string, err error) {
 	committed := make(chan bool, 1)
-	result := &proposalResult{} // the loop's until the call returns without an error, and for good where it does not
+	result := &proposalResult{} // written by the loop; read only if call succeeds, as the loop may still write to it otherwise
 	callErr := c.call(ctx, func(now time.Time, d *directory.Directory) {
 		if ctx.Err() != nil {
-			result.err = fault.New(fault.NoQuorum, "the caller has gone")
+			result.err = fault.New(fault.NoQuorum, "the caller has disconnected")
 			return
 		}
 		index, done, proposeErr := proposeIn(now, d)
@@ -90,15 +91,16 @@
 	select {
 	case ok := <-committed:
 		if !ok {
-			return "", fault.New(fault.NoQuorum, "the leader changed while the order was under way")
+			return "", fault.New(fault.NoQuorum, "the leader changed before the order was committed")
 		}
 		return "", nil
 	case <-ctx.Done():
-		return "", fault.New(fault.NoQuorum, "too few control instances hold the order")
+		return "", fault.New(fault.NoQuorum, "too few control instances acknowledged the order")
 	}
 }
 
-// otherLeaderAddr returns where the other instance that leads takes orders.
+// otherLeaderAddr returns the address for operators of the leader, "" if no other instance
+// leads.
 func (c *Control) otherLeaderAddr(d *directory.Directory) string {
 	if front := d.Front(d.Leader()); front != c.config.Front {
 		return front
@@ -106,8 +108,8 @@
 	return ""
 }
 
-// Read returns the document in force, if it can be shown to be the newest;
-// nil is that there is none yet. Elsewhere is as for Put.
+// Read returns the document in force if it is certain to be the newest, nil if there is no
+// document yet. elsewhere and err are as for Put.
 func (c *Control) Read(ctx context.Context) (doc *document.Document, elsewhere string, err error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
@@ -128,17 +130,17 @@
 	return doc, elsewhere, err
 }
 
-// Malformed takes that a call which is to name an endpoint names none: which field is
-// wrong, and how.
+// Malformed counts and logs a call that does not identify an endpoint: the malformed field,
+// and what is wrong with it.
 func (c *Control) Malformed(id, field, detail string) {
 	if dropped, ok := c.malformed.record(field); ok {
 		c.config.Log.Warn("no endpoint named", "endpoint", id, "field", field, "error", detail, "left_out", dropped)
 	}
 }
 
-// Heartbeat takes the heartbeat of an endpoint. That it is leaving is
-// acknowledged only once a majority of the voters knows; the error where they
-// do not within callMost is of kind NoQuorum.
+// Heartbeat records the heartbeat of an endpoint. If the endpoint is leaving, it waits until
+// a majority of the voters knows; err is of kind NoQuorum if that takes longer than
+// callTimeout.
 func (c *Control) Heartbeat(ctx context.Context, e registry.Endpoint) error {
 	revision := c.endpoints.heartbeat(e)
 	if !e.Leaving {
@@ -147,20 +149,20 @@
 	return c.awaitMajority(ctx, revision)
 }
 
-// Leave takes the message of an endpoint that it ends; it is acknowledged only
-// once a majority of the voters knows; errors are as for Heartbeat.
+// Leave records that an endpoint has ended, and waits until a majority of the voters knows.
+// err is as for Heartbeat.
 func (c *Control) Leave(ctx context.Context, id string) error {
 	return c.awaitMajority(ctx, c.endpoints.leave(id))
 }
 
-// awaitMajority waits until a majority of the voters, this instance counted if
-// it is one, holds a change of the registry.
+// awaitMajority waits until a majority of the voters, including this instance if it is one,
+// has acknowledged a revision of the registry.
 func (c *Control) awaitMajority(ctx context.Context, revision uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	status := c.Status()
 	if len(status.Voters) == 0 {
-		return fault.New(fault.NoQuorum, "no control instances are known yet")
+		return fault.New(fault.NoQuorum, "no voters are known yet")
 	}
 	enough := len(status.Voters)/2 + 1
 	if slices.Contains(status.Voters, status.Self) {
--- a/internal/node/pack.go
+++ b/internal/node/pack.go
@@ -13,34 +13,34 @@
 )
 
 const (
-	// minCompressedSize is the size from which frames to entries are compressed, in bytes:
-	// below a packet nothing is won.
+	// minCompressedSize is the size in bytes from which frames are compressed. A frame that
+	// fits into one packet gains nothing.
 	minCompressedSize = 1200
-	// maxDecompressedSize bounds what a compressed frame may hold, in bytes.
+	// maxDecompressedSize bounds the size of a decompressed frame in bytes.
 	maxDecompressedSize = 64 << 20
-	// Frames that are sent to many are compressed well, others fast.
+	// Compression levels: the default one for frames that are sent to many entries, the fast
+	// one for others.
 	compressDefault, compressFast = flate.DefaultCompression, flate.BestSpeed
 )
 
-// compressors keeps what compresses, by level: each takes some 0.6 MB to make.
+// compressors pools compressors by level, since each allocates more than half a megabyte.
 var compressors = map[int]*sync.Pool{compressDefault: newCompressorPool(compressDefault), compressFast: newCompressorPool(compressFast)}
 
 func newCompressorPool(level int) *sync.Pool {
 	return &sync.Pool{New: func() any {
-		w, _ := flate.NewWriter(nil, level) // fails for unknown levels alone
+		w, _ := flate.NewWriter(nil, level) // fails only for invalid levels
 		return w
 	}}
 }
 
-// compressFrame returns a frame as it travels over the small links of entries: compressed
-// where it is large.
+// compressFrame compresses a frame unless it is small.
 func compressFrame(frame *wire.Frame, level int) *wire.Frame {
 	if proto.Size(frame) < minCompressedSize {
 		return frame
 	}
 	raw, err := proto.Marshal(frame)
 	if err != nil {
-		return frame // whoever sends it meets the error again
+		return frame // the sender runs into the same error
 	}
 	var out bytes.Buffer
 	w := compressors[level].Get().(*flate.Writer)
@@ -55,8 +55,8 @@
 	return &wire.Frame{Body: &wire.Frame_Packed{Packed: out.Bytes()}}
 }
 
-// decompressFrame returns the frame that was sent. An error is of kind Internal: the other
-// end sent what is none.
+// decompressFrame returns the original of a frame that may be compressed. The error is of
+// kind Internal.
 func decompressFrame(frame *wire.Frame) (*wire.Frame, error) {
 	packed := frame.GetPacked()
 	if packed == nil {
--- a/internal/node/pack_test.go
+++ b/internal/node/pack_test.go
@@ -10,7 +10,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// largeFrame tells of n endpoints.
+// largeFrame returns a frame with n endpoints.
 func largeFrame(n int) *wire.Frame {
 	m := &wire.Reports{Number: 7}
 	for i := range n {
@@ -19,8 +19,8 @@
 	return reportsFrame(m)
 }
 
-var _ = ginkgo.Describe("a frame on the link of an entry", func() {
-	ginkgo.It("comes out as it went in, compressed where it is large", func() {
+var _ = ginkgo.Describe("frame compression", func() {
+	ginkgo.It("preserves frames, and shrinks large ones", func() {
 		for _, n := range []int{0, 1, 300} {
 			for _, level := range []int{compressDefault, compressFast} {
 				sent := compressFrame(largeFrame(n), level)
@@ -34,7 +34,7 @@
 		}
 	})
 
-	ginkgo.It("is refused where it is none", func() {
+	ginkgo.It("reports corrupt data", func() {
 		for _, packed := range [][]byte{{}, {1, 2, 3}, compressFrame(largeFrame(300), compressFast).GetPacked()[:40]} {
 			_, err := decompressFrame(&wire.Frame{Body: &wire.Frame_Packed{Packed: packed}})
 			Expect(err).To(HaveOccurred())
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// maxQueuedMessages bounds the log messages that wait for one peer; what finds it
-	// full is lost, which the log bears.
+	// maxQueuedMessages bounds the log messages that are queued for a peer. Further ones are
+	// dropped, which the log tolerates.
 	maxQueuedMessages = 128
-	// fullRosterPeriod is each how many rosters names all instances; the others name the
-	// sender alone, and show that it is alive. Told whole each time, rosters would grow
-	// with the cube of the number of instances. What is said of others is still younger
-	// than the time after which a voter counts as lost.
+	// fullRosterPeriod is the period, in rosters, at which all instances are listed. The
+	// other rosters list only the sender, as a sign of life: if all were complete, traffic
+	// would grow with the cube of the number of instances. The period is short enough that
+	// voters listed by others do not count as lost.
 	fullRosterPeriod = 5
 )
 
 type (
-	// peerLinks holds the links of a control instance to the others.
+	// peerLinks maintains the links of a control instance to its peers.
 	peerLinks struct {
 		control *Control
 
@@ -32,18 +32,18 @@
 		seeds []string
 		links map[string]*peerLink // by address
 
-		active atomic.Int32 // how many stand
+		active atomic.Int32 // number of connected links
 	}
 
-	// peerLink sends to the control instance at one address.
+	// peerLink sends to the peer at one address.
 	peerLink struct {
 		control     *Control
 		address     string
 		outbox      chan *wire.LogMessage
-		suspicions  chan *wire.Frame // for the entries of the other one
+		suspicions  chan *wire.Frame // to be forwarded to the entries of the peer
 		cancel      context.CancelFunc
 		backoff     dialBackoff
-		rostersSent int // told on the present link
+		rostersSent int // on the current connection
 	}
 )
 
@@ -51,7 +51,7 @@
 	return &peerLinks{control: c, links: map[string]*peerLink{}}
 }
 
-// setSeeds takes the addresses that the settings name now.
+// setSeeds replaces the seed addresses from the settings.
 func (p *peerLinks) setSeeds(ctx context.Context, seeds []netip.AddrPort) {
 	p.mu.Lock()
 	p.seeds = nil
@@ -64,7 +64,8 @@
 	p.connect(ctx, nil)
 }
 
-// connect keeps links to the seeds and to the given addresses, and ends others.
+// connect starts links to the seeds and to the given addresses, and stops all others; nil
+// addresses stop none.
 func (p *peerLinks) connect(ctx context.Context, addresses []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -89,10 +90,11 @@
 	}
 }
 
-// isolated reports whether no link stands.
+// isolated reports whether no link is connected.
 func (p *peerLinks) isolated() bool { return p.active.Load() == 0 }
 
-// queueMessage queues a message of the log.
+// queueMessage queues a message of the replicated log for its recipient. It is dropped if the
+// queue is full.
 func (p *peerLinks) queueMessage(m *wire.LogMessage) {
 	p.mu.Lock()
 	l := p.links[directory.AddressOf(m.To)]
@@ -106,7 +108,8 @@
 	}
 }
 
-// rosterToSend returns the n-th roster that a link tells, of one that names all.
+// rosterToSend returns the n-th roster to send on a connection, given the full one. n begins
+// at 1.
 func rosterToSend(roster *wire.Roster, n int) *wire.Roster {
 	if n%fullRosterPeriod == 1 || len(roster.Instances) == 0 {
 		return roster
@@ -114,8 +117,8 @@
 	return &wire.Roster{Instances: roster.Instances[:1]}
 }
 
-// broadcast queues a frame about doubts for every other instance; one whose queue is full
-// is left out.
+// broadcast queues a frame with suspicions for every peer. It skips peers whose queue is
+// full.
 func (p *peerLinks) broadcast(frame *wire.Frame) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -127,7 +130,7 @@
 	}
 }
 
-// run keeps the link up until the context ends.
+// run keeps the link connected until the context is done.
 func (l *peerLink) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := l.serve(ctx); err != nil && ctx.Err() == nil {
@@ -137,7 +140,7 @@
 	}
 }
 
-// drain drops messages that are too old to be of use on the next link.
+// drain drops queued messages, which would be outdated on the next connection.
 func (l *peerLink) drain() {
 	for {
 		select {
@@ -148,7 +151,7 @@
 	}
 }
 
-// serve sends until the link fails.
+// serve connects and sends until the link fails.
 func (l *peerLink) serve(ctx context.Context) error {
 	raw, err := l.backoff.dial(ctx, l.control.config.Dial, l.address, l.control.peers.isolated())
 	if err != nil {
@@ -176,13 +179,13 @@
 	})
 	err = l.send(ctx, stream)
 	closeLink()
-	<-receiverDone // so that no late receipt is noted after this
+	<-receiverDone // so that no late acknowledgement follows the reset below
 	l.control.endpoints.acknowledge(l.address, 0)
 	log.Warn("peer lost", "peer", l.address, "error", err)
 	return err
 }
 
-// receiveLoop takes receipts until the link fails, and then calls failed.
+// receiveLoop handles acknowledgements until the link fails, and then calls onFailure.
 func (l *peerLink) receiveLoop(stream wire.DRPCDirectory_LinkClient, onFailure func()) {
 	defer onFailure()
 	for {
@@ -196,8 +199,8 @@
 	}
 }
 
-// send sends reports when they change and at least every frameEvery, and
-// between them messages of the log, until the link or the context ends.
+// send sends reports after changes and at least every frameInterval, and in between messages
+// of the replicated log, until the link fails or the context is done.
 func (l *peerLink) send(ctx context.Context, stream wire.DRPCDirectory_LinkClient) error {
 	endpoints := l.control.endpoints
 	appended, unsubscribe := endpoints.peerBatches.appended.subscribe()
@@ -226,8 +229,8 @@
 	}
 }
 
-// sendUntilReportsDue sends messages of the log and doubts until reports are due; each tick sends a
-// roster too, if it vouches for this instance.
+// sendUntilReportsDue sends log messages and suspicions until reports are due. On each tick
+// it also sends a roster, unless the current one is too old.
 func (l *peerLink) sendUntilReportsDue(ctx context.Context, stream wire.DRPCDirectory_LinkClient, reportsDue <-chan struct{}, tick <-chan time.Time) error {
 	for {
 		select {
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -7,8 +7,8 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("the rosters that control instances tell each other", func() {
-	ginkgo.It("name all of them at first and often enough, and otherwise the sender alone", func() {
+var _ = ginkgo.Describe("the rosters that control instances send to each other", func() {
+	ginkgo.It("list all instances at first and periodically, and otherwise only the sender", func() {
 		all := rosterOf("a:1", "b:1", "c:1")
 		whole := 0
 		for n := 1; n <= 4*fullRosterPeriod; n++ {
@@ -22,10 +22,10 @@
 		}
 		Expect(rosterToSend(all, 1).Instances).To(HaveLen(3))
 		Expect(whole).To(Equal(4))
-		Expect(fullRosterPeriod*frameInterval).To(BeNumerically("<=", time.Second), "within the time in which a voter must be heard of")
+		Expect(fullRosterPeriod*frameInterval).To(BeNumerically("<=", time.Second), "a voter must be listed within a second")
 	})
 
-	ginkgo.It("may name nobody while the disk fails", func() {
+	ginkgo.It("may be empty while the disk has failed", func() {
 		Expect(rosterToSend(rosterOf(), 2).Instances).To(BeEmpty())
 	})
 })
--- a/internal/node/published.go
+++ b/internal/node/published.go
@@ -9,25 +9,24 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// maxKeptDocuments is how many versions are remembered to send only what
-// differs: an entry that is further behind is sent the whole.
+// maxKeptDocuments bounds the document versions that are kept to send only differences. An
+// entry that lags further behind receives the whole document.
 const maxKeptDocuments = 8
 
-// publishedState is what entries are told of the document: the one in force, which
-// is the last of documents, before it some that entries may still hold, and
-// whether it is confirmed; and of evacuations, as of the same place in the log.
-// Each frame about the document tells of both, so that no entry has a document
-// in force without the evacuations that were acknowledged before it. It is not
-// changed once made, but for the frames, which are made when the first entry asks
-// for them.
+// publishedState is the state of the replicated log that is sent to entries: the last of
+// documents is the one in force, which confirmed refers to, and the others are earlier
+// versions that entries may still have. evacuations is as of the same log index. Each frame
+// with a document contains both, so that no entry applies a document without the evacuations
+// acknowledged before it. A publishedState is immutable, except that frames is filled on
+// demand.
 type publishedState struct {
 	documents   []*document.Document
 	evacuations *evacuation.Set
 	confirmed   bool
-	frames      sync.Map // *wire.Frame by the version that an entry holds
+	frames      sync.Map // *wire.Frame by the version that the entry has
 }
 
-// document returns the one in force, nil where there is none.
+// document returns the document in force, nil if there is none.
 func (p *publishedState) document() *document.Document {
 	if len(p.documents) == 0 {
 		return nil
@@ -35,8 +34,8 @@
 	return p.documents[len(p.documents)-1]
 }
 
-// frame returns what an entry that holds a version is sent. It is made once
-// for all of them.
+// frame returns the document frame for an entry that holds the given version. It is encoded
+// only once.
 func (p *publishedState) frame(held uint64) *wire.Frame {
 	base := p.find(held)
 	if base == nil {
@@ -52,7 +51,7 @@
 	return f.(*wire.Frame)
 }
 
-// find returns a remembered version, nil where it is not.
+// find returns the kept document of a version, nil if there is none.
 func (p *publishedState) find(version uint64) *document.Document {
 	for _, d := range p.documents {
 		if d.Version() == version {
@@ -69,8 +68,8 @@
 	}}}
 }
 
-// with returns what is told once a document and evacuations are in force: the same
-// where neither is newer and nothing else changes.
+// with returns the state after a document and evacuations have come into force. It returns p
+// itself if nothing has changed.
 func (p *publishedState) with(doc *document.Document, evacuations *evacuation.Set, confirmed bool) *publishedState {
 	last := p.document()
 	newer := doc != nil && (last == nil || doc.Version() > last.Version())
--- a/internal/node/redial.go
+++ b/internal/node/redial.go
@@ -7,43 +7,44 @@
 )
 
 const (
-	// dialInterval is how soon an attempt at an address is followed by another one
-	// beside it, while nobody is linked: a host without power says nothing, an
-	// attempt that began before it is back is not answered, and it may be back
-	// within a moment. Several times the round trip between failure domains.
+	// dialInterval is the time between overlapping attempts while no link is active. A host
+	// without power does not respond, not even later to an attempt that began before it was
+	// up, so that only a new attempt reaches it quickly. It covers several round trips
+	// between failure domains.
 	dialInterval = 40 * time.Millisecond
-	// maxDialTimeout is how long attempts may take, for slow hosts.
+	// maxDialTimeout bounds the duration of attempts, for slow hosts.
 	maxDialTimeout = 500 * time.Millisecond
-	// minDialPause is the pause between two attempts at one address; while others are linked
-	// it doubles with each, up to redialMost: many entries try an instance that refuses.
+	// minDialPause is the pause between two attempts at one address. While other links are
+	// active, it doubles with each attempt up to maxDialPause, so that many entries do not
+	// overload an instance that refuses connections.
 	minDialPause = 20 * time.Millisecond
 	maxDialPause = 640 * time.Millisecond
 )
 
 type (
-	// dialBackoff paces the attempts at one address.
+	// dialBackoff determines timeouts and pauses of the attempts at one address.
 	dialBackoff struct {
-		timeout time.Duration // of the next attempt, 0 for dialEvery
+		timeout time.Duration // of the next attempt, 0 for dialInterval
 		pause   time.Duration // after the last attempt, 0 before the first
 	}
 
-	// dialAttempt is one of several attempts beside each other.
+	// dialAttempt is one of several overlapping attempts.
 	dialAttempt struct {
 		dial    Dialer
 		address string
 		results chan<- dialResult
 	}
 
-	// dialResult is what came of an attempt.
+	// dialResult is the result of an attempt.
 	dialResult struct {
 		conn net.Conn
 		err  error
 	}
 )
 
-// dial opens a connection. Where nobody else is linked, attempts overlap: the
-// first one that is answered counts. Otherwise one is made, for twice as long as
-// the one before.
+// dial opens a connection. If isolated, that is while no link is active, it makes overlapping
+// attempts and returns the first connection. Otherwise it makes a single attempt with twice
+// the timeout of the previous one.
 func (r *dialBackoff) dial(ctx context.Context, dial Dialer, address string, isolated bool) (net.Conn, error) {
 	if isolated {
 		return dialOverlapping(ctx, dial, address)
@@ -56,8 +57,7 @@
 	return dial(ctx, address, timeout)
 }
 
-// nextPause returns how long to wait after an attempt that failed, where nobody is linked or
-// others are.
+// nextPause returns the pause after a failed attempt. isolated is as for dial.
 func (r *dialBackoff) nextPause(isolated bool) time.Duration {
 	if isolated {
 		r.pause = 0
@@ -67,10 +67,10 @@
 	return r.pause
 }
 
-// reset makes the next attempt a first one again.
+// reset restarts the backoff after a success.
 func (r *dialBackoff) reset() { r.timeout, r.pause = 0, 0 }
 
-// dialOverlapping makes attempts beside each other for dialMost in all.
+// dialOverlapping makes overlapping attempts for at most maxDialTimeout in total.
 func dialOverlapping(ctx context.Context, dial Dialer, address string) (net.Conn, error) {
 	ctx, cancel := context.WithTimeout(ctx, maxDialTimeout)
 	results := make(chan dialResult)
@@ -91,7 +91,7 @@
 		case result := <-results:
 			pending--
 			if result.err == nil || pending == 0 {
-				return result.conn, result.err // with nothing under way, the host is up and refuses
+				return result.conn, result.err // a failure with no other attempt pending: the host is up and refuses connections
 			}
 		case <-next.C:
 			if ctx.Err() == nil {
@@ -101,13 +101,13 @@
 	}
 }
 
-// run makes the attempt and tells what came of it.
+// run makes the attempt and reports its result.
 func (a dialAttempt) run(ctx context.Context) {
 	conn, err := a.dial(ctx, a.address, maxDialTimeout)
 	a.results <- dialResult{conn, err}
 }
 
-// closeUnused closes the connections of attempts that another one has overtaken.
+// closeUnused closes the connections of pending attempts after another attempt has succeeded.
 func closeUnused(pending int, next func() net.Conn) {
 	for range pending {
 		if conn := next(); conn != nil {
--- a/internal/node/redial_test.go
+++ b/internal/node/redial_test.go
@@ -11,15 +11,15 @@
 	. "github.com/onsi/gomega"
 )
 
-// unresponsiveHost is a host that answers no attempt that began before the n-th, and
-// counts those that were made and how many connections are open.
+// unresponsiveHost is a host that does not respond before the given attempt. It counts the
+// attempts and the open connections.
 type unresponsiveHost struct {
 	mu             sync.Mutex
-	answersFrom    int
+	answersFrom    int // number of the first attempt that succeeds
 	attempts, open int
 }
 
-// countedConn is a connection of a silentHost.
+// countedConn is a connection to an unresponsiveHost.
 type countedConn struct {
 	net.Conn
 	host *unresponsiveHost
@@ -56,8 +56,8 @@
 	return h.attempts, h.open
 }
 
-var _ = ginkgo.Describe("attempts at a control instance", func() {
-	ginkgo.It("overlap while nobody is linked: one that began before the host was up holds nothing up", func() {
+var _ = ginkgo.Describe("attempts to connect to a control instance", func() {
+	ginkgo.It("overlap while no link is active, so that one without a response does not delay the next", func() {
 		host := &unresponsiveHost{answersFrom: 3}
 		conn, err := (&dialBackoff{}).dial(context.Background(), host.dial, "there", true)
 		Expect(err).NotTo(HaveOccurred())
@@ -67,14 +67,14 @@
 		Expect(open).To(Equal(1))
 	})
 
-	ginkgo.It("end within dialMost where nobody answers, and leave nothing open", func() {
+	ginkgo.It("end within maxDialTimeout if the host does not respond, and leave no connection open", func() {
 		host := &unresponsiveHost{answersFrom: 1 << 30}
 		_, err := (&dialBackoff{}).dial(context.Background(), host.dial, "there", true)
 		Expect(err).To(HaveOccurred())
 		Expect(host.counts()).To(BeNumerically(">", 2))
 	})
 
-	ginkgo.It("end at once where the host is up and refuses", func() {
+	ginkgo.It("end at once if the host refuses connections", func() {
 		refused := errors.New("refused")
 		made := 0
 		_, err := (&dialBackoff{}).dial(context.Background(), func(context.Context, string, time.Duration) (net.Conn, error) {
@@ -85,13 +85,13 @@
 		Expect(made).To(Equal(1))
 	})
 
-	ginkgo.It("close what another one has overtaken", func() {
+	ginkgo.It("close connections that are no longer needed", func() {
 		closed := 0
 		host := &unresponsiveHost{open: 2}
 		closeUnused(3, func() net.Conn {
 			closed++
 			if closed == 2 {
-				return nil // this one failed
+				return nil // a failed attempt
 			}
 			return countedConn{host: host}
 		})
@@ -99,7 +99,7 @@
 		Expect(open).To(BeZero())
 	})
 
-	ginkgo.It("are made one by one, each for longer, while others are linked", func() {
+	ginkgo.It("do not overlap, and have increasing timeouts, while other links are active", func() {
 		var timeouts []time.Duration
 		pace := &dialBackoff{}
 		dial := func(_ context.Context, _ string, timeout time.Duration) (net.Conn, error) {
@@ -114,10 +114,10 @@
 		Expect(timeouts).To(Equal([]time.Duration{dialInterval, 2 * dialInterval, 4 * dialInterval, 8 * dialInterval, maxDialTimeout, maxDialTimeout, dialInterval}))
 	})
 
-	ginkgo.It("pause longer after each failure while others are linked, and no longer than a bound", func() {
+	ginkgo.It("pause longer after each failure while other links are active, up to a maximum", func() {
 		var r dialBackoff
 		Expect(r.nextPause(true)).To(Equal(minDialPause))
-		Expect(r.nextPause(true)).To(Equal(minDialPause), "nothing is told meanwhile")
+		Expect(r.nextPause(true)).To(Equal(minDialPause), "the pause does not grow while no link is active")
 		last := time.Duration(0)
 		for range 3 {
 			pause := r.nextPause(false)
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -7,28 +7,26 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// maxRosterAge is how long after the loop made it a roster tells the others that
-// this instance is alive: five times as long as until the next one is sent. A
-// loop that waits for its disk, or has none, makes no new one, so that others
-// take the instance for silent and give its vote to another one.
+// maxRosterAge is the age up to which a roster is sent to peers as proof that this instance
+// is alive. It covers five roster intervals. While the loop waits for its disk, or has none,
+// it makes no new roster, so that peers consider the instance silent and transfer its vote.
 const maxRosterAge = 5 * frameInterval
 
 type (
-	// timedRoster is a roster with when the loop made it.
+	// timedRoster is a roster with the time at which the loop made it.
 	timedRoster struct {
 		roster *wire.Roster
 		at     time.Time
 	}
 
-	// timedStatus is what the loop believed, and when.
+	// timedStatus is a status with the time at which the loop made it.
 	timedStatus struct {
 		status directory.Status
 		at     time.Time
 	}
 )
 
-// fresh returns the roster for other control instances, nil where it is too
-// old to vouch for this one.
+// fresh returns the roster, nil if it is older than maxRosterAge.
 func (m *timedRoster) fresh(now time.Time) *wire.Roster {
 	if now.Sub(m.at) > maxRosterAge {
 		return nil
--- a/internal/node/serve.go
+++ b/internal/node/serve.go
@@ -7,7 +7,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// linkHandler serves the links that others open to a control instance.
+// linkHandler serves the links that entries and peers open to a control instance.
 type linkHandler struct {
 	control *Control
 }
@@ -20,7 +20,7 @@
 	}
 	hello := first.GetHello()
 	if hello == nil {
-		return fault.New(fault.Usage, "a link begins with a hello")
+		return fault.New(fault.Usage, "the first frame of a link must be a hello")
 	}
 	if hello.Control {
 		return h.servePeer(stream)
@@ -28,7 +28,7 @@
 	return h.serveEntry(stream, hello)
 }
 
-// servePeer takes what another control instance sends.
+// servePeer handles the frames of a peer.
 func (h *linkHandler) servePeer(stream wire.DRPCDirectory_LinkStream) error {
 	for {
 		frame, err := stream.Recv()
@@ -54,7 +54,7 @@
 	}
 }
 
-// serveEntry sends an entry what it lacks, then what changes.
+// serveEntry runs the feed of an entry.
 func (h *linkHandler) serveEntry(stream wire.DRPCDirectory_LinkStream, hello *wire.Hello) error {
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
--- a/internal/node/timings.go
+++ b/internal/node/timings.go
@@ -7,23 +7,23 @@
 	"oxbowsaddle/internal/telemetry"
 )
 
-// decisionSampleInterval is how many packets come on each decision whose time is taken: two
-// looks at the clock cost about as much as the decision.
+// decisionSampleInterval is the number of packets per timed decision: reading the clock twice
+// costs about as much as a decision.
 const decisionSampleInterval = 16
 
 type (
-	// entryTimings is what an entry measures of itself.
+	// entryTimings holds the timings of an entry.
 	entryTimings struct {
-		decision *telemetry.Timing // of a packet, one in timeOneIn
-		lag      *telemetry.Timing // from the offer of a document to when it is in force
+		decision *telemetry.Timing // of one in decisionSampleInterval packets
+		lag      *telemetry.Timing // from the offer of a document until it is in force
 	}
 
-	// controlTimings is what a control instance measures of itself.
+	// controlTimings holds the timings of a control instance.
 	controlTimings struct {
-		order      *telemetry.Timing // from an order to its acknowledgement here
-		evacuation *telemetry.Timing // the same for an order about an evacuation
-		leave      *telemetry.Timing // from a leave to its acknowledgement here
-		sync       *telemetry.Timing // of a batch of the log
+		order      *telemetry.Timing // from an order for a document to its acknowledgement
+		evacuation *telemetry.Timing // from an evacuation order to its acknowledgement
+		leave      *telemetry.Timing // from a leave to its acknowledgement
+		sync       *telemetry.Timing // of writing a batch of the log
 	}
 )
 
@@ -55,8 +55,8 @@
 	t.sync.WriteText(w)
 }
 
-// observeSince adds the time since began if it went well: what fails is counted
-// by its callers.
+// observeSince records the time since start, unless err is set: callers count failures
+// themselves.
 func observeSince(t *telemetry.Timing, now func() time.Time, start time.Time, err error) {
 	if err == nil {
 		t.Observe(now().Sub(start))
