--- a/internal/node/answers.go
+++ b/internal/node/answers.go
@@ -41,7 +41,7 @@
 	reply := &wire.StatusReply{
 		Name: s.Self, Domain: a.control.config.Domain, Role: s.Role, Term: s.Term, LeaderName: s.Leader,
 		Commit: s.Version, Applied: s.Version, Active: s.Version, Revision: s.Version,
-		Members: a.control.entries.members(), ByLeader: s.Leader != "",
+		Members: a.control.entries.memberStatuses(), ByLeader: s.Leader != "",
 		Evacuated: s.Evacuations.Domains(), Evacuations: s.Evacuations.Revision(),
 	}
 	for _, m := range reply.Members {
--- a/internal/node/disk_test.go
+++ b/internal/node/disk_test.go
@@ -16,7 +16,7 @@
 
 var _ = ginkgo.Describe("control instances with failing disks", func() {
 	var fleet controlFleet
-	begin := func(subnet byte, n int) {
+	start := func(subnet byte, n int) {
 		fleet = startFleet(subnet, n, 3, ginkgo.GinkgoT().TempDir, log.New(ginkgo.GinkgoWriter))
 		ginkgo.DeferCleanup(func() { fleet.stop() })
 		fleet.put(1)
@@ -29,7 +29,7 @@
 	}
 
 	ginkgo.It("acknowledge orders while the leader's disk is full, and the leader rejoins later", func() {
-		begin(41, 3)
+		start(41, 3)
 		full := fleet.leader()
 		full.disk.SetFull(true)
 		fleet.put(2)
@@ -43,18 +43,18 @@
 	})
 
 	ginkgo.It("acknowledge orders while the leader's disk hangs", func() {
-		begin(42, 3)
+		start(42, 3)
 		stalled := fleet.leader()
-		goOn := stalled.disk.Stall()
-		defer goOn()
+		resume := stalled.disk.Stall()
+		defer resume()
 		fleet.put(2)
 		Expect(fleet.leader()).NotTo(BeIdenticalTo(stalled))
-		goOn()
+		resume()
 		Eventually(func() uint64 { return stalled.Status().Version }, settleTimeout).Should(Equal(uint64(2)))
 	})
 
 	ginkgo.It("acknowledge orders while the disk of the leader or of a follower is 40 times slower", func() {
-		begin(45, 3)
+		start(45, 3)
 		const slow = 100 * time.Millisecond // 40 times the 5 ms that a write and a sync usually take
 		for version, r := range []*runningControl{fleet.leader(), fleet.follower()} {
 			r.disk.SetDelay(slow)
@@ -67,7 +67,7 @@
 	})
 
 	ginkgo.It("replace a voter whose disk rejects writes", func() {
-		begin(43, 4)
+		start(43, 4)
 		Eventually(voters, settleTimeout).Should(HaveLen(3))
 		full := fleet[slices.IndexFunc(fleet, func(r *runningControl) bool {
 			return r != fleet.leader() && slices.Contains(voters(), r.Status().Self)
@@ -79,12 +79,12 @@
 	})
 
 	ginkgo.It("replace a voter whose disk hangs", func() {
-		begin(44, 4)
+		start(44, 4)
 		Eventually(voters, settleTimeout).Should(HaveLen(3))
 		stalled := fleet.leader()
 		lost := stalled.Status().Self
-		goOn := stalled.disk.Stall()
-		defer goOn()
+		resume := stalled.disk.Stall()
+		defer resume()
 		fleet.put(2) // the write detects the failure
 		Eventually(voters, settleTimeout).Should(And(HaveLen(3), Not(ContainElement(lost))))
 	})
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -90,20 +90,20 @@
 			}
 			return n
 		}
-		// pass advances the clock by span with sweeps at the usual interval.
-		pass := func(span time.Duration) {
+		// advance advances the clock by span with sweeps at the usual interval.
+		advance := func(span time.Duration) {
 			for end := now.Add(span); now.Before(end); {
 				now = now.Add(frameInterval)
 				l.sweep(frameInterval)
 			}
 		}
-		pass(beat)
+		advance(beat)
 		now = now.Add(3 * time.Second)
 		l.sweep(3 * time.Second)
 		Expect(silent()).To(BeZero())
-		pass(beat)
+		advance(beat)
 		Expect(silent()).To(BeZero(), "heartbeats delayed by the pause may still arrive")
-		pass(2 * beat)
+		advance(2 * beat)
 		Expect(silent()).To(Equal(100))
 	})
 
--- a/internal/node/entrylist.go
+++ b/internal/node/entrylist.go
@@ -10,8 +10,8 @@
 )
 
 type (
-	// entryList holds the entries that are linked to a control instance, for
-	// operators: nothing is decided by it.
+	// entryList holds the state of the entries that are linked to a control instance. It
+	// serves only operators' commands and metrics, besides sending suspicions to the entries.
 	entryList struct {
 		now func() time.Time
 
@@ -19,12 +19,12 @@
 		entries map[string]linkedEntry // by name
 	}
 
-	// linkedEntry is what an entry said of itself last.
+	// linkedEntry is the state in the last receipt of an entry.
 	linkedEntry struct {
 		feed        *entryFeed
-		version     uint64
-		evacuations uint64 // their revision
-		heard       time.Time
+		version     uint64    // document version in force
+		evacuations uint64    // revision of the evacuations in force
+		heardAt     time.Time // time of the last receipt
 	}
 )
 
@@ -32,15 +32,15 @@
 	return &entryList{now: now, entries: map[string]linkedEntry{}}
 }
 
-// heard notes which version, and which evacuations, an entry has in force.
-func (l *entryList) heard(f *entryFeed, inForce *wire.Receipt) {
+// recordReceipt records the document version and the evacuations in force at an entry.
+func (l *entryList) recordReceipt(f *entryFeed, receipt *wire.Receipt) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.entries[f.name] = linkedEntry{f, inForce.Version, inForce.Evacuations, l.now()}
+	l.entries[f.name] = linkedEntry{f, receipt.Version, receipt.Evacuations, l.now()}
 }
 
-// lost drops an entry, unless it has another link by now.
-func (l *entryList) lost(f *entryFeed) {
+// remove removes an entry, unless it has a newer link.
+func (l *entryList) remove(f *entryFeed) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.entries[f.name].feed == f {
@@ -48,21 +48,21 @@
 	}
 }
 
-// count returns how many entries are linked.
+// count returns the number of linked entries.
 func (l *entryList) count() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.entries)
 }
 
-// members returns the entries by name.
-func (l *entryList) members() []*wire.MemberStatus {
+// memberStatuses returns the status of the linked entries, sorted by name.
+func (l *entryList) memberStatuses() []*wire.MemberStatus {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var all []*wire.MemberStatus
 	for name, e := range l.entries {
 		all = append(all, &wire.MemberStatus{
-			Name: name, Domain: e.feed.domain, Applied: e.version, SilentNanos: int64(l.now().Sub(e.heard)), Leased: true,
+			Name: name, Domain: e.feed.domain, Applied: e.version, SilentNanos: int64(l.now().Sub(e.heardAt)), Leased: true,
 			Evacuations: e.evacuations,
 		})
 	}
--- a/internal/node/feed.go
+++ b/internal/node/feed.go
@@ -10,8 +10,9 @@
 
 const (
 	// The digest is sent again digestRepeats times, at intervals of digestRepeatDelay, so
-	// that an entry detects missing records even if nothing changes any more. A single digest
-	// may not reveal them: the entry ignores parts of the list that are still changing.
+	// that an entry detects missing records even if nothing changes any more. One digest is
+	// not enough: an entry requests only parts of the list that differ in two consecutive
+	// digests and have not changed in between.
 	digestRepeatDelay = 3 * summaryBatchDelay
 	digestRepeats     = 2
 	// remainderDelay is how long the remainder of the initial list waits for the entry to
@@ -80,7 +81,7 @@
 		case *wire.Frame_Doubt:
 			f.control.handleSuspicion(f, body.Doubt)
 		case *wire.Frame_Receipt:
-			f.control.entries.heard(f, body.Receipt)
+			f.control.entries.recordReceipt(f, body.Receipt)
 		}
 	}
 }
--- a/internal/node/feed_test.go
+++ b/internal/node/feed_test.go
@@ -22,8 +22,8 @@
 		control.endpoints.heartbeat(endpoint)
 	})
 
-	// subscribed returns the feed of an entry with the given digest, and its stream.
-	subscribed := func(brief bool, known registry.Digest) (*entryFeed, *recordingStream) {
+	// newFeed returns the feed of an entry with the given digest, and its stream.
+	newFeed := func(brief bool, known registry.Digest) (*entryFeed, *recordingStream) {
 		stream := &recordingStream{}
 		f := newEntryFeed(control, stream, &wire.Hello{Id: "entry"})
 		Expect(f.subscribe(&wire.Subscription{Brief: brief, Digest: known[:]})).To(Succeed())
@@ -46,7 +46,7 @@
 		Expect(f.sendOffer()).To(Succeed())
 		Expect(f.stream.(*recordingStream).sent).To(BeEmpty())
 
-		f, stream := subscribed(false, registry.Digest{})
+		f, stream := newFeed(false, registry.Digest{})
 		Expect(last(stream).Endpoints).To(HaveLen(1))
 		control.endpoints.fullBatches.appendNext()
 		Expect(f.sendBatches(false)).To(Succeed())
@@ -62,33 +62,33 @@
 	})
 
 	ginkgo.It("omits records that the entry has from another control instance", func() {
-		_, stream := subscribed(false, known)
+		_, stream := newFeed(false, known)
 		Expect(last(stream).Endpoints).To(BeEmpty())
-		_, stream = subscribed(true, known)
+		_, stream = newFeed(true, known)
 		Expect(last(stream).Endpoints).To(BeEmpty())
 		Expect(last(stream).Digest).To(Equal(known[:]))
 	})
 
 	ginkgo.It("sends checksums of the changes to an entry that has subscribed to summaries", func() {
 		control.endpoints.summaryBatches.appendNext()
-		f, stream := subscribed(true, known)
+		f, stream := newFeed(true, known)
 		other := endpoint
 		other.ID, other.Addr = "i-2", netip.MustParseAddrPort("10.0.0.2:80")
 		control.endpoints.heartbeat(other)
 		control.endpoints.summaryBatches.appendNext()
 		Expect(f.sendBatches(true)).To(Succeed())
-		told := last(stream)
-		Expect(told.Endpoints).To(BeEmpty())
-		Expect(told.Sums).To(HaveLen(1))
-		Expect(told.Sums[0].Id).To(Equal("i-2"))
+		reports := last(stream)
+		Expect(reports.Endpoints).To(BeEmpty())
+		Expect(reports.Sums).To(HaveLen(1))
+		Expect(reports.Sums[0].Id).To(Equal("i-2"))
 		Expect(f.requestedRecords(&wire.RecordsWant{Ids: []string{"i-2", "unknown"}}).Endpoints).To(ConsistOf(HaveField("Id", "i-2")))
 		Expect(f.requestedRecords(&wire.RecordsWant{Digest: known[:]}).Endpoints).To(ContainElement(HaveField("Id", "i-2")))
 	})
 
 	ginkgo.It("shares frames with other feeds in the same mode", func() {
 		control.endpoints.fullBatches.appendNext()
-		a, first := subscribed(false, known)
-		b, second := subscribed(false, known)
+		a, first := newFeed(false, known)
+		b, second := newFeed(false, known)
 		control.endpoints.leave("i-1")
 		control.endpoints.fullBatches.appendNext()
 		Expect(a.sendBatches(false)).To(Succeed())
@@ -98,7 +98,7 @@
 
 	ginkgo.It("sends a batch of its own if the entry lags behind the kept batches, then continues with these", func() {
 		control.endpoints.fullBatches.appendNext()
-		f, stream := subscribed(false, known)
+		f, stream := newFeed(false, known)
 		for n := range 2 * maxKeptBatches {
 			e := endpoint
 			e.ID, e.Addr = fmt.Sprint("i-", 10+n), netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(n)}), 80)
@@ -114,7 +114,7 @@
 	})
 
 	ginkgo.It("repeats the digest after a summary", func() {
-		f, stream := subscribed(true, known)
+		f, stream := newFeed(true, known)
 		Expect(f.repeatDue).NotTo(BeNil())
 		for range digestRepeats {
 			Expect(f.repeatDue).NotTo(BeNil())
--- a/internal/node/feedendpoints.go
+++ b/internal/node/feedendpoints.go
@@ -32,11 +32,11 @@
 
 // registerEntry adds the entry to the linked entries until the link ends.
 func (f *entryFeed) registerEntry() {
-	f.control.entries.heard(f, &wire.Receipt{})
+	f.control.entries.recordReceipt(f, &wire.Receipt{})
 	untrack := f.control.announceTargets.trackLink(f.announceAddr)
 	f.onEnd = func() {
 		untrack()
-		f.control.entries.lost(f)
+		f.control.entries.remove(f)
 	}
 }
 
--- a/internal/node/firstlist_test.go
+++ b/internal/node/firstlist_test.go
@@ -43,9 +43,9 @@
 		control = NewControl(ControlConfig{Beat: time.Second, Log: log.New(io.Discard), Now: func() time.Time { return now }})
 		control.endpoints.heartbeat(endpoint(1))
 	})
-	// newcomer returns the feed of an entry that has just subscribed with the given digest,
+	// newFeed returns the feed of an entry that has just subscribed with the given digest,
 	// and its stream.
-	newcomer := func(known registry.Digest) (*entryFeed, *recordingStream) {
+	newFeed := func(known registry.Digest) (*entryFeed, *recordingStream) {
 		stream := &recordingStream{}
 		f := newEntryFeed(control, stream, &wire.Hello{Id: "entry", Domain: "plateau"})
 		Expect(f.subscribe(&wire.Subscription{Digest: known[:]})).To(Succeed())
@@ -53,20 +53,20 @@
 	}
 
 	ginkgo.It("is shared by entries that subscribe within initialListLifetime", func() {
-		_, first := newcomer(registry.Digest{})
-		_, second := newcomer(registry.Digest{})
+		_, first := newFeed(registry.Digest{})
+		_, second := newFeed(registry.Digest{})
 		Expect(second.sent[0]).To(BeIdenticalTo(first.sent[0]))
 		Expect(first.sent[0].GetReports().Endpoints).To(HaveLen(1))
 		now = now.Add(initialListLifetime + time.Millisecond)
-		_, third := newcomer(registry.Digest{})
+		_, third := newFeed(registry.Digest{})
 		Expect(third.sent[0]).NotTo(BeIdenticalTo(first.sent[0]))
 	})
 
 	ginkgo.It("is followed by later changes", func() {
 		control.endpoints.fullBatches.appendNext()
-		newcomer(registry.Digest{})
+		newFeed(registry.Digest{})
 		control.endpoints.heartbeat(endpoint(2))
-		f, stream := newcomer(registry.Digest{})
+		f, stream := newFeed(registry.Digest{})
 		Expect(stream.sent[0].GetReports().Endpoints).To(HaveLen(1))
 		control.endpoints.fullBatches.appendNext()
 		Expect(f.sendBatches(false)).To(Succeed())
@@ -75,9 +75,9 @@
 
 	ginkgo.It("is not reused while it is empty", func() {
 		control = NewControl(ControlConfig{Beat: time.Second, Log: log.New(io.Discard), Now: func() time.Time { return now }})
-		newcomer(registry.Digest{})
+		newFeed(registry.Digest{})
 		control.endpoints.heartbeat(endpoint(1))
-		_, stream := newcomer(registry.Digest{})
+		_, stream := newFeed(registry.Digest{})
 		Expect(stream.sent[0].GetReports().Endpoints).To(HaveLen(1))
 	})
 
@@ -86,7 +86,7 @@
 		near.Domain = "plateau"
 		control.endpoints.heartbeat(near)
 		now = now.Add(time.Minute) // every endpoint has had time to send a heartbeat
-		f, stream := newcomer(registry.Digest{})
+		f, stream := newFeed(registry.Digest{})
 		Expect(stream.sent).To(HaveLen(1), "the document may be sent before the remainder")
 		Expect(f.remainderDue).NotTo(BeNil())
 		doc, _ := document.New(document.Config{Version: 1})
@@ -128,8 +128,8 @@
 	ginkgo.It("is not sent to an entry that has records", func() {
 		var known registry.Digest
 		known.Toggle(endpoint(1).ID, registry.Sum(endpoint(1)))
-		newcomer(registry.Digest{})
-		_, stream := newcomer(known)
+		newFeed(registry.Digest{})
+		_, stream := newFeed(known)
 		Expect(stream.sent[0].GetReports().Endpoints).To(BeEmpty())
 	})
 })
--- a/internal/node/hints.go
+++ b/internal/node/hints.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	// hintsFile is the name of the file with hints: state that speeds up a restart but may be
+	// hintsFile is the name of the file with hints: state that speeds up a restart and may be
 	// lost.
 	hintsFile = "hints"
 	// hintsInterval is the minimum time between two writes, each of which takes two syncs.
--- a/internal/node/linebound.go
+++ b/internal/node/linebound.go
@@ -16,11 +16,11 @@
 
 // allow reports whether a line may be logged, and how many were dropped since the previous
 // one.
-func (b *logLimiter) allow() (dropped uint64, allowed bool) {
-	if !b.limiter.Allow() {
-		b.dropped++
+func (l *logLimiter) allow() (dropped uint64, allowed bool) {
+	if !l.limiter.Allow() {
+		l.dropped++
 		return 0, false
 	}
-	dropped, b.dropped = b.dropped, 0
+	dropped, l.dropped = l.dropped, 0
 	return dropped, true
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -10,18 +10,18 @@
 var _ = ginkgo.Describe("the rosters that control instances send to each other", func() {
 	ginkgo.It("list all instances at first and periodically, and otherwise only the sender", func() {
 		all := rosterOf("a:1", "b:1", "c:1")
-		whole := 0
+		complete := 0
 		for n := 1; n <= 4*fullRosterPeriod; n++ {
-			told := rosterToSend(all, n)
-			Expect(told.Instances[0].Address).To(Equal("a:1"))
-			if len(told.Instances) == len(all.Instances) {
-				whole++
+			roster := rosterToSend(all, n)
+			Expect(roster.Instances[0].Address).To(Equal("a:1"))
+			if len(roster.Instances) == len(all.Instances) {
+				complete++
 			} else {
-				Expect(told.Instances).To(HaveLen(1))
+				Expect(roster.Instances).To(HaveLen(1))
 			}
 		}
 		Expect(rosterToSend(all, 1).Instances).To(HaveLen(3))
-		Expect(whole).To(Equal(4))
+		Expect(complete).To(Equal(4))
 		Expect(fullRosterPeriod*frameInterval).To(BeNumerically("<=", time.Second), "a voter must be listed within a second")
 	})
 
--- a/internal/node/redial_test.go
+++ b/internal/node/redial_test.go
@@ -62,8 +62,8 @@
 		conn, err := (&dialBackoff{}).dial(context.Background(), host.dial, "there", true)
 		Expect(err).NotTo(HaveOccurred())
 		Expect(conn).NotTo(BeNil())
-		made, open := host.counts()
-		Expect(made).To(Equal(3))
+		attempts, open := host.counts()
+		Expect(attempts).To(Equal(3))
 		Expect(open).To(Equal(1))
 	})
 
@@ -76,13 +76,13 @@
 
 	ginkgo.It("end at once if the host refuses connections", func() {
 		refused := errors.New("refused")
-		made := 0
+		attempts := 0
 		_, err := (&dialBackoff{}).dial(context.Background(), func(context.Context, string, time.Duration) (net.Conn, error) {
-			made++
+			attempts++
 			return nil, refused
 		}, "there", true)
 		Expect(err).To(MatchError(refused))
-		Expect(made).To(Equal(1))
+		Expect(attempts).To(Equal(1))
 	})
 
 	ginkgo.It("close connections that are no longer needed", func() {
--- a/internal/node/suspicions_test.go
+++ b/internal/node/suspicions_test.go
@@ -48,7 +48,7 @@
 	ginkgo.It("do not block on an entry whose queue is full", func() {
 		l := newEntryList(SteadyClock())
 		slow := newEntryFeed(nil, nil, &wire.Hello{Id: "slow"})
-		l.heard(slow, &wire.Receipt{Version: 1})
+		l.recordReceipt(slow, &wire.Receipt{Version: 1})
 		for range 2 * maxQueuedSuspicions {
 			l.broadcast(&wire.Frame{})
 		}
@@ -87,7 +87,7 @@
 		fleet := startFleet(34, 3, 3, ginkgo.GinkgoT().TempDir, log.New(io.Discard))
 		ginkgo.DeferCleanup(fleet.stop)
 		feed := newEntryFeed(fleet[2].Control, nil, &wire.Hello{Id: "e"})
-		fleet[2].entries.heard(feed, &wire.Receipt{})
+		fleet[2].entries.recordReceipt(feed, &wire.Receipt{})
 		n := 0
 		Eventually(func() bool {
 			n++ // a new endpoint each time, since repeats are suppressed
