--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -44,11 +44,11 @@
 	// Control is a running control instance.
 	Control struct {
 		config          ControlConfig
-		calls           chan func(now time.Time)
-		published       atomic.Pointer[publishedState]
+		calls           chan func(now time.Time)       // run by loop
+		published       atomic.Pointer[publishedState] // state that entries receive
 		status          atomic.Pointer[timedStatus]
 		roster          atomic.Pointer[timedRoster]
-		documents       notifier
+		documents       notifier // notifies of changes of published
 		endpoints       *endpointList
 		initialList     *initialList
 		announceTargets *announceTargets
@@ -109,7 +109,7 @@
 	return group.Wait()
 }
 
-// loop runs all work that uses the directory or the disk.
+// loop is the goroutine that owns the directory and the disk.
 func (c *Control) loop(ctx context.Context) error {
 	c.peers.setSeeds(ctx, c.config.Seeds)
 	ticker := time.NewTicker(controlTickInterval)
@@ -276,8 +276,8 @@
 // SetSeeds replaces the seeds after a change of the settings.
 func (c *Control) SetSeeds(ctx context.Context, seeds []netip.AddrPort) { c.peers.setSeeds(ctx, seeds) }
 
-// Status returns the last known state of the replicated log. If the loop has been stalled for
-// longer than a lease, the instance no longer counts as leader.
+// Status returns the last known state of the fleet. If the loop has been stalled for longer
+// than a lease, the instance no longer counts as the current leader.
 func (c *Control) Status() directory.Status {
 	latest := c.status.Load()
 	s := latest.status
--- a/internal/node/dialbackoff.go
+++ b/internal/node/dialbackoff.go
@@ -90,8 +90,10 @@
 		select {
 		case result := <-results:
 			pending--
+			// A failure with no other attempt pending means that the host is up and refuses
+			// connections.
 			if result.err == nil || pending == 0 {
-				return result.conn, result.err // a failure with no other attempt pending: the host is up and refuses connections
+				return result.conn, result.err
 			}
 		case <-next.C:
 			if ctx.Err() == nil {
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -21,7 +21,7 @@
 
 	mu       sync.Mutex // held while frames are encoded, so that this happens only once
 	reports  *wire.Reports
-	revision uint64                   // of the batch log when the list was made
+	revision uint64                   // last revision of the batch log when the list was made
 	frames   map[string][]*wire.Frame // by failure domain
 	madeAt   time.Time
 }
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -6,7 +6,7 @@
 
 import "time"
 
-// monotonicOrigin is the first reading of a MonotonicClock, above zero so that no reading
+// monotonicOrigin is the first reading of the monotonic clock, above zero so that no reading
 // equals the zero value.
 const monotonicOrigin = time.Hour
 
--- a/internal/node/operatorapi.go
+++ b/internal/node/operatorapi.go
@@ -34,8 +34,7 @@
 	}
 )
 
-// Status returns the state of the replicated log, and the document version in force at each
-// linked entry.
+// Status returns the state of the replicated log, and the status of each linked entry.
 func (a *controlAPI) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
 	s := a.control.Status()
 	reply := &wire.StatusReply{
@@ -50,8 +49,8 @@
 	return reply, nil
 }
 
-// Voters lists the voters. It rejects requests to change them: control instances do so
-// automatically.
+// Voters lists the voters. It rejects requests to change them, since control instances choose
+// the voters themselves.
 func (a *controlAPI) Voters(_ context.Context, r *wire.VotersRequest) (*wire.VotersReply, error) {
 	if r.Add != "" || r.Remove != "" {
 		return &wire.VotersReply{
@@ -61,8 +60,8 @@
 	return &wire.VotersReply{Kind: kindAccepted, Voters: a.control.Status().Voters}, nil
 }
 
-// Evacuate executes an order to evacuate a failure domain, or to end that. If another
-// instance leads, the reply contains its address.
+// Evacuate orders the evacuation of a failure domain, or its end. If another instance leads,
+// the reply contains the address of that instance.
 func (a *controlAPI) Evacuate(ctx context.Context, r *wire.EvacuateRequest) (*wire.EvacuateReply, error) {
 	_, err := a.control.Evacuate(ctx, evacuation.Order{Domain: r.Domain, Undo: r.Undo})
 	if err == nil {
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -34,7 +34,8 @@
 	return elsewhere, err
 }
 
-// retryWithoutLeader calls ask again while no leader is known.
+// retryWithoutLeader calls ask, and repeats the call while it fails because no leader is
+// known.
 func (c *Control) retryWithoutLeader(ctx context.Context, ask func() (string, error)) (string, error) {
 	for {
 		elsewhere, err := ask()
@@ -55,7 +56,7 @@
 	return c.propose(ctx, func(now time.Time, d *directory.Directory) (uint64, bool, error) { return d.Put(now, doc) })
 }
 
-// proposalResult is the result of a rejected proposal.
+// proposalResult is the result of a call that the loop rejected.
 type proposalResult struct {
 	elsewhere string
 	err       error
@@ -66,7 +67,9 @@
 // then.
 func (c *Control) propose(ctx context.Context, proposeIn func(now time.Time, d *directory.Directory) (index uint64, done bool, err error)) (elsewhere string, err error) {
 	committed := make(chan bool, 1)
-	result := &proposalResult{} // written by the loop; read only if call succeeds, as the loop may still write to it otherwise
+	// result is written by the loop. It is read only if call succeeds, as the loop may still
+	// write to it otherwise.
+	result := &proposalResult{}
 	callErr := c.call(ctx, func(now time.Time, d *directory.Directory) {
 		if ctx.Err() != nil {
 			result.err = fault.New(fault.NoQuorum, "the caller has disconnected")
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -18,8 +18,8 @@
 	maxQueuedMessages = 128
 	// fullRosterPeriod is the period, in rosters, at which all instances are listed. The
 	// other rosters list only the sender, as a sign of life: if all were complete, traffic
-	// would grow with the cube of the number of instances. The period is short enough that
-	// voters listed by others do not count as lost.
+	// would grow with the cube of the number of instances. What a peer reports of other
+	// instances is still younger than the time after which a voter counts as lost.
 	fullRosterPeriod = 5
 )
 
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -8,8 +8,9 @@
 )
 
 // maxRosterAge is the age up to which a roster is sent to peers as proof that this instance
-// is alive. It covers five roster intervals. While the loop waits for its disk, or has none,
-// it makes no new roster, so that peers consider the instance silent and transfer its vote.
+// is alive: five times the interval between rosters. While the loop waits for its disk, or
+// has none, it makes no new roster, so that peers consider the instance silent and replace it
+// as a voter.
 const maxRosterAge = 5 * frameInterval
 
 type (
--- a/internal/node/timings.go
+++ b/internal/node/timings.go
@@ -20,9 +20,9 @@
 
 	// controlTimings holds the timings of a control instance.
 	controlTimings struct {
-		order      *telemetry.Timing // from an order for a document to its acknowledgement
-		evacuation *telemetry.Timing // from an evacuation order to its acknowledgement
-		leave      *telemetry.Timing // from a leave to its acknowledgement
+		order      *telemetry.Timing // from receiving a document to its acknowledgement
+		evacuation *telemetry.Timing // from receiving an evacuation order to its acknowledgement
+		leave      *telemetry.Timing // from receiving a leave to its acknowledgement
 		sync       *telemetry.Timing // of writing a batch of the log
 	}
 )
