--- a/internal/node/metrics.go
+++ b/internal/node/metrics.go
@@ -36,8 +36,8 @@
 
 // writeMetrics writes one line per metric.
 func writeMetrics(w io.Writer, metrics []metric) {
-	for _, f := range metrics {
-		fmt.Fprintf(w, "%s %d\n", f.name, f.value)
+	for _, m := range metrics {
+		fmt.Fprintf(w, "%s %d\n", m.name, m.value)
 	}
 }
 
--- a/internal/node/operatorapi.go
+++ b/internal/node/operatorapi.go
@@ -157,8 +157,8 @@
 // statsReply encodes metrics for the wire.
 func statsReply(metrics []metric) *wire.StatsReply {
 	reply := &wire.StatsReply{}
-	for _, f := range metrics {
-		reply.Counters = append(reply.Counters, &wire.Counter{Name: f.name, Value: int64(f.value)})
+	for _, m := range metrics {
+		reply.Counters = append(reply.Counters, &wire.Counter{Name: m.name, Value: int64(m.value)})
 	}
 	return reply
 }
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -28,9 +28,9 @@
 )
 
 // fresh returns the roster, nil if it is older than maxRosterAge.
-func (m *timedRoster) fresh(now time.Time) *wire.Roster {
-	if now.Sub(m.at) > maxRosterAge {
+func (r *timedRoster) fresh(now time.Time) *wire.Roster {
+	if now.Sub(r.at) > maxRosterAge {
 		return nil
 	}
-	return m.roster
+	return r.roster
 }
--- a/internal/node/updates.go
+++ b/internal/node/updates.go
@@ -37,7 +37,8 @@
 	if link == nil {
 		return
 	}
-	// If the link has failed, its reader calls forget, which sends another request.
+	// If the link has failed, its reader calls removeSource, which sends another
+	// request.
 	_ = link.send(&wire.Frame{Body: &wire.Frame_Want{Want: &wire.DocumentWant{Held: held}}})
 }
 
