--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -14,7 +14,7 @@
 	"oxbowsaddle/internal/registry"
 )
 
-var _ = ginkgo.Describe("waiting for acknowledgements of peers", func() {
+var _ = ginkgo.Describe("the endpoint list of a control instance with peers", func() {
 	var list *endpointList
 	others := []string{"b", "c"}
 	ginkgo.BeforeEach(func() {
@@ -33,7 +33,7 @@
 		return done
 	}
 
-	ginkgo.It("ends when enough peers have acknowledged the revision, not an earlier one", func() {
+	ginkgo.It("waits until enough peers have acknowledged a revision, not an earlier one", func() {
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		number := change()
@@ -58,11 +58,11 @@
 		Expect(fault.KindOf(err)).To(Equal(fault.NoQuorum))
 	})
 
-	ginkgo.It("returns at once if this instance alone is a majority", func() {
+	ginkgo.It("does not wait if this instance alone is a majority", func() {
 		Expect(list.awaitAcknowledgements(context.Background(), change(), others, 0)).To(Succeed())
 	})
 
-	ginkgo.It("subscribers are notified only of changes that matter to entries", func() {
+	ginkgo.It("notifies subscribers only of changes that matter to entries", func() {
 		changed, cancel := list.changes.subscribe()
 		defer cancel()
 		change()
