--- a/internal/node/fleet_bench_test.go
+++ b/internal/node/fleet_bench_test.go
@@ -34,8 +34,9 @@
 // BenchmarkFleet measures the memory and processor time that a control instance uses while a
 // fleet starts, by number of linked entries and of endpoints. The figures include the client
 // ends, which run in this process and discard what they receive. If FLEET_HEAP is set to a
-// file name, a heap profile is written there. Run: go test ./internal/node -run '^$' -bench
-// Fleet -benchtime 1x
+// file name, a heap profile is written there. Run it with:
+//
+//	go test ./internal/node -run '^$' -bench Fleet -benchtime 1x
 func BenchmarkFleet(b *testing.B) {
 	for n, size := range []struct{ links, endpoints int }{{0, 10_000}, {118, 10_000}, {985, 10_000}, {118, 20_000}} {
 		b.Run(fmt.Sprintf("links=%d/endpoints=%d", size.links, size.endpoints), func(b *testing.B) {
--- a/internal/node/initiallist_bench_test.go
+++ b/internal/node/initiallist_bench_test.go
@@ -18,8 +18,9 @@
 
 // BenchmarkFirstLists measures the processor time per entry when 295 entries without records
 // request 600 endpoints at once, as after a power failure. It includes the client ends, but
-// not the processing of the list by an entry. Run: go test ./internal/node -run '^$' -bench
-// FirstLists -benchtime 1x
+// not the processing of the list by an entry. Run it with:
+//
+//	go test ./internal/node -run '^$' -bench FirstLists -benchtime 1x
 func BenchmarkFirstLists(b *testing.B) {
 	const entries, endpoints = 295, 600
 	f := startFleet(80, 1, 1, b.TempDir, log.New(io.Discard))
