--- a/internal/node/evacuate_test.go
+++ b/internal/node/evacuate_test.go
@@ -61,9 +61,9 @@
 			fleet.put(2)
 			leader := fleet.leader()
 			Eventually(func() []string { return leader.Status().Evacuations.Domains() }, settleTimeout).Should(Equal([]string{"d2"}))
-			late := startFleetEntry(fleet, "e3", DialTCP)
-			Eventually(late.Ready, settleTimeout).Should(BeTrue())
-			Expect(late.appliedReceipt().Evacuations).NotTo(BeZero())
+			newEntry := startFleetEntry(fleet, "e3", DialTCP)
+			Eventually(newEntry.Ready, settleTimeout).Should(BeTrue())
+			Expect(newEntry.appliedReceipt().Evacuations).NotTo(BeZero())
 		})
 
 		ginkgo.It("is rejected for an unknown failure domain", func() {
