--- a/internal/node/pack_test.go
+++ b/internal/node/compress_test.go
@@ -10,7 +10,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// largeFrame tells of n endpoints.
+// largeFrame returns a frame with n endpoints.
 func largeFrame(n int) *wire.Frame {
 	m := &wire.Reports{Number: 7}
 	for i := range n {
@@ -19,12 +19,12 @@
 	return reportsFrame(m)
 }
 
-var _ = ginkgo.Describe("a frame on the link of an entry", func() {
-	ginkgo.It("comes out as it went in, compressed where it is large", func() {
+var _ = ginkgo.Describe("frame compression", func() {
+	ginkgo.It("preserves frames, and shrinks large ones", func() {
 		for _, n := range []int{0, 1, 300} {
-			for _, level := range []int{packWell, packFast} {
-				sent := pack(largeFrame(n), level)
-				got, err := unpack(sent)
+			for _, level := range []int{compressDefault, compressFast} {
+				sent := compressFrame(largeFrame(n), level)
+				got, err := decompressFrame(sent)
 				Expect(err).NotTo(HaveOccurred())
 				Expect(proto.Equal(got, largeFrame(n))).To(BeTrue())
 				if n == 300 {
@@ -34,9 +34,9 @@
 		}
 	})
 
-	ginkgo.It("is refused where it is none", func() {
-		for _, packed := range [][]byte{{}, {1, 2, 3}, pack(largeFrame(300), packFast).GetPacked()[:40]} {
-			_, err := unpack(&wire.Frame{Body: &wire.Frame_Packed{Packed: packed}})
+	ginkgo.It("reports corrupt data", func() {
+		for _, packed := range [][]byte{{}, {1, 2, 3}, compressFrame(largeFrame(300), compressFast).GetPacked()[:40]} {
+			_, err := decompressFrame(&wire.Frame{Body: &wire.Frame_Packed{Packed: packed}})
 			Expect(err).To(HaveOccurred())
 		}
 	})
--- /dev/null
+++ b/internal/node/dialbackoff.go
@@ -0,0 +1,119 @@
+package node
+
+import (
+	"context"
+	"net"
+	"time"
+)
+
+const (
+	// dialInterval is the time between overlapping attempts while no link is active. A host
+	// without power does not respond, not even later to an attempt that began before it was
+	// up, so that only a new attempt reaches it quickly. It covers several round trips
+	// between failure domains.
+	dialInterval = 40 * time.Millisecond
+	// maxDialTimeout bounds the duration of attempts, for slow hosts.
+	maxDialTimeout = 500 * time.Millisecond
+	// minDialPause is the pause between two attempts at one address. While other links are
+	// active, it doubles with each attempt up to maxDialPause, so that many entries do not
+	// overload an instance that refuses connections.
+	minDialPause = 20 * time.Millisecond
+	maxDialPause = 640 * time.Millisecond
+)
+
+type (
+	// dialBackoff determines timeouts and pauses of the attempts at one address.
+	dialBackoff struct {
+		timeout time.Duration // of the next attempt, 0 for dialInterval
+		pause   time.Duration // after the last attempt, 0 before the first
+	}
+
+	// dialAttempt is one of several overlapping attempts.
+	dialAttempt struct {
+		dial    Dialer
+		address string
+		results chan<- dialResult
+	}
+
+	// dialResult is the result of an attempt.
+	dialResult struct {
+		conn net.Conn
+		err  error
+	}
+)
+
+// dial opens a connection. If isolated, that is while no link is active, it makes overlapping
+// attempts and returns the first connection. Otherwise it makes a single attempt with twice
+// the timeout of the previous one.
+func (r *dialBackoff) dial(ctx context.Context, dial Dialer, address string, isolated bool) (net.Conn, error) {
+	if isolated {
+		return dialOverlapping(ctx, dial, address)
+	}
+	if r.timeout == 0 {
+		r.timeout = dialInterval
+	}
+	timeout := r.timeout
+	r.timeout = min(2*r.timeout, maxDialTimeout)
+	return dial(ctx, address, timeout)
+}
+
+// nextPause returns the pause after a failed attempt. isolated is as for dial.
+func (r *dialBackoff) nextPause(isolated bool) time.Duration {
+	if isolated {
+		r.pause = 0
+		return minDialPause
+	}
+	r.pause = min(max(minDialPause, 2*r.pause), maxDialPause)
+	return r.pause
+}
+
+// reset restarts the backoff after a success.
+func (r *dialBackoff) reset() { r.timeout, r.pause = 0, 0 }
+
+// dialOverlapping makes overlapping attempts for at most maxDialTimeout in total.
+func dialOverlapping(ctx context.Context, dial Dialer, address string) (net.Conn, error) {
+	ctx, cancel := context.WithTimeout(ctx, maxDialTimeout)
+	results := make(chan dialResult)
+	pending := 0
+	defer func() {
+		cancel()
+		go closeUnused(pending, func() net.Conn { return (<-results).conn })
+	}()
+	next := time.NewTicker(dialInterval)
+	defer next.Stop()
+	startAttempt := func() {
+		pending++
+		go dialAttempt{dial, address, results}.run(ctx)
+	}
+	startAttempt()
+	for {
+		select {
+		case result := <-results:
+			pending--
+			// A failure with no other attempt pending means that the host is up and refuses
+			// connections.
+			if result.err == nil || pending == 0 {
+				return result.conn, result.err
+			}
+		case <-next.C:
+			if ctx.Err() == nil {
+				startAttempt()
+			}
+		}
+	}
+}
+
+// run makes the attempt and reports its result.
+func (a dialAttempt) run(ctx context.Context) {
+	conn, err := a.dial(ctx, a.address, maxDialTimeout)
+	a.results <- dialResult{conn, err}
+}
+
+// closeUnused closes the connections of pending attempts after another attempt has succeeded.
+func closeUnused(pending int, next func() net.Conn) {
+	for range pending {
+		if conn := next(); conn != nil {
+			_ = conn.Close()
+		}
+	}
+}
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -10,31 +10,32 @@
 )
 
 const (
-	// compactAt is the size of the log file at which a snapshot is taken.
-	compactAt = 1 << 20
-	// reopenAfter is the pause before a disk that failed is tried again.
-	reopenAfter = 250 * time.Millisecond
+	// compactThreshold is the size of the log file in bytes at which a snapshot is taken.
+	compactThreshold = 1 << 20
+	// reopenDelay is the pause before a failed disk is opened again.
+	reopenDelay = 250 * time.Millisecond
 )
 
-// open reads the data folder; where that fails it is tried again later.
-func (c *Control) open(now time.Time) {
-	c.reopenAt = now.Add(reopenAfter)
+// openDisk loads the state from the data folder and creates the directory. If that fails,
+// tick calls it again later.
+func (c *Control) openDisk(now time.Time) {
+	c.reopenAt = now.Add(reopenDelay)
 	files, err := c.config.Files()
 	if err != nil {
-		c.config.Log.Error("data folder cannot be opened", "error", err)
+		c.config.Log.Error("cannot open data folder", "error", err)
 		return
 	}
-	if c.failed && !takesWrites(files) {
+	if c.diskFailed && !isWritable(files) {
 		return
 	}
 	identity, err := loadIdentity(files, c.config)
 	if err != nil {
-		c.config.Log.Error("identity cannot be kept", "error", err)
+		c.config.Log.Error("cannot load or save identity", "error", err)
 		return
 	}
 	store, loaded, err := storage.Open(files)
 	if err != nil {
-		c.config.Log.Error("log cannot be opened", "error", err, "next", fault.KindOf(err).Answer().NextStep())
+		c.config.Log.Error("cannot open log", "error", err, "next", fault.KindOf(err).Answer().NextStep())
 		return
 	}
 	d, err := directory.New(directory.Config{
@@ -43,30 +44,30 @@
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}, now, loaded)
 	if err != nil {
-		c.config.Log.Error("log cannot be used", "error", err)
+		c.config.Log.Error("cannot use log", "error", err)
 		return
 	}
-	c.store, c.directory, c.failed = store, d, false
+	c.store, c.directory, c.diskFailed = store, d, false
 	c.config.Log.Info("log opened", "id", identity.Id, "founders", identity.Founders, "entries", len(loaded.Entries),
 		"term", loaded.HardState.Term, "torn", loaded.Torn)
 }
 
-// takesWrites reports whether a disk that failed can be written again: reading
-// alone would not show that. Its failure was logged when it failed.
-func takesWrites(files storage.Files) bool { return storage.Probe(files) == nil }
+// isWritable reports whether a disk that failed is writable again, which reading alone would
+// not show. It logs nothing, since the failure has been logged already.
+func isWritable(files storage.Files) bool { return storage.Probe(files) == nil }
 
-// close gives the disk up until it can be opened again, as after a crash.
-func (c *Control) close(now time.Time) {
-	_ = c.store.Close() // it has failed already
-	c.store, c.directory, c.failed, c.reopenAt = nil, nil, true, now.Add(reopenAfter)
-	c.status.Store(&madeStatus{})
-	for index := range c.waiting {
-		c.answer(index, false)
+// closeDisk drops all state of the disk until it can be opened again, as after a crash.
+func (c *Control) closeDisk(now time.Time) {
+	_ = c.store.Close() // the disk has failed already
+	c.store, c.directory, c.diskFailed, c.reopenAt = nil, nil, true, now.Add(reopenDelay)
+	c.status.Store(&timedStatus{})
+	for index := range c.pendingProposals {
+		c.resolveProposal(index, false)
 	}
 }
 
-// persist writes what must last before anything is sent, and takes a snapshot
-// once the log has grown to compactAt.
+// persist writes the log entries that must be on disk before anything is sent. It takes a
+// snapshot once the log reaches compactThreshold.
 func (c *Control) persist(ready directory.Ready) error {
 	if s := ready.Log.Snapshot; s != nil {
 		if err := c.store.SaveSnapshot(s, ready.Log.HardState, nil); err != nil {
@@ -78,12 +79,12 @@
 			return err
 		}
 	}
-	if c.store.Size() < compactAt {
+	if c.store.Size() < compactThreshold {
 		return nil
 	}
-	file, hard, after, err := c.directory.Compact()
-	if err != nil || file == nil {
+	snapshot, hard, after, err := c.directory.Compact()
+	if err != nil || snapshot == nil {
 		return err
 	}
-	return c.store.SaveSnapshot(file, hard, after)
+	return c.store.SaveSnapshot(snapshot, hard, after)
 }
--- a/internal/node/feed_test.go
+++ b/internal/node/feed_test.go
@@ -14,23 +14,23 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var _ = ginkgo.Describe("what an entry is told of endpoints", func() {
+var _ = ginkgo.Describe("the feed of an entry", func() {
 	endpoint := registry.Endpoint{ID: "i-1", Addr: netip.MustParseAddrPort("10.0.0.1:80"), Sequence: 1}
 	var control *Control
 	ginkgo.BeforeEach(func() {
 		control = NewControl(ControlConfig{Beat: time.Second, Log: log.New(io.Discard), Now: SteadyClock()})
-		control.endpoints.hear(endpoint)
+		control.endpoints.heartbeat(endpoint)
 	})
 
-	// subscribed returns the feed of an entry that knows something, and what it was sent.
-	subscribed := func(brief bool, known registry.Digest) (*entryFeed, *recordingStream) {
+	// newFeed returns the feed of an entry with the given digest, and its stream.
+	newFeed := func(brief bool, known registry.Digest) (*entryFeed, *recordingStream) {
 		stream := &recordingStream{}
 		f := newEntryFeed(control, stream, &wire.Hello{Id: "entry"})
 		Expect(f.subscribe(&wire.Subscription{Brief: brief, Digest: known[:]})).To(Succeed())
 		return f, stream
 	}
 	last := func(s *recordingStream) *wire.Reports {
-		frame, err := unpack(s.sent[len(s.sent)-1])
+		frame, err := decompressFrame(s.sent[len(s.sent)-1])
 		Expect(err).NotTo(HaveOccurred())
 		return frame.GetReports()
 	}
@@ -40,110 +40,110 @@
 		known.Toggle(endpoint.ID, registry.Sum(endpoint))
 	})
 
-	ginkgo.It("is nothing before it subscribes, and then what it lacks, and later only changes", func() {
+	ginkgo.It("sends nothing before the subscription, then the missing records, and later only changes", func() {
 		f := newEntryFeed(control, &recordingStream{}, &wire.Hello{Id: "entry"})
 		Expect(f.sendBatches(false)).To(Succeed())
 		Expect(f.sendOffer()).To(Succeed())
 		Expect(f.stream.(*recordingStream).sent).To(BeEmpty())
 
-		f, stream := subscribed(false, registry.Digest{})
+		f, stream := newFeed(false, registry.Digest{})
 		Expect(last(stream).Endpoints).To(HaveLen(1))
-		control.endpoints.whole.make()
+		control.endpoints.fullBatches.appendNext()
 		Expect(f.sendBatches(false)).To(Succeed())
 		sent := len(stream.sent)
 		Expect(f.sendBatches(false)).To(Succeed())
 		Expect(stream.sent).To(HaveLen(sent))
 		control.endpoints.leave("i-1")
-		control.endpoints.whole.make()
+		control.endpoints.fullBatches.appendNext()
 		Expect(f.sendBatches(true)).To(Succeed())
-		Expect(stream.sent).To(HaveLen(sent), "it is not told briefly")
+		Expect(stream.sent).To(HaveLen(sent), "the entry has not subscribed to summaries")
 		Expect(f.sendBatches(false)).To(Succeed())
 		Expect(last(stream).Endpoints).To(ConsistOf(HaveField("Gone", true)))
 	})
 
-	ginkgo.It("leaves out what another control instance told it already", func() {
-		_, stream := subscribed(false, known)
+	ginkgo.It("omits records that the entry has from another control instance", func() {
+		_, stream := newFeed(false, known)
 		Expect(last(stream).Endpoints).To(BeEmpty())
-		_, stream = subscribed(true, known)
+		_, stream = newFeed(true, known)
 		Expect(last(stream).Endpoints).To(BeEmpty())
 		Expect(last(stream).Digest).To(Equal(known[:]))
 	})
 
-	ginkgo.It("is the sums of what changed where it is told briefly", func() {
-		control.endpoints.brief.make()
-		f, stream := subscribed(true, known)
+	ginkgo.It("sends checksums of the changes to an entry that has subscribed to summaries", func() {
+		control.endpoints.summaryBatches.appendNext()
+		f, stream := newFeed(true, known)
 		other := endpoint
 		other.ID, other.Addr = "i-2", netip.MustParseAddrPort("10.0.0.2:80")
-		control.endpoints.hear(other)
-		control.endpoints.brief.make()
+		control.endpoints.heartbeat(other)
+		control.endpoints.summaryBatches.appendNext()
 		Expect(f.sendBatches(true)).To(Succeed())
-		told := last(stream)
-		Expect(told.Endpoints).To(BeEmpty())
-		Expect(told.Sums).To(HaveLen(1))
-		Expect(told.Sums[0].Id).To(Equal("i-2"))
-		Expect(f.answerRecords(&wire.RecordsWant{Ids: []string{"i-2", "unknown"}}).Endpoints).To(ConsistOf(HaveField("Id", "i-2")))
-		Expect(f.answerRecords(&wire.RecordsWant{Digest: known[:]}).Endpoints).To(ContainElement(HaveField("Id", "i-2")))
+		reports := last(stream)
+		Expect(reports.Endpoints).To(BeEmpty())
+		Expect(reports.Sums).To(HaveLen(1))
+		Expect(reports.Sums[0].Id).To(Equal("i-2"))
+		Expect(f.requestedRecords(&wire.RecordsWant{Ids: []string{"i-2", "unknown"}}).Endpoints).To(ConsistOf(HaveField("Id", "i-2")))
+		Expect(f.requestedRecords(&wire.RecordsWant{Digest: known[:]}).Endpoints).To(ContainElement(HaveField("Id", "i-2")))
 	})
 
-	ginkgo.It("is made once for all that are told alike", func() {
-		control.endpoints.whole.make()
-		a, first := subscribed(false, known)
-		b, second := subscribed(false, known)
+	ginkgo.It("shares frames with other feeds in the same mode", func() {
+		control.endpoints.fullBatches.appendNext()
+		a, first := newFeed(false, known)
+		b, second := newFeed(false, known)
 		control.endpoints.leave("i-1")
-		control.endpoints.whole.make()
+		control.endpoints.fullBatches.appendNext()
 		Expect(a.sendBatches(false)).To(Succeed())
 		Expect(b.sendBatches(false)).To(Succeed())
 		Expect(second.sent[len(second.sent)-1]).To(BeIdenticalTo(first.sent[len(first.sent)-1]))
 	})
 
-	ginkgo.It("is made for one that is further behind than batches are kept, and goes on with them", func() {
-		control.endpoints.whole.make()
-		f, stream := subscribed(false, known)
-		for n := range 2 * batchesKept {
+	ginkgo.It("sends a batch of its own if the entry lags behind the kept batches, then continues with these", func() {
+		control.endpoints.fullBatches.appendNext()
+		f, stream := newFeed(false, known)
+		for n := range 2 * maxKeptBatches {
 			e := endpoint
 			e.ID, e.Addr = fmt.Sprint("i-", 10+n), netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 1, byte(n)}), 80)
-			control.endpoints.hear(e)
-			control.endpoints.whole.make()
+			control.endpoints.heartbeat(e)
+			control.endpoints.fullBatches.appendNext()
 		}
 		Expect(f.sendBatches(false)).To(Succeed())
-		Expect(last(stream).Endpoints).To(HaveLen(2 * batchesKept))
+		Expect(last(stream).Endpoints).To(HaveLen(2 * maxKeptBatches))
 		control.endpoints.leave("i-1")
-		control.endpoints.whole.make()
+		control.endpoints.fullBatches.appendNext()
 		Expect(f.sendBatches(false)).To(Succeed())
 		Expect(last(stream).Endpoints).To(ConsistOf(HaveField("Id", "i-1")))
 	})
 
-	ginkgo.It("is the digest again some times after it took the place of sums", func() {
-		f, stream := subscribed(true, known)
-		Expect(f.checkAt).NotTo(BeNil())
-		for range checks {
-			Expect(f.checkAt).NotTo(BeNil())
-			Expect(f.check()).To(Succeed())
+	ginkgo.It("repeats the digest after a summary", func() {
+		f, stream := newFeed(true, known)
+		Expect(f.repeatDue).NotTo(BeNil())
+		for range digestRepeats {
+			Expect(f.repeatDue).NotTo(BeNil())
+			Expect(f.repeatDigest()).To(Succeed())
 			Expect(last(stream).Digest).To(Equal(known[:]))
 		}
-		Expect(f.checkAt).To(BeNil())
+		Expect(f.repeatDue).To(BeNil())
 	})
 
-	ginkgo.It("names the control instances once, and says afterwards that they are the same", func() {
+	ginkgo.It("sends the list of control instances only when it has changed", func() {
 		at := time.Duration(0)
-		roster := func(led bool, ids ...string) *madeRoster {
+		roster := func(led bool, ids ...string) *timedRoster {
 			r := &wire.Roster{Leads: led, Voters: []string{"c1"}}
 			for _, id := range ids {
 				at += time.Second
 				r.Instances = append(r.Instances, &wire.ControlInstance{Id: id, Address: id + ":1", Front: id + ":2", AgeNanos: int64(at)})
 			}
-			return &madeRoster{roster: r}
+			return &timedRoster{roster: r}
 		}
 		stream := &recordingStream{}
 		feed := newEntryFeed(control, stream, &wire.Hello{Id: "entry"})
-		sent := func(made *madeRoster) *wire.Roster {
+		sent := func(made *timedRoster) *wire.Roster {
 			control.roster.Store(made)
 			Expect(feed.sendRoster()).To(Succeed())
 			return stream.sent[len(stream.sent)-1].GetRoster()
 		}
 		Expect(sent(roster(true, "c1", "c2")).Instances).To(HaveLen(2))
 		again := sent(roster(false, "c1", "c2"))
-		Expect(again.Same).To(BeTrue(), "though they were heard later")
+		Expect(again.Same).To(BeTrue(), "only the ages differ")
 		Expect(again.Leads).To(BeFalse())
 		Expect(again.Instances).To(BeEmpty())
 		Expect(sent(roster(true, "c1", "c2")).Leads).To(BeTrue())
--- a/internal/node/identity.go
+++ b/internal/node/identity.go
@@ -8,25 +8,25 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// identityName is the file that keeps who a control instance is.
-const identityName = "identity"
+// identityFile is the name of the file with the identity of a control instance.
+const identityFile = "identity"
 
-// loadIdentity reads who the instance is, or makes and keeps it. An id lives
-// as long as the disk: an instance whose disk is lost gets another one at the
-// same address, so that nothing the old one promised is counted for, or broken
-// by, the new one.
+// loadIdentity reads the identity of the instance, or creates and saves a new one. An id
+// lives only as long as the disk: after the loss of a disk the instance gets a new id at the
+// same address, so that what the old one promised (votes and acknowledgements) is neither
+// attributed to the new one nor broken by it.
 func loadIdentity(files storage.Files, c ControlConfig) (*wire.Identity, error) {
-	held := &wire.Identity{}
-	found, err := storage.LoadMessage(files, identityName, held)
+	stored := &wire.Identity{}
+	found, err := storage.LoadMessage(files, identityFile, stored)
 	if found || err != nil {
-		return held, err
+		return stored, err
 	}
-	made := newIdentity(c)
-	return made, storage.SaveMessage(files, identityName, made)
+	created := newIdentity(c)
+	return created, storage.SaveMessage(files, identityFile, created)
 }
 
-// newIdentity makes a founder of a seed at the very first start, and somebody
-// new otherwise.
+// newIdentity returns the identity of a founder for a seed at the first start of the whole
+// fleet, and otherwise an id that has never been used.
 func newIdentity(c ControlConfig) *wire.Identity {
 	address := c.Peer.String()
 	var founders []string
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -14,73 +14,74 @@
 )
 
 const (
-	// frameEvery is how often each end of a link says something at least.
-	frameEvery = 200 * time.Millisecond
-	// linkIdle ends a link on which nothing came for so long: several frames.
-	linkIdle = 1200 * time.Millisecond
-	// unackedMost is how long sent bytes may stay unacknowledged.
-	unackedMost = time.Second
+	// frameInterval is the maximum time between two frames from each end of a link.
+	frameInterval = 200 * time.Millisecond
+	// linkIdleTimeout closes a link on which nothing was received or could be sent. It covers
+	// several frames.
+	linkIdleTimeout = 1200 * time.Millisecond
+	// maxUnackedTime is how long sent data may remain unacknowledged by TCP.
+	maxUnackedTime = time.Second
 )
 
 type (
 	// Dialer opens a connection to a control instance.
 	Dialer func(ctx context.Context, address string, timeout time.Duration) (net.Conn, error)
 
-	// linkConn is a connection of a link: one that stands still ends.
+	// linkConn is a connection whose reads and writes fail after linkIdleTimeout.
 	linkConn struct {
 		net.Conn
 	}
 )
 
-// Read reads what comes within linkIdle.
+// Read reads with a deadline of linkIdleTimeout.
 func (c linkConn) Read(p []byte) (int, error) {
-	if err := c.SetReadDeadline(time.Now().Add(linkIdle)); err != nil {
+	if err := c.SetReadDeadline(time.Now().Add(linkIdleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Read(p)
 }
 
-// Write writes what is taken within linkIdle.
+// Write writes with a deadline of linkIdleTimeout.
 func (c linkConn) Write(p []byte) (int, error) {
-	if err := c.SetWriteDeadline(time.Now().Add(linkIdle)); err != nil {
+	if err := c.SetWriteDeadline(time.Now().Add(linkIdleTimeout)); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
 }
 
-// limitUnacked makes the kernel end a connection whose other end is gone
-// without having closed it.
-func limitUnacked(_, _ string, raw syscall.RawConn) error {
-	var failed error
+// setUserTimeout makes the kernel close a connection whose peer has vanished without closing
+// it.
+func setUserTimeout(_, _ string, raw syscall.RawConn) error {
+	var sockErr error
 	err := raw.Control(func(fd uintptr) {
-		failed = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(unackedMost/time.Millisecond))
+		sockErr = unix.SetsockoptInt(int(fd), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(maxUnackedTime/time.Millisecond))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return sockErr
 }
 
-// DialTCP is the Dialer that processes use.
+// DialTCP is the Dialer for TCP.
 func DialTCP(ctx context.Context, address string, timeout time.Duration) (net.Conn, error) {
-	dialer := net.Dialer{Timeout: timeout, Control: limitUnacked}
+	dialer := net.Dialer{Timeout: timeout, Control: setUserTimeout}
 	return dialer.DialContext(ctx, "tcp", address)
 }
 
-// openLink opens a link on a connection to a control instance and returns what
-// closes it; the caller then says hello. An error is of kind Unreachable.
+// openLink opens a link on a connection to a control instance, and returns the function that
+// closes it. The caller sends the hello. An error is of kind Unreachable.
 func openLink(ctx context.Context, raw net.Conn) (wire.DRPCDirectory_LinkClient, func(), error) {
 	conn := drpcconn.New(linkConn{raw})
-	done := func() { _ = conn.Close() }
+	closeLink := func() { _ = conn.Close() }
 	stream, err := wire.NewDRPCDirectoryClient(conn).Link(ctx)
 	if err != nil {
-		done()
+		closeLink()
 		return nil, nil, fault.Wrap(fault.Unreachable, err)
 	}
-	return stream, done, nil
+	return stream, closeLink, nil
 }
 
-// helloFrame is the first frame of a link.
+// helloFrame returns the first frame of a link.
 func helloFrame(hello *wire.Hello) *wire.Frame {
 	return &wire.Frame{Body: &wire.Frame_Hello{Hello: hello}}
 }
--- a/internal/node/malformed.go
+++ b/internal/node/malformed.go
@@ -8,38 +8,38 @@
 )
 
 const (
-	// malformedLinesPerSecond and malformedLinesAtOnce bound the log lines about calls that
-	// name no endpoint: whoever writes them may write many.
-	malformedLinesPerSecond = 1
-	malformedLinesAtOnce    = 10
+	// malformedLogRate and malformedLogBurst limit the log lines about malformed calls, of
+	// which a faulty client may send many.
+	malformedLogRate  = 1
+	malformedLogBurst = 10
 )
 
-// malformedCalls counts calls that name no endpoint, by the field that is wrong.
+// malformedCalls counts calls that do not identify an endpoint, by the malformed field.
 type malformedCalls struct {
 	mu      sync.Mutex
 	byField map[string]uint64
-	lines   *lineBound
+	limiter *logLimiter
 }
 
 func newMalformedCalls() *malformedCalls {
-	return &malformedCalls{byField: map[string]uint64{}, lines: newLineBound(malformedLinesPerSecond, malformedLinesAtOnce)}
+	return &malformedCalls{byField: map[string]uint64{}, limiter: newLogLimiter(malformedLogRate, malformedLogBurst)}
 }
 
-// take counts one call. It reports whether it is logged, and how many were not since the
-// last line.
-func (m *malformedCalls) take(field string) (leftOut uint64, logged bool) {
+// record counts a call. It reports whether the call may be logged, and how many log lines
+// were dropped since the previous one.
+func (m *malformedCalls) record(field string) (dropped uint64, allowed bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.byField[field]++
-	return m.lines.take()
+	return m.limiter.allow()
 }
 
-// figures returns the counts.
-func (m *malformedCalls) figures() (all []figure) {
+// metrics returns the counters by field.
+func (m *malformedCalls) metrics() (all []metric) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, field := range slices.Sorted(maps.Keys(m.byField)) {
-		all = append(all, figure{fmt.Sprintf("oxbowsaddle_calls_malformed_total{field=%q}", field), m.byField[field]})
+		all = append(all, metric{fmt.Sprintf("oxbowsaddle_calls_malformed_total{field=%q}", field), m.byField[field]})
 	}
 	return all
 }
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -12,30 +12,31 @@
 )
 
 const (
-	// callMost is how long an order or a leave may wait for its confirmation:
-	// callers turn elsewhere after a second.
-	callMost = 800 * time.Millisecond
-	// leaderPoll is how often an order looks for a leader.
-	leaderPoll = 40 * time.Millisecond
+	// callTimeout is how long an order or a leave may wait to be acknowledged. It is below
+	// the second after which callers try another instance.
+	callTimeout = 800 * time.Millisecond
+	// leaderPollInterval is the time between two attempts at an order while no leader is
+	// known.
+	leaderPollInterval = 40 * time.Millisecond
 )
 
-// Put offers a document and waits until it is committed, or its version is
-// known not to be above the one in force. Where another instance leads, the
-// error is of kind NotCurrent and elsewhere is that one's address for
-// operators. Where nobody is known to lead, or too few answer within callMost,
-// elsewhere is empty and the kind NotCurrent or NoQuorum; while the disk fails
-// it is DataFolder.
+// Put proposes a document and waits until it is committed, or until the version in force is
+// known to be at least as high. If another instance leads, err is of kind NotCurrent and
+// elsewhere is the address for operators of that instance. If no leader is known, or too few
+// instances respond within callTimeout, elsewhere is empty and err is of kind NotCurrent or
+// NoQuorum. While the disk has failed, err is of kind DataFolder.
 func (c *Control) Put(ctx context.Context, doc *document.Document) (elsewhere string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callMost)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	began := c.config.Now()
-	elsewhere, err = c.atLeader(ctx, func() (string, error) { return c.putHere(ctx, doc) })
-	observeSince(c.timings.order, c.config.Now, began, err)
+	start := c.config.Now()
+	elsewhere, err = c.retryWithoutLeader(ctx, func() (string, error) { return c.proposeDocument(ctx, doc) })
+	observeSince(c.timings.order, c.config.Now, start, err)
 	return elsewhere, err
 }
 
-// atLeader asks until this instance or another one leads.
-func (c *Control) atLeader(ctx context.Context, ask func() (string, error)) (string, error) {
+// retryWithoutLeader calls ask, and repeats the call while it fails because no leader is
+// known.
+func (c *Control) retryWithoutLeader(ctx context.Context, ask func() (string, error)) (string, error) {
 	for {
 		elsewhere, err := ask()
 		if err == nil || elsewhere != "" || fault.KindOf(err) != fault.NotCurrent {
@@ -44,123 +45,127 @@
 		select {
 		case <-ctx.Done():
 			return "", err
-		case <-time.After(leaderPoll):
+		case <-time.After(leaderPollInterval):
 		}
 	}
 }
 
-// putHere proposes the document where this instance leads, and waits.
-func (c *Control) putHere(ctx context.Context, doc *document.Document) (elsewhere string, err error) {
-	return c.offerHere(ctx, func(now time.Time, d *directory.Directory) (uint64, bool, error) { return d.Put(now, doc) })
+// proposeDocument proposes a document if this instance leads, and waits until it is
+// committed.
+func (c *Control) proposeDocument(ctx context.Context, doc *document.Document) (elsewhere string, err error) {
+	return c.propose(ctx, func(now time.Time, d *directory.Directory) (uint64, bool, error) { return d.Put(now, doc) })
 }
 
-// offerOutcome is what came of an offer in the loop.
-type offerOutcome struct {
+// proposalResult is the result of a call that the loop rejected.
+type proposalResult struct {
 	elsewhere string
 	err       error
 }
 
-// offerHere offers something to the log where this instance leads, and waits
-// until it is committed. What the loop comes to only after the caller was turned
-// away is not offered: it may be out of turn by then.
-func (c *Control) offerHere(ctx context.Context, offer func(now time.Time, d *directory.Directory) (index uint64, done bool, err error)) (elsewhere string, err error) {
+// propose runs proposeIn in the loop and waits until its proposal is committed. If the caller
+// has given up before the loop gets to it, nothing is proposed: the order may be outdated by
+// then.
+func (c *Control) propose(ctx context.Context, proposeIn func(now time.Time, d *directory.Directory) (index uint64, done bool, err error)) (elsewhere string, err error) {
 	committed := make(chan bool, 1)
-	outcome := &offerOutcome{} // the loop's until the call returns without an error, and for good where it does not
+	// result is written by the loop. It is read only if call succeeds, as the loop may still
+	// write to it otherwise.
+	result := &proposalResult{}
 	callErr := c.call(ctx, func(now time.Time, d *directory.Directory) {
 		if ctx.Err() != nil {
-			outcome.err = fault.New(fault.NoQuorum, "the caller has gone")
+			result.err = fault.New(fault.NoQuorum, "the caller has disconnected")
 			return
 		}
-		index, done, offerErr := offer(now, d)
+		index, done, proposeErr := proposeIn(now, d)
 		switch {
-		case offerErr != nil:
-			outcome.elsewhere, outcome.err = c.leaderFront(d), offerErr
+		case proposeErr != nil:
+			result.elsewhere, result.err = c.otherLeaderAddr(d), proposeErr
 		case done:
 			committed <- true
 		default:
-			c.waiting[index] = committed
+			c.pendingProposals[index] = committed
 		}
 	})
 	if callErr != nil {
 		return "", callErr
 	}
-	if outcome.err != nil {
-		return outcome.elsewhere, outcome.err
+	if result.err != nil {
+		return result.elsewhere, result.err
 	}
 	select {
 	case ok := <-committed:
 		if !ok {
-			return "", fault.New(fault.NoQuorum, "the leader changed while the order was under way")
+			return "", fault.New(fault.NoQuorum, "the leader changed before the order was committed")
 		}
 		return "", nil
 	case <-ctx.Done():
-		return "", fault.New(fault.NoQuorum, "too few control instances hold the order")
+		return "", fault.New(fault.NoQuorum, "too few control instances acknowledged the order")
 	}
 }
 
-// leaderFront returns where the other instance that leads takes orders.
-func (c *Control) leaderFront(d *directory.Directory) string {
+// otherLeaderAddr returns the address for operators of the leader, "" if no other instance
+// leads.
+func (c *Control) otherLeaderAddr(d *directory.Directory) string {
 	if front := d.Front(d.Leader()); front != c.config.Front {
 		return front
 	}
 	return ""
 }
 
-// Read returns the document in force, if it can be shown to be the newest;
-// nil is that there is none yet. Elsewhere is as for Put.
+// Read returns the document in force if it is certain to be the newest, nil if there is no
+// document yet. elsewhere and err are as for Put.
 func (c *Control) Read(ctx context.Context) (doc *document.Document, elsewhere string, err error) {
-	ctx, cancel := context.WithTimeout(ctx, callMost)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	elsewhere, err = c.atLeader(ctx, func() (string, error) {
+	elsewhere, err = c.retryWithoutLeader(ctx, func() (string, error) {
 		var read *document.Document
-		outcome := &offerOutcome{}
+		result := &proposalResult{}
 		callErr := c.call(ctx, func(now time.Time, d *directory.Directory) {
-			if read, outcome.err = d.Read(now); outcome.err != nil {
-				outcome.elsewhere = c.leaderFront(d)
+			if read, result.err = d.Read(now); result.err != nil {
+				result.elsewhere = c.otherLeaderAddr(d)
 			}
 		})
 		if callErr != nil {
 			return "", callErr
 		}
 		doc = read
-		return outcome.elsewhere, outcome.err
+		return result.elsewhere, result.err
 	})
 	return doc, elsewhere, err
 }
 
-// Malformed takes that a call which is to name an endpoint names none: which field is
-// wrong, and how.
+// Malformed counts and logs a call that does not identify an endpoint: the malformed field,
+// and what is wrong with it.
 func (c *Control) Malformed(id, field, detail string) {
-	if leftOut, ok := c.malformed.take(field); ok {
-		c.config.Log.Warn("no endpoint named", "endpoint", id, "field", field, "error", detail, "left_out", leftOut)
+	if dropped, ok := c.malformed.record(field); ok {
+		c.config.Log.Warn("no endpoint named", "endpoint", id, "field", field, "error", detail, "left_out", dropped)
 	}
 }
 
-// Heartbeat takes the heartbeat of an endpoint. That it is leaving is
-// acknowledged only once a majority of the voters knows; the error where they
-// do not within callMost is of kind NoQuorum.
+// Heartbeat records the heartbeat of an endpoint. If the endpoint is leaving, it waits until
+// a majority of the voters knows; err is of kind NoQuorum if that takes longer than
+// callTimeout.
 func (c *Control) Heartbeat(ctx context.Context, e registry.Endpoint) error {
-	number := c.endpoints.hear(e)
+	revision := c.endpoints.heartbeat(e)
 	if !e.Leaving {
 		return nil
 	}
-	return c.awaitMajority(ctx, number)
+	return c.awaitMajority(ctx, revision)
 }
 
-// Leave takes the message of an endpoint that it ends; it is acknowledged only
-// once a majority of the voters knows; errors are as for Heartbeat.
+// Leave records that an endpoint has ended, and waits until a majority of the voters knows.
+// err is as for Heartbeat.
 func (c *Control) Leave(ctx context.Context, id string) error {
 	return c.awaitMajority(ctx, c.endpoints.leave(id))
 }
 
-// awaitMajority waits until a majority of the voters, this instance counted if
-// it is one, holds a change of the registry.
-func (c *Control) awaitMajority(ctx context.Context, number uint64) error {
-	ctx, cancel := context.WithTimeout(ctx, callMost)
+// awaitMajority waits until a majority of the voters, including this instance if it is one,
+// has acknowledged a revision of the registry.
+func (c *Control) awaitMajority(ctx context.Context, revision uint64) error {
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	status := c.Status()
 	if len(status.Voters) == 0 {
-		return fault.New(fault.NoQuorum, "no control instances are known yet")
+		return fault.New(fault.NoQuorum, "no voters are known yet")
 	}
 	enough := len(status.Voters)/2 + 1
 	if slices.Contains(status.Voters, status.Self) {
@@ -172,8 +177,8 @@
 			others = append(others, directory.AddressOf(id))
 		}
 	}
-	began := c.config.Now()
-	err := c.endpoints.await(ctx, number, others, enough)
-	observeSince(c.timings.leaving, c.config.Now, began, err)
+	start := c.config.Now()
+	err := c.endpoints.awaitAcknowledgements(ctx, revision, others, enough)
+	observeSince(c.timings.leave, c.config.Now, start, err)
 	return err
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// outboxSize bounds the log messages that wait for one peer; what finds it
-	// full is lost, which the log bears.
-	outboxSize = 128
-	// wholeRosterEach is each how many rosters names all instances; the others name the
-	// sender alone, and show that it is alive. Told whole each time, rosters would grow
-	// with the cube of the number of instances. What is said of others is still younger
-	// than the time after which a voter counts as lost.
-	wholeRosterEach = 5
+	// maxQueuedMessages bounds the log messages that are queued for a peer. Further ones are
+	// dropped, which the log tolerates.
+	maxQueuedMessages = 128
+	// fullRosterPeriod is the period, in rosters, at which all instances are listed. The
+	// other rosters list only the sender, as a sign of life: if all were complete, traffic
+	// would grow with the cube of the number of instances. What a peer reports of other
+	// instances is still younger than the time after which a voter counts as lost.
+	fullRosterPeriod = 5
 )
 
 type (
-	// peerLinks holds the links of a control instance to the others.
+	// peerLinks maintains the links of a control instance to its peers.
 	peerLinks struct {
 		control *Control
 
@@ -32,18 +32,18 @@
 		seeds []string
 		links map[string]*peerLink // by address
 
-		linked atomic.Int32 // how many stand
+		active atomic.Int32 // number of connected links
 	}
 
-	// peerLink sends to the control instance at one address.
+	// peerLink sends to the peer at one address.
 	peerLink struct {
-		control *Control
-		address string
-		outbox  chan *wire.LogMessage
-		doubts  chan *wire.Frame // for the entries of the other one
-		cancel  context.CancelFunc
-		redial  redial
-		rosters int // told on the present link
+		control     *Control
+		address     string
+		outbox      chan *wire.LogMessage
+		suspicions  chan *wire.Frame // to be forwarded to the entries of the peer
+		cancel      context.CancelFunc
+		backoff     dialBackoff
+		rostersSent int // on the current connection
 	}
 )
 
@@ -51,7 +51,7 @@
 	return &peerLinks{control: c, links: map[string]*peerLink{}}
 }
 
-// setSeeds takes the addresses that the settings name now.
+// setSeeds replaces the seed addresses from the settings.
 func (p *peerLinks) setSeeds(ctx context.Context, seeds []netip.AddrPort) {
 	p.mu.Lock()
 	p.seeds = nil
@@ -64,7 +64,8 @@
 	p.connect(ctx, nil)
 }
 
-// connect keeps links to the seeds and to the given addresses, and ends others.
+// connect starts links to the seeds and to the given addresses, and stops all others; nil
+// addresses stop none.
 func (p *peerLinks) connect(ctx context.Context, addresses []string) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -75,7 +76,7 @@
 			linkCtx, cancel := context.WithCancel(ctx)
 			l := &peerLink{
 				control: p.control, address: address, cancel: cancel,
-				outbox: make(chan *wire.LogMessage, outboxSize), doubts: make(chan *wire.Frame, doubtsWaiting),
+				outbox: make(chan *wire.LogMessage, maxQueuedMessages), suspicions: make(chan *wire.Frame, maxQueuedSuspicions),
 			}
 			p.links[address] = l
 			go l.run(linkCtx)
@@ -89,11 +90,12 @@
 	}
 }
 
-// alone reports whether no link stands.
-func (p *peerLinks) alone() bool { return p.linked.Load() == 0 }
+// isolated reports whether no link is connected.
+func (p *peerLinks) isolated() bool { return p.active.Load() == 0 }
 
-// post queues a message of the log.
-func (p *peerLinks) post(m *wire.LogMessage) {
+// queueMessage queues a message of the replicated log for its recipient. It is dropped if the
+// queue is full.
+func (p *peerLinks) queueMessage(m *wire.LogMessage) {
 	p.mu.Lock()
 	l := p.links[directory.AddressOf(m.To)]
 	p.mu.Unlock()
@@ -106,38 +108,39 @@
 	}
 }
 
-// rosterFor returns the n-th roster that a link tells, of one that names all.
-func rosterFor(roster *wire.Roster, n int) *wire.Roster {
-	if n%wholeRosterEach == 1 || len(roster.Instances) == 0 {
+// rosterToSend returns the n-th roster to send on a connection, given the full one. n begins
+// at 1.
+func rosterToSend(roster *wire.Roster, n int) *wire.Roster {
+	if n%fullRosterPeriod == 1 || len(roster.Instances) == 0 {
 		return roster
 	}
 	return &wire.Roster{Instances: roster.Instances[:1]}
 }
 
-// spread queues a frame about doubts for every other instance; one whose queue is full
-// is left out.
-func (p *peerLinks) spread(frame *wire.Frame) {
+// broadcast queues a frame with suspicions for every peer. It skips peers whose queue is
+// full.
+func (p *peerLinks) broadcast(frame *wire.Frame) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, l := range p.links {
 		select {
-		case l.doubts <- frame:
+		case l.suspicions <- frame:
 		default:
 		}
 	}
 }
 
-// run keeps the link up until the context ends.
+// run keeps the link connected until the context is done.
 func (l *peerLink) run(ctx context.Context) {
 	for ctx.Err() == nil {
 		if err := l.serve(ctx); err != nil && ctx.Err() == nil {
 			l.drain()
-			time.Sleep(redialAfter)
+			time.Sleep(minDialPause)
 		}
 	}
 }
 
-// drain drops messages that are too old to be of use on the next link.
+// drain drops queued messages, which would be outdated on the next connection.
 func (l *peerLink) drain() {
 	for {
 		select {
@@ -148,87 +151,87 @@
 	}
 }
 
-// serve sends until the link fails.
+// serve connects and sends until the link fails.
 func (l *peerLink) serve(ctx context.Context) error {
-	raw, err := l.redial.dial(ctx, l.control.config.Dial, l.address, l.control.peers.alone())
+	raw, err := l.backoff.dial(ctx, l.control.config.Dial, l.address, l.control.peers.isolated())
 	if err != nil {
 		return fault.Wrap(fault.Unreachable, err)
 	}
-	stream, done, err := openLink(ctx, raw)
+	stream, closeLink, err := openLink(ctx, raw)
 	if err != nil {
 		return err
 	}
-	l.control.peers.linked.Add(1)
-	defer l.control.peers.linked.Add(-1)
+	l.control.peers.active.Add(1)
+	defer l.control.peers.active.Add(-1)
 	if err := stream.Send(helloFrame(&wire.Hello{Id: l.control.Status().Self, Control: true})); err != nil {
-		done()
+		closeLink()
 		return err
 	}
-	l.redial.reached()
-	l.rosters = 0
+	l.backoff.reset()
+	l.rostersSent = 0
 	log := l.control.config.Log
 	log.Info("peer reached", "peer", l.address)
 	ctx, cancel := context.WithCancel(ctx)
-	received := make(chan struct{})
+	receiverDone := make(chan struct{})
 	go l.receiveLoop(stream, func() {
 		cancel()
-		close(received)
+		close(receiverDone)
 	})
 	err = l.send(ctx, stream)
-	done()
-	<-received // so that no late receipt is noted after this
-	l.control.endpoints.confirm(l.address, 0)
+	closeLink()
+	<-receiverDone // so that no late acknowledgement follows the reset below
+	l.control.endpoints.acknowledge(l.address, 0)
 	log.Warn("peer lost", "peer", l.address, "error", err)
 	return err
 }
 
-// receiveLoop takes receipts until the link fails, and then calls failed.
-func (l *peerLink) receiveLoop(stream wire.DRPCDirectory_LinkClient, failed func()) {
-	defer failed()
+// receiveLoop handles acknowledgements until the link fails, and then calls onFailure.
+func (l *peerLink) receiveLoop(stream wire.DRPCDirectory_LinkClient, onFailure func()) {
+	defer onFailure()
 	for {
 		frame, err := stream.Recv()
 		if err != nil {
 			return
 		}
 		if receipt := frame.GetReceipt(); receipt != nil {
-			l.control.endpoints.confirm(l.address, receipt.Number)
+			l.control.endpoints.acknowledge(l.address, receipt.Number)
 		}
 	}
 }
 
-// send sends reports when they change and at least every frameEvery, and
-// between them messages of the log, until the link or the context ends.
+// send sends reports after changes and at least every frameInterval, and in between messages
+// of the replicated log, until the link fails or the context is done.
 func (l *peerLink) send(ctx context.Context, stream wire.DRPCDirectory_LinkClient) error {
 	endpoints := l.control.endpoints
-	made, unsubscribe := endpoints.peers.made.subscribe()
+	appended, unsubscribe := endpoints.peerBatches.appended.subscribe()
 	defer unsubscribe()
-	ticker := time.NewTicker(frameEvery)
+	ticker := time.NewTicker(frameInterval)
 	defer ticker.Stop()
-	sent := endpoints.peers.upTo()
-	if err := stream.Send(pack(reportsFrame(endpoints.beatsAfter(0)), packFast)); err != nil {
+	sent := endpoints.peerBatches.lastRevision()
+	if err := stream.Send(compressFrame(reportsFrame(endpoints.peerChangesAfter(0)), compressFast)); err != nil {
 		return err
 	}
 	for {
-		if err := l.sendLog(ctx, stream, made, ticker.C); err != nil {
+		if err := l.sendUntilReportsDue(ctx, stream, appended, ticker.C); err != nil {
 			return err
 		}
-		told, number, ok := endpoints.peers.after(sent)
+		pending, revision, ok := endpoints.peerBatches.after(sent)
 		if !ok {
-			number = endpoints.peers.upTo()
-			told = batchOf(endpoints.beatsAfter(sent))
+			revision = endpoints.peerBatches.lastRevision()
+			pending = singleBatch(endpoints.peerChangesAfter(sent))
 		}
-		for _, each := range told {
+		for _, each := range pending {
 			if err := stream.Send(each.frame); err != nil {
 				return err
 			}
 		}
-		sent = number
+		sent = revision
 	}
 }
 
-// sendLog sends messages of the log and doubts until reports are due; each tick sends a
-// roster too, if it vouches for this instance.
-func (l *peerLink) sendLog(ctx context.Context, stream wire.DRPCDirectory_LinkClient, changed <-chan struct{}, tick <-chan time.Time) error {
+// sendUntilReportsDue sends log messages and suspicions until reports are due. On each tick
+// it also sends a roster, unless the current one is too old.
+func (l *peerLink) sendUntilReportsDue(ctx context.Context, stream wire.DRPCDirectory_LinkClient, reportsDue <-chan struct{}, tick <-chan time.Time) error {
 	for {
 		select {
 		case <-ctx.Done():
@@ -237,19 +240,19 @@
 			if err := stream.Send(&wire.Frame{Body: &wire.Frame_Log{Log: m}}); err != nil {
 				return err
 			}
-		case frame := <-l.doubts:
+		case frame := <-l.suspicions:
 			if err := stream.Send(frame); err != nil {
 				return err
 			}
-		case <-changed:
+		case <-reportsDue:
 			return nil
 		case <-tick:
-			roster := l.control.roster.Load().vouched(l.control.config.Now())
+			roster := l.control.roster.Load().fresh(l.control.config.Now())
 			if roster == nil {
 				return nil
 			}
-			l.rosters++
-			return stream.Send(&wire.Frame{Body: &wire.Frame_Roster{Roster: rosterFor(roster, l.rosters)}})
+			l.rostersSent++
+			return stream.Send(&wire.Frame{Body: &wire.Frame_Roster{Roster: rosterToSend(roster, l.rostersSent)}})
 		}
 	}
 }
--- a/internal/node/peers_test.go
+++ b/internal/node/peers_test.go
@@ -7,25 +7,25 @@
 	. "github.com/onsi/gomega"
 )
 
-var _ = ginkgo.Describe("the rosters that control instances tell each other", func() {
-	ginkgo.It("name all of them at first and often enough, and otherwise the sender alone", func() {
+var _ = ginkgo.Describe("the rosters that control instances send to each other", func() {
+	ginkgo.It("list all instances at first and periodically, and otherwise only the sender", func() {
 		all := rosterOf("a:1", "b:1", "c:1")
-		whole := 0
-		for n := 1; n <= 4*wholeRosterEach; n++ {
-			told := rosterFor(all, n)
-			Expect(told.Instances[0].Address).To(Equal("a:1"))
-			if len(told.Instances) == len(all.Instances) {
-				whole++
+		complete := 0
+		for n := 1; n <= 4*fullRosterPeriod; n++ {
+			roster := rosterToSend(all, n)
+			Expect(roster.Instances[0].Address).To(Equal("a:1"))
+			if len(roster.Instances) == len(all.Instances) {
+				complete++
 			} else {
-				Expect(told.Instances).To(HaveLen(1))
+				Expect(roster.Instances).To(HaveLen(1))
 			}
 		}
-		Expect(rosterFor(all, 1).Instances).To(HaveLen(3))
-		Expect(whole).To(Equal(4))
-		Expect(wholeRosterEach*frameEvery).To(BeNumerically("<=", time.Second), "within the time in which a voter must be heard of")
+		Expect(rosterToSend(all, 1).Instances).To(HaveLen(3))
+		Expect(complete).To(Equal(4))
+		Expect(fullRosterPeriod*frameInterval).To(BeNumerically("<=", time.Second), "a voter must be listed within a second")
 	})
 
-	ginkgo.It("may name nobody while the disk fails", func() {
-		Expect(rosterFor(rosterOf(), 2).Instances).To(BeEmpty())
+	ginkgo.It("may be empty while the disk has failed", func() {
+		Expect(rosterToSend(rosterOf(), 2).Instances).To(BeEmpty())
 	})
 })
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -7,31 +7,30 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// vouchFor is how long after the loop made it a roster tells the others that
-// this instance is alive: five times as long as until the next one is sent. A
-// loop that waits for its disk, or has none, makes no new one, so that others
-// take the instance for silent and give its vote to another one.
-const vouchFor = 5 * frameEvery
+// maxRosterAge is the age up to which a roster is sent to peers as proof that this instance
+// is alive: five times the interval between rosters. While the loop waits for its disk, or
+// has none, it makes no new roster, so that peers consider the instance silent and replace it
+// as a voter.
+const maxRosterAge = 5 * frameInterval
 
 type (
-	// madeRoster is a roster with when the loop made it.
-	madeRoster struct {
+	// timedRoster is a roster with the time at which the loop made it.
+	timedRoster struct {
 		roster *wire.Roster
 		at     time.Time
 	}
 
-	// madeStatus is what the loop believed, and when.
-	madeStatus struct {
+	// timedStatus is a status with the time at which the loop made it.
+	timedStatus struct {
 		status directory.Status
 		at     time.Time
 	}
 )
 
-// vouched returns the roster for other control instances, nil where it is too
-// old to vouch for this one.
-func (m *madeRoster) vouched(now time.Time) *wire.Roster {
-	if now.Sub(m.at) > vouchFor {
+// fresh returns the roster, nil if it is older than maxRosterAge.
+func (r *timedRoster) fresh(now time.Time) *wire.Roster {
+	if now.Sub(r.at) > maxRosterAge {
 		return nil
 	}
-	return m.roster
+	return r.roster
 }
--- a/internal/node/timings.go
+++ b/internal/node/timings.go
@@ -7,23 +7,23 @@
 	"oxbowsaddle/internal/telemetry"
 )
 
-// timeOneIn is how many packets come on each decision whose time is taken: two
-// looks at the clock cost about as much as the decision.
-const timeOneIn = 16
+// decisionSampleInterval is the number of packets per timed decision: reading the clock twice
+// costs about as much as a decision.
+const decisionSampleInterval = 16
 
 type (
-	// entryTimings is what an entry measures of itself.
+	// entryTimings holds the timings of an entry.
 	entryTimings struct {
-		decision *telemetry.Timing // of a packet, one in timeOneIn
-		lag      *telemetry.Timing // from the offer of a document to when it is in force
+		decision *telemetry.Timing // of one in decisionSampleInterval packets
+		lag      *telemetry.Timing // from the offer of a document until it is in force
 	}
 
-	// controlTimings is what a control instance measures of itself.
+	// controlTimings holds the timings of a control instance.
 	controlTimings struct {
-		order      *telemetry.Timing // from an order to its acknowledgement here
-		evacuation *telemetry.Timing // the same for an order about an evacuation
-		leaving    *telemetry.Timing // from a leave to its acknowledgement here
-		sync       *telemetry.Timing // of a batch of the log
+		order      *telemetry.Timing // from receiving a document to its acknowledgement
+		evacuation *telemetry.Timing // from receiving an evacuation order to its acknowledgement
+		leave      *telemetry.Timing // from receiving a leave to its acknowledgement
+		sync       *telemetry.Timing // of writing a batch of the log
 	}
 )
 
@@ -38,7 +38,7 @@
 	return controlTimings{
 		order:      telemetry.NewTiming("oxbowsaddle_order_seconds"),
 		evacuation: telemetry.NewTiming("oxbowsaddle_evacuation_seconds"),
-		leaving:    telemetry.NewTiming("oxbowsaddle_leave_seconds"),
+		leave:      telemetry.NewTiming("oxbowsaddle_leave_seconds"),
 		sync:       telemetry.NewTiming("oxbowsaddle_sync_seconds"),
 	}
 }
@@ -51,14 +51,14 @@
 func (t controlTimings) writeText(w io.Writer) {
 	t.order.WriteText(w)
 	t.evacuation.WriteText(w)
-	t.leaving.WriteText(w)
+	t.leave.WriteText(w)
 	t.sync.WriteText(w)
 }
 
-// observeSince adds the time since began if it went well: what fails is counted
-// by its callers.
-func observeSince(t *telemetry.Timing, now func() time.Time, began time.Time, err error) {
+// observeSince records the time since start, unless err is set: callers count failures
+// themselves.
+func observeSince(t *telemetry.Timing, now func() time.Time, start time.Time, err error) {
 	if err == nil {
-		t.Observe(now().Sub(began))
+		t.Observe(now().Sub(start))
 	}
 }
