--- a/internal/cmd/cmd_platform.go
+++ b/internal/cmd/cmd_platform.go
@@ -75,7 +75,7 @@
 		Name: s.Name, Domain: s.Domain, PacketAddr: s.Packets, OperatorAddr: s.Operators, Seeds: s.Seeds,
 		ToleratedLosses: s.Losses, MaxFlowAge: s.MaxFlow, GracePeriod: s.Grace, HeartbeatInterval: s.Beat,
 		Codec: node.Codec{Decode: platform.DecodePacket, Forward: platform.ForwardPacket, Reset: platform.ResetPacket},
-		Dial:  node.DialTCP, Probe: node.ProbeTCP, Log: p.log, Now: node.SteadyClock(),
+		Dial:  node.DialTCP, Probe: node.ProbeTCP, Log: p.log, Now: node.MonotonicClock(),
 	})
 	group, running := errgroup.WithContext(context.WithoutCancel(ctx))
 	running, end := context.WithCancel(running)
@@ -113,9 +113,9 @@
 	}
 	const perLoss = 2 // so many voters more for each lost instance, and one
 	control := node.NewControl(node.ControlConfig{
-		Domain: s.Domain, Domains: s.Domains, Peer: s.Peer, Front: s.Control.String(), Seeds: s.Seeds, First: s.First,
-		Files:  func() (storage.Files, error) { return storage.Folder(s.Data) },
-		Voters: perLoss*s.Losses + 1, Beat: s.Beat, Dial: node.DialTCP, Log: p.log, Now: node.SteadyClock(),
+		Domain: s.Domain, Domains: s.Domains, PeerAddr: s.Peer, Front: s.Control.String(), Seeds: s.Seeds, FirstStart: s.First,
+		OpenFiles: func() (storage.Files, error) { return storage.Folder(s.Data) },
+		Voters:    perLoss*s.Losses + 1, HeartbeatInterval: s.Beat, Dial: node.DialTCP, Log: p.log, Now: node.MonotonicClock(),
 	})
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return control.Run(ctx) })
--- a/internal/node/announcements.go
+++ b/internal/node/announcements.go
@@ -80,13 +80,13 @@
 // announceLoop sends announcements to entries that have no link to this instance, until
 // the context is done. Without a socket the instance runs on without announcements.
 func (c *Control) announceLoop(ctx context.Context) error {
-	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(c.config.Peer.Addr(), 0)))
+	conn, err := net.ListenUDP("udp4", net.UDPAddrFromAddrPort(netip.AddrPortFrom(c.config.PeerAddr.Addr(), 0)))
 	if err != nil {
 		c.config.Log.Error("cannot announce to entries", "error", err)
 		return nil
 	}
 	defer func() { _ = conn.Close() }()
-	datagram, err := proto.Marshal(&wire.ControlInstance{Address: c.config.Peer.String(), Domain: c.config.Domain})
+	datagram, err := proto.Marshal(&wire.ControlInstance{Address: c.config.PeerAddr.String(), Domain: c.config.Domain})
 	if err != nil {
 		return err
 	}
--- a/internal/node/announcements_test.go
+++ b/internal/node/announcements_test.go
@@ -24,7 +24,7 @@
 func startEntry(operators netip.AddrPort, seeds ...netip.AddrPort) (e *Entry, stop func()) {
 	e = NewEntry(EntryConfig{
 		Name: "edge-1", Domain: "d0", PacketAddr: netip.AddrPortFrom(operators.Addr(), operators.Port()+1), OperatorAddr: operators, Seeds: seeds,
-		MaxFlowAge: time.Minute, HeartbeatInterval: time.Second, Dial: DialTCP, Log: log.New(io.Discard), Now: SteadyClock(),
+		MaxFlowAge: time.Minute, HeartbeatInterval: time.Second, Dial: DialTCP, Log: log.New(io.Discard), Now: MonotonicClock(),
 		Codec: Codec{Decode: func([]byte) (steer.Packet, bool) { return steer.Packet{}, false }},
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -51,7 +51,7 @@
 	deadSeed := netip.MustParseAddrPort(unreachableAddr(9))
 
 	ginkgo.It("is announced to by a restarted control instance, from the hints on its disk", func() {
-		_, stopFirst := startEntry(operators, fleet[0].config.Peer)
+		_, stopFirst := startEntry(operators, fleet[0].config.PeerAddr)
 		Eventually(func() []string { return savedEntries(fleet[0]) }, settleTimeout).Should(ConsistOf(operators.String()))
 		stopFirst()
 		fleet[0].stop()
@@ -63,7 +63,7 @@
 	})
 
 	ginkgo.It("is announced to by a control instance that it was linked to before its own restart", func() {
-		_, stopFirst := startEntry(operators, fleet[0].config.Peer)
+		_, stopFirst := startEntry(operators, fleet[0].config.PeerAddr)
 		Eventually(fleet[0].entries.count, settleTimeout).Should(Equal(1))
 		stopFirst()
 		entry, stopEntry := startEntry(operators, deadSeed)
@@ -75,7 +75,7 @@
 // savedEntries returns the entry addresses in the hints of an instance.
 func savedEntries(r *runningControl) []string {
 	hints := &wire.Hints{}
-	files, err := r.config.Files()
+	files, err := r.config.OpenFiles()
 	if err == nil {
 		_, err = storage.LoadMessage(files, hintsFile, hints)
 	}
--- a/internal/node/blackhole_test.go
+++ b/internal/node/blackhole_test.go
@@ -98,7 +98,7 @@
 func startFleetEntry(fleet controlFleet, name string, dial Dialer) *Entry {
 	e := NewEntry(EntryConfig{
 		Name: name, Domain: "d0", PacketAddr: netip.MustParseAddrPort("127.0.0.1:0"), Seeds: fleet[0].config.Seeds, MaxFlowAge: time.Minute,
-		HeartbeatInterval: time.Second, Dial: dial, Probe: ProbeTCP, Log: log.New(io.Discard), Now: SteadyClock(),
+		HeartbeatInterval: time.Second, Dial: dial, Probe: ProbeTCP, Log: log.New(io.Discard), Now: MonotonicClock(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	ginkgo.DeferCleanup(cancel)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -27,18 +27,18 @@
 	ControlConfig struct {
 		Domain string
 		// Domains are all existing failure domains; nil if unknown.
-		Domains []string
-		Peer    netip.AddrPort   // listens for links of entries and peers
-		Front   string           // address for operators and endpoints
-		Seeds   []netip.AddrPort // peer addresses of other control instances
-		First   bool             // the whole fleet starts for the first time
-		// Files opens the data folder.
-		Files  func() (storage.Files, error)
-		Voters int           // number of voters to maintain
-		Beat   time.Duration // heartbeat interval of endpoints
-		Log    *log.Logger
-		Dial   Dialer // DialTCP outside tests
-		Now    func() time.Time
+		Domains    []string
+		PeerAddr   netip.AddrPort   // listens for links of entries and peers
+		Front      string           // address for operators and endpoints
+		Seeds      []netip.AddrPort // peer addresses of other control instances
+		FirstStart bool             // the whole fleet starts for the first time
+		// OpenFiles opens the data folder.
+		OpenFiles         func() (storage.Files, error)
+		Voters            int           // number of voters to maintain
+		HeartbeatInterval time.Duration // heartbeat interval of endpoints
+		Log               *log.Logger
+		Dial              Dialer // DialTCP outside tests
+		Now               func() time.Time
 	}
 
 	// Control is a running control instance.
@@ -92,7 +92,7 @@
 // Run serves until the context is done. It returns an error of kind AddressInUse if it cannot
 // listen on the peer address.
 func (c *Control) Run(ctx context.Context) error {
-	links, err := newLinkServer(c.config.Peer.String(), &linkHandler{control: c}, &controlAPI{control: c})
+	links, err := newLinkServer(c.config.PeerAddr.String(), &linkHandler{control: c}, &controlAPI{control: c})
 	if err != nil {
 		return err
 	}
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -20,7 +20,7 @@
 // tick calls it again later.
 func (c *Control) openDisk(now time.Time) {
 	c.reopenAt = now.Add(reopenDelay)
-	files, err := c.config.Files()
+	files, err := c.config.OpenFiles()
 	if err != nil {
 		c.config.Log.Error("cannot open data folder", "error", err)
 		return
@@ -39,7 +39,7 @@
 		return
 	}
 	d, err := directory.New(directory.Config{
-		Self: identity.Id, Address: c.config.Peer.String(), Front: c.config.Front, Domain: c.config.Domain,
+		Self: identity.Id, Address: c.config.PeerAddr.String(), Front: c.config.Front, Domain: c.config.Domain,
 		Founders: identity.Founders, Voters: c.config.Voters, Committed: c.loadHints(files).Commit,
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}, now, loaded)
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -28,7 +28,7 @@
 func newEndpointList(c ControlConfig) *endpointList {
 	changeLog := newEndpointLog(c.Log)
 	l := &endpointList{
-		now: c.Now, registry: registry.New(registry.Config{HeartbeatPeriod: c.Beat, OnChange: changeLog.logChange}, c.Now()), acknowledged: map[string]uint64{},
+		now: c.Now, registry: registry.New(registry.Config{HeartbeatPeriod: c.HeartbeatInterval, OnChange: changeLog.logChange}, c.Now()), acknowledged: map[string]uint64{},
 	}
 	l.fullBatches = &batchLog{delay: fullBatchDelay, changes: &l.changes, collect: l.changesAfter, isEmpty: nothingForEntry}
 	l.summaryBatches = &batchLog{delay: summaryBatchDelay, changes: &l.changes, collect: l.changeSummaryAfter, isEmpty: nothingForEntry}
--- a/internal/node/endpoints_test.go
+++ b/internal/node/endpoints_test.go
@@ -18,7 +18,7 @@
 	var list *endpointList
 	others := []string{"b", "c"}
 	ginkgo.BeforeEach(func() {
-		list = newEndpointList(ControlConfig{Beat: time.Second, Log: log.New(io.Discard), Now: SteadyClock()})
+		list = newEndpointList(ControlConfig{HeartbeatInterval: time.Second, Log: log.New(io.Discard), Now: MonotonicClock()})
 	})
 	change := func() (number uint64) {
 		list.update(func(now time.Time, r *registry.Registry) {
@@ -78,7 +78,7 @@
 	ginkgo.It("marks no endpoints as silent because of a pause of the process, only those still silent afterwards", func() {
 		const beat = time.Second
 		now := time.Unix(1000, 0)
-		l := newEndpointList(ControlConfig{Beat: beat, Log: log.New(io.Discard), Now: func() time.Time { return now }})
+		l := newEndpointList(ControlConfig{HeartbeatInterval: beat, Log: log.New(io.Discard), Now: func() time.Time { return now }})
 		for n := range 100 {
 			l.heartbeat(benchEndpoint(n))
 		}
@@ -109,7 +109,7 @@
 
 	ginkgo.It("limits the log lines about endpoints and counts the dropped ones", func() {
 		var out bytes.Buffer
-		l := newEndpointList(ControlConfig{Beat: time.Second, Log: log.New(&out), Now: SteadyClock()})
+		l := newEndpointList(ControlConfig{HeartbeatInterval: time.Second, Log: log.New(&out), Now: MonotonicClock()})
 		for n := range 5 * endpointLogBurst {
 			l.heartbeat(benchEndpoint(n))
 		}
--- a/internal/node/evacuate_test.go
+++ b/internal/node/evacuate_test.go
@@ -97,7 +97,7 @@
 			r, err := answers.Evacuate(context.Background(), &wire.EvacuateRequest{Domain: "d0"})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(r.Kind).To(Equal(fault.NotCurrent.Name()))
-			Expect(r.Elsewhere).To(Equal(fleet.leader().config.Peer.String()))
+			Expect(r.Elsewhere).To(Equal(fleet.leader().config.PeerAddr.String()))
 			Eventually(entry.primaryAddress, settleTimeout).ShouldNot(BeEmpty())
 		})
 	})
@@ -107,7 +107,7 @@
 		var control *Control
 		ginkgo.BeforeEach(func() {
 			now = time.Unix(5000, 0)
-			control = NewControl(ControlConfig{Log: log.New(io.Discard), Now: func() time.Time { return now }, Beat: time.Second})
+			control = NewControl(ControlConfig{Log: log.New(io.Discard), Now: func() time.Time { return now }, HeartbeatInterval: time.Second})
 		})
 
 		ginkgo.It("is rejected for a while after a stall", func() {
@@ -124,7 +124,7 @@
 	ginkgo.Context("on the link to an entry", func() {
 		var entry *Entry
 		ginkgo.BeforeEach(func() {
-			entry = NewEntry(EntryConfig{Name: "e1", Log: log.New(io.Discard), Now: SteadyClock()})
+			entry = NewEntry(EntryConfig{Name: "e1", Log: log.New(io.Discard), Now: MonotonicClock()})
 		})
 		frame := func(version, revision uint64, domains ...string) *wire.DocumentFrame {
 			doc, faults := document.New(document.Config{Version: version})
--- a/internal/node/feed_test.go
+++ b/internal/node/feed_test.go
@@ -18,7 +18,7 @@
 	endpoint := registry.Endpoint{ID: "i-1", Addr: netip.MustParseAddrPort("10.0.0.1:80"), Sequence: 1}
 	var control *Control
 	ginkgo.BeforeEach(func() {
-		control = NewControl(ControlConfig{Beat: time.Second, Log: log.New(io.Discard), Now: SteadyClock()})
+		control = NewControl(ControlConfig{HeartbeatInterval: time.Second, Log: log.New(io.Discard), Now: MonotonicClock()})
 		control.endpoints.heartbeat(endpoint)
 	})
 
--- a/internal/node/fleet_bench_test.go
+++ b/internal/node/fleet_bench_test.go
@@ -53,9 +53,9 @@
 	folder := b.TempDir()
 	peer := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, byte(1 + os.Getpid()%250), subnet, 1}), 17740)
 	control := NewControl(ControlConfig{
-		Domain: "d0", Peer: peer, Front: "front", Seeds: []netip.AddrPort{peer}, First: true, Voters: 1, Beat: 2 * time.Second,
-		Files: func() (storage.Files, error) { return storage.Folder(folder) },
-		Dial:  DialTCP, Log: log.New(io.Discard), Now: SteadyClock(),
+		Domain: "d0", PeerAddr: peer, Front: "front", Seeds: []netip.AddrPort{peer}, FirstStart: true, Voters: 1, HeartbeatInterval: 2 * time.Second,
+		OpenFiles: func() (storage.Files, error) { return storage.Folder(folder) },
+		Dial:      DialTCP, Log: log.New(io.Discard), Now: MonotonicClock(),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
--- a/internal/node/fleet_test.go
+++ b/internal/node/fleet_test.go
@@ -50,9 +50,9 @@
 
 // replaceDisk replaces the disk by an empty one in folder.
 func (r *runningControl) replaceDisk(folder string) {
-	r.config.First = false
+	r.config.FirstStart = false
 	r.disk = storagetest.NewFailing(func() (storage.Files, error) { return storage.Folder(folder) })
-	r.config.Files = r.disk.Files
+	r.config.OpenFiles = r.disk.Files
 }
 
 // startFleet starts n control instances, each on its own loopback address.
@@ -71,11 +71,11 @@
 			seeds = append(seeds, peer)
 		}
 		r := &runningControl{config: ControlConfig{
-			Domain: fmt.Sprint("d", i%3), Peer: peer, Front: fmt.Sprint("front-", i), Voters: voters,
-			Beat: time.Second, Dial: dial, Log: logger, Now: SteadyClock(),
+			Domain: fmt.Sprint("d", i%3), PeerAddr: peer, Front: fmt.Sprint("front-", i), Voters: voters,
+			HeartbeatInterval: time.Second, Dial: dial, Log: logger, Now: MonotonicClock(),
 		}}
 		r.replaceDisk(tempDir())
-		r.config.First = true
+		r.config.FirstStart = true
 		all = append(all, r)
 	}
 	for _, r := range all {
--- a/internal/node/hints.go
+++ b/internal/node/hints.go
@@ -76,7 +76,7 @@
 
 // saveHints replaces the hints file durably.
 func (c *Control) saveHints(hints *wire.Hints) error {
-	files, err := c.config.Files()
+	files, err := c.config.OpenFiles()
 	if err != nil {
 		return err
 	}
--- a/internal/node/identity.go
+++ b/internal/node/identity.go
@@ -28,14 +28,14 @@
 // newIdentity returns the identity of a founder for a seed at the first start of the whole
 // fleet, and otherwise an id that has never been used.
 func newIdentity(c ControlConfig) *wire.Identity {
-	address := c.Peer.String()
+	address := c.PeerAddr.String()
 	var founders []string
 	isSeed := false
 	for _, seed := range c.Seeds {
 		founders = append(founders, seed.String())
-		isSeed = isSeed || seed == c.Peer
+		isSeed = isSeed || seed == c.PeerAddr
 	}
-	if c.First && isSeed {
+	if c.FirstStart && isSeed {
 		return &wire.Identity{Id: address, Founders: founders}
 	}
 	return &wire.Identity{Id: fmt.Sprintf("%s#%08x", address, rand.Uint32())}
--- a/internal/node/initiallist_bench_test.go
+++ b/internal/node/initiallist_bench_test.go
@@ -39,7 +39,7 @@
 			all.Add(1)
 			go func() {
 				defer all.Done()
-				frame := requestInitialList(b, f[0].config.Peer.String())
+				frame := requestInitialList(b, f[0].config.PeerAddr.String())
 				if n := len(frame.GetPacked()); n > 0 {
 					size = n
 				}
--- a/internal/node/initiallist_test.go
+++ b/internal/node/initiallist_test.go
@@ -40,7 +40,7 @@
 	}
 	ginkgo.BeforeEach(func() {
 		now = time.Unix(1000, 0)
-		control = NewControl(ControlConfig{Beat: time.Second, Log: log.New(io.Discard), Now: func() time.Time { return now }})
+		control = NewControl(ControlConfig{HeartbeatInterval: time.Second, Log: log.New(io.Discard), Now: func() time.Time { return now }})
 		control.endpoints.heartbeat(endpoint(1))
 	})
 	// newFeed returns the feed of an entry that has just subscribed with the given digest,
@@ -74,7 +74,7 @@
 	})
 
 	ginkgo.It("is not reused while it is empty", func() {
-		control = NewControl(ControlConfig{Beat: time.Second, Log: log.New(io.Discard), Now: func() time.Time { return now }})
+		control = NewControl(ControlConfig{HeartbeatInterval: time.Second, Log: log.New(io.Discard), Now: func() time.Time { return now }})
 		newFeed(registry.Digest{})
 		control.endpoints.heartbeat(endpoint(1))
 		_, stream := newFeed(registry.Digest{})
--- a/internal/node/linkmanager_test.go
+++ b/internal/node/linkmanager_test.go
@@ -43,7 +43,7 @@
 }
 
 // unlinkedEntry returns an entry that is not running, with two seeds that never answer.
-func unlinkedEntry(ctx context.Context) *Entry { return unlinkedEntryWithClock(ctx, SteadyClock()) }
+func unlinkedEntry(ctx context.Context) *Entry { return unlinkedEntryWithClock(ctx, MonotonicClock()) }
 
 // unlinkedEntryWithClock is unlinkedEntry with the given clock.
 func unlinkedEntryWithClock(ctx context.Context, now func() time.Time) *Entry {
--- a/internal/node/node.go
+++ b/internal/node/node.go
@@ -10,9 +10,9 @@
 // equals the zero value.
 const monotonicOrigin = time.Hour
 
-// SteadyClock returns a clock that is unaffected by changes of the wall clock. Its readings
+// MonotonicClock returns a clock that is unaffected by changes of the wall clock. Its readings
 // are meaningful only within this process.
-func SteadyClock() func() time.Time {
+func MonotonicClock() func() time.Time {
 	start := time.Now()
 	return func() time.Time { return time.Unix(0, 0).Add(monotonicOrigin + time.Since(start)) }
 }
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -56,7 +56,7 @@
 	p.mu.Lock()
 	p.seeds = nil
 	for _, s := range seeds {
-		if s != p.control.config.Peer {
+		if s != p.control.config.PeerAddr {
 			p.seeds = append(p.seeds, s.String())
 		}
 	}
--- a/internal/node/probes_test.go
+++ b/internal/node/probes_test.go
@@ -22,7 +22,7 @@
 	ginkgo.BeforeEach(func() {
 		connectable.Store(false)
 		e = NewEntry(EntryConfig{
-			Log: log.New(io.Discard), Now: SteadyClock(), Dial: DialTCP,
+			Log: log.New(io.Discard), Now: MonotonicClock(), Dial: DialTCP,
 			Probe: func(context.Context, netip.AddrPort, time.Duration) bool { return connectable.Load() },
 		})
 	})
--- a/internal/node/suspicions_test.go
+++ b/internal/node/suspicions_test.go
@@ -46,7 +46,7 @@
 	})
 
 	ginkgo.It("do not block on an entry whose queue is full", func() {
-		l := newEntryList(SteadyClock())
+		l := newEntryList(MonotonicClock())
 		slow := newEntryFeed(nil, nil, &wire.Hello{Id: "slow"})
 		l.recordReceipt(slow, &wire.Receipt{Version: 1})
 		for range 2 * maxQueuedSuspicions {
