--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -35,7 +35,7 @@
 		// OpenFiles opens the data folder.
 		OpenFiles         func() (storage.Files, error)
 		Voters            int           // number of voters to maintain
-		HeartbeatInterval time.Duration // heartbeat interval of endpoints
+		HeartbeatInterval time.Duration // of endpoints
 		Log               *log.Logger
 		Dial              Dialer // DialTCP outside tests
 		Now               func() time.Time
