--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -49,15 +49,15 @@
 	}
 	kind := fault.KindOf(err)
 	var usage UsageError
-	if errors.As(err, &usage) || isUsage(err) {
+	if errors.As(err, &usage) || isUsageError(err) {
 		kind = fault.Usage
 	}
 	fmt.Fprintf(errOut, "oxbowsaddle: %s: %s\nnext: %s\n", kind.Name(), err, kind.Answer().NextStep())
 	return kind.Answer().ExitCode()
 }
 
-// isUsage reports whether the command line library itself refused the line.
-func isUsage(err error) bool {
+// isUsageError reports whether the command line library itself refused the line.
+func isUsageError(err error) bool {
 	return strings.HasPrefix(err.Error(), "unknown command") || strings.HasPrefix(err.Error(), "required flag")
 }
 
@@ -72,73 +72,73 @@
 	return root
 }
 
-// target is how a command reaches an instance.
-type target struct {
+// connection is how a command reaches an instance.
+type connection struct {
 	addr        string
 	certificate string
 	key         string
 	authority   string
 	output      string
-	wait        time.Duration // how much longer than callTimeout the call may take
+	extraTime   time.Duration // how much longer than callTimeout the call may take
 }
 
-func (t *target) flags(c *cobra.Command) {
-	c.Flags().StringVar(&t.addr, "addr", defaultTarget, "control address of any instance")
-	c.Flags().StringVar(&t.certificate, "certificate", "", "operator's certificate, for mutual TLS")
-	c.Flags().StringVar(&t.key, "key", "", "operator's key")
-	c.Flags().StringVar(&t.authority, "authority", "", "certificate of the authority")
-	c.Flags().StringVar(&t.output, "output", "text", "text or json")
+func (conn *connection) addFlags(c *cobra.Command) {
+	c.Flags().StringVar(&conn.addr, "addr", defaultTarget, "control address of any instance")
+	c.Flags().StringVar(&conn.certificate, "certificate", "", "operator's certificate, for mutual TLS")
+	c.Flags().StringVar(&conn.key, "key", "", "operator's key")
+	c.Flags().StringVar(&conn.authority, "authority", "", "certificate of the authority")
+	c.Flags().StringVar(&conn.output, "output", "text", "text or json")
 }
 
 // call connects to the instance and makes one call.
-func (t *target) call(ctx context.Context, f func(context.Context, wire.DRPCControlClient) error) error {
-	addr, err := netip.ParseAddrPort(t.addr)
+func (conn *connection) call(ctx context.Context, send func(context.Context, wire.DRPCControlClient) error) error {
+	addr, err := netip.ParseAddrPort(conn.addr)
 	if err != nil {
 		return UsageError{fmt.Errorf("--addr: %w", err)}
 	}
-	if t.output != "text" && t.output != "json" {
-		return UsageError{fmt.Errorf("--output is text or json, not %q", t.output)}
+	if conn.output != "text" && conn.output != "json" {
+		return UsageError{fmt.Errorf("--output is text or json, not %q", conn.output)}
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout+t.wait)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout+conn.extraTime)
 	defer cancel()
-	client, done, err := instance.Dial(ctx, addr, settings.TLS{Certificate: t.certificate, Key: t.key, Authority: t.authority})
+	client, closeConn, err := instance.Dial(ctx, addr, settings.TLS{Certificate: conn.certificate, Key: conn.key, Authority: conn.authority})
 	if err != nil {
 		return err
 	}
-	return errors.Join(f(ctx, client), done())
+	return errors.Join(send(ctx, client), closeConn())
 }
 
-// asking is one use of a command that asks an instance.
-type asking struct {
+// query is one use of a command that asks an instance.
+type query struct {
 	client wire.DRPCControlClient
 	args   []string
 	out    io.Writer
 	json   bool // a script reads the answer
 }
 
-// cmdAsk returns a command with n arguments that asks an instance.
-func cmdAsk(use, short string, n int, ask func(ctx context.Context, a asking) error) *cobra.Command {
-	var t target
+// newQueryCommand returns a command with n arguments that asks an instance.
+func newQueryCommand(use, short string, argCount int, run func(ctx context.Context, q query) error) *cobra.Command {
+	var conn connection
 	c := &cobra.Command{
-		Use: use, Short: short, Args: exactArgs(n),
+		Use: use, Short: short, Args: exactArgs(argCount),
 		RunE: func(c *cobra.Command, args []string) error {
-			return t.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
-				return ask(ctx, asking{client: client, args: args, out: c.OutOrStdout(), json: t.output == "json"})
+			return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
+				return run(ctx, query{client: client, args: args, out: c.OutOrStdout(), json: conn.output == "json"})
 			})
 		},
 	}
-	t.flags(c)
+	conn.addFlags(c)
 	return c
 }
 
-// askStatus asks an instance what it holds.
-func askStatus(ctx context.Context, client wire.DRPCControlClient, history bool) (*wire.StatusReply, error) {
+// getStatus asks an instance what it holds.
+func getStatus(ctx context.Context, client wire.DRPCControlClient, history bool) (*wire.StatusReply, error) {
 	s, err := client.Status(ctx, &wire.StatusRequest{History: history})
 	return s, fault.Wrap(fault.Unreachable, err)
 }
 
-// refusal returns the error of an answer that names its kind.
-func refusal(kind, detail string) error {
+// replyError returns the error of an answer that names its kind.
+func replyError(kind, detail string) error {
 	k, err := fault.FromName(kind)
 	if err != nil {
 		k = fault.Internal
--- a/internal/cmd/cmd_accept.go
+++ b/internal/cmd/cmd_accept.go
@@ -15,21 +15,21 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// change holds the flags of commands that offer a change.
-type change struct {
-	target
+// changeFlags holds the flags of commands that offer a changeFlags.
+type changeFlags struct {
+	connection
 	id      string
 	base    uint64
 	confirm bool
 	author  string
 }
 
-func (a *change) flags(c *cobra.Command) {
-	a.target.flags(c)
-	c.Flags().StringVar(&a.id, "id", "", "change id; made and printed where none is given, so that it can be resent")
-	c.Flags().Uint64Var(&a.base, "base", 0, "revision that the change is based on; 0 takes the present one")
-	c.Flags().BoolVar(&a.confirm, "confirm", false, "confirm a change that leaves a service without endpoints")
-	c.Flags().StringVar(&a.author, "author", "", "who makes the change; your user name where empty")
+func (f *changeFlags) addFlags(c *cobra.Command) {
+	f.connection.addFlags(c)
+	c.Flags().StringVar(&f.id, "id", "", "change id; made and printed where none is given, so that it can be resent")
+	c.Flags().Uint64Var(&f.base, "base", 0, "revision that the change is based on; 0 takes the present one")
+	c.Flags().BoolVar(&f.confirm, "confirm", false, "confirm a change that leaves a service without endpoints")
+	c.Flags().StringVar(&f.author, "author", "", "who makes the change; your user name where empty")
 }
 
 func defaultAuthor() string {
@@ -41,7 +41,7 @@
 
 // cmdAccept has a configuration file accepted.
 func cmdAccept() *cobra.Command {
-	var a change
+	var flags changeFlags
 	c := &cobra.Command{
 		Use: "accept FILE", Short: "have a configuration accepted: durable on a majority, then in force everywhere",
 		Long: "Offers every object of the file as one change. The answers: accepted; already accepted (the same id);\n" +
@@ -53,10 +53,10 @@
 			if err != nil {
 				return err
 			}
-			return a.offer(c.Context(), c.OutOrStdout(), objects)
+			return flags.submit(c.Context(), c.OutOrStdout(), objects)
 		},
 	}
-	a.flags(c)
+	flags.addFlags(c)
 	return c
 }
 
@@ -76,38 +76,38 @@
 	return objects, nil
 }
 
-// offer sends the change and prints its answer.
-func (a *change) offer(ctx context.Context, out io.Writer, objects []*wire.Object) error {
-	if a.id == "" {
-		a.id = rand.Text()
+// submit sends the change and prints its answer.
+func (f *changeFlags) submit(ctx context.Context, out io.Writer, objects []*wire.Object) error {
+	if f.id == "" {
+		f.id = rand.Text()
 	}
-	if a.author == "" {
-		a.author = defaultAuthor()
+	if f.author == "" {
+		f.author = defaultAuthor()
 	}
-	return a.call(ctx, func(ctx context.Context, client wire.DRPCControlClient) error {
-		base := a.base
+	return f.call(ctx, func(ctx context.Context, client wire.DRPCControlClient) error {
+		base := f.base
 		if base == 0 {
-			s, err := askStatus(ctx, client, false)
+			s, err := getStatus(ctx, client, false)
 			if err != nil {
 				return err
 			}
 			base = s.Revision
 		}
-		reply, err := client.Submit(ctx, &wire.Change{Id: a.id, Author: a.author, Base: base, Confirmed: a.confirm, Objects: objects})
+		reply, err := client.Submit(ctx, &wire.Change{Id: f.id, Author: f.author, Base: base, Confirmed: f.confirm, Objects: objects})
 		if err != nil {
-			return fault.Wrap(fault.NoQuorum, fmt.Errorf("change id %s: %w", a.id, err))
+			return fault.Wrap(fault.NoQuorum, fmt.Errorf("change id %s: %w", f.id, err))
 		}
-		return a.print(out, reply)
+		return f.printReply(out, reply)
 	})
 }
 
-func (a *change) print(out io.Writer, r *wire.SubmitReply) error {
-	if a.output == "json" {
-		if err := PrintJSON(out, map[string]any{"id": a.id, "answer": r.Kind, "revision": r.Revision, "detail": r.Detail, "faults": r.Faults}); err != nil {
+func (f *changeFlags) printReply(out io.Writer, r *wire.SubmitReply) error {
+	if f.output == "json" {
+		if err := PrintJSON(out, map[string]any{"id": f.id, "answer": r.Kind, "revision": r.Revision, "detail": r.Detail, "faults": r.Faults}); err != nil {
 			return err
 		}
 	} else {
-		fmt.Fprintf(out, "change id %s: %s", a.id, r.Kind)
+		fmt.Fprintf(out, "change id %s: %s", f.id, r.Kind)
 		if r.Revision > 0 {
 			fmt.Fprintf(out, ", revision %d", r.Revision)
 		}
@@ -119,5 +119,5 @@
 	if r.Kind == "accepted" || r.Kind == "already accepted" {
 		return nil
 	}
-	return refusal(r.Kind, r.Detail)
+	return replyError(r.Kind, r.Detail)
 }
--- a/internal/cmd/cmd_control.go
+++ b/internal/cmd/cmd_control.go
@@ -17,25 +17,25 @@
 		Long: "To replace a lost one: start the new instance with an empty data folder, add it, and remove the lost one.",
 	}
 	c.AddCommand(
-		cmdVoters("list", "list the control instances", 0, func([]string) *wire.VotersRequest { return &wire.VotersRequest{} }),
-		cmdVoters("add NAME", "add an instance that the settings name with a data folder", 1, func(args []string) *wire.VotersRequest {
+		newVotersCommand("list", "list the control instances", 0, func([]string) *wire.VotersRequest { return &wire.VotersRequest{} }),
+		newVotersCommand("add NAME", "add an instance that the settings name with a data folder", 1, func(args []string) *wire.VotersRequest {
 			return &wire.VotersRequest{Add: args[0]}
 		}),
-		cmdVoters("remove NAME", "remove a control instance", 1, func(args []string) *wire.VotersRequest {
+		newVotersCommand("remove NAME", "remove a control instance", 1, func(args []string) *wire.VotersRequest {
 			return &wire.VotersRequest{Remove: args[0]}
 		}),
 	)
 	return c
 }
 
-func cmdVoters(use, short string, n int, request func([]string) *wire.VotersRequest) *cobra.Command {
-	return cmdAsk(use, short, n, func(ctx context.Context, a asking) error {
+func newVotersCommand(use, short string, n int, request func([]string) *wire.VotersRequest) *cobra.Command {
+	return newQueryCommand(use, short, n, func(ctx context.Context, a query) error {
 		r, err := a.client.Voters(ctx, request(a.args))
 		if err != nil {
 			return fault.Wrap(fault.Unreachable, err)
 		}
 		if r.Kind != "accepted" {
-			return refusal(r.Kind, r.Detail)
+			return replyError(r.Kind, r.Detail)
 		}
 		if a.json {
 			return PrintJSON(a.out, r.Voters)
--- a/internal/cmd/cmd_demo.go
+++ b/internal/cmd/cmd_demo.go
@@ -27,11 +27,11 @@
 		Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if slices.Contains(config.Events, "all") {
-				config.Events = demo.KnownEvents()
+				config.Events = demo.EventNames()
 			}
 			for _, e := range config.Events {
-				if !slices.Contains(demo.KnownEvents(), e) {
-					return UsageError{fmt.Errorf("--events: %q is none of %v", e, demo.KnownEvents())}
+				if !slices.Contains(demo.EventNames(), e) {
+					return UsageError{fmt.Errorf("--events: %q is none of %v", e, demo.EventNames())}
 				}
 			}
 			if config.Placement != "" && config.Placement != instance.PlacementModulo {
@@ -48,9 +48,9 @@
 			return runDemos(c, config, folder, runs)
 		},
 	}
-	c.Flags().StringVar(&config.User, "template", "visa", "visa or qasr")
+	c.Flags().StringVar(&config.Example, "template", "visa", "visa or qasr")
 	c.Flags().Uint64Var(&config.Seed, "seed", 1, "seed of the fabric and of the events")
-	c.Flags().DurationVar(&config.For, "for", 18*time.Second, "how long traffic flows")
+	c.Flags().DurationVar(&config.Duration, "for", 18*time.Second, "how long traffic flows")
 	c.Flags().StringSliceVar(&config.Events, "events", []string{"drain", "join", "kill"}, "drain, join, kill, restart, cut or all")
 	c.Flags().StringVar(&config.Placement, "placement", "", "run a baseline instead: modulo")
 	c.Flags().BoolVar(&compare, "compare", false, "run the project's own placement and the baseline, one after the other")
@@ -62,26 +62,26 @@
 func runDemos(c *cobra.Command, config demo.Config, folder string, placements []string) error {
 	var reports []demo.Report
 	for _, placement := range placements {
-		config.Placement, config.Folder = placement, folder
+		config.Placement, config.DataDir = placement, folder
 		if folder == "" {
 			temporary, err := os.MkdirTemp("", "oxbowsaddle-demo-")
 			if err != nil {
 				return err
 			}
 			defer func() { _ = os.RemoveAll(temporary) }()
-			config.Folder = temporary
+			config.DataDir = temporary
 		}
-		r, err := demo.Run(c.Context(), config)
+		report, err := demo.Run(c.Context(), config)
 		if err != nil {
 			return err
 		}
-		reports = append(reports, r)
+		reports = append(reports, report)
 	}
 	var broken error
 	for _, r := range reports {
-		r.Table(c.OutOrStdout())
+		r.WriteTable(c.OutOrStdout())
 		if r.Placement != instance.PlacementModulo {
-			broken = errors.Join(broken, r.Check())
+			broken = errors.Join(broken, r.Err())
 		}
 	}
 	for _, r := range reports {
--- a/internal/cmd/cmd_entry.go
+++ b/internal/cmd/cmd_entry.go
@@ -30,11 +30,11 @@
 			if err != nil {
 				return err
 			}
-			i, err := instance.New(instance.Config{Settings: s, Name: name, Log: logger, Now: time.Now})
+			inst, err := instance.New(instance.Config{Settings: s, Name: name, Log: logger, Now: time.Now})
 			if err != nil {
 				return err
 			}
-			return runUntilStopped(c.Context(), i, s.Times.StopTimeout.Std())
+			return runUntilStopped(c.Context(), inst, s.Times.StopTimeout.Std())
 		},
 	}
 	c.Flags().StringVar(&file, "settings", "", "settings file")
@@ -47,22 +47,22 @@
 // instanceRun runs an instance and tells how that ended.
 type instanceRun struct {
 	instance *instance.Instance
-	ended    chan<- error
+	done     chan<- error
 }
 
 // run runs it until it ends.
-func (r instanceRun) run(ctx context.Context) { r.ended <- r.instance.Run(ctx) }
+func (r instanceRun) run(ctx context.Context) { r.done <- r.instance.Run(ctx) }
 
 // runUntilStopped runs the instance; at a signal it stops as planned.
-func runUntilStopped(signalled context.Context, i *instance.Instance, patience time.Duration) error {
-	ended := make(chan error, 1)
-	go instanceRun{i, ended}.run(context.WithoutCancel(signalled))
+func runUntilStopped(signalCtx context.Context, inst *instance.Instance, stopTimeout time.Duration) error {
+	done := make(chan error, 1)
+	go instanceRun{inst, done}.run(context.WithoutCancel(signalCtx))
 	select {
-	case err := <-ended:
+	case err := <-done:
 		return err
-	case <-signalled.Done():
+	case <-signalCtx.Done():
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(signalled), patience)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(signalCtx), stopTimeout)
 	defer cancel()
-	return errors.Join(i.Stop(ctx), <-ended)
+	return errors.Join(inst.Stop(ctx), <-done)
 }
--- a/internal/cmd/cmd_evacuate.go
+++ b/internal/cmd/cmd_evacuate.go
@@ -10,13 +10,13 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// orderHops bounds how often an order is sent on: from an entry to a control
+// maxRedirects bounds how often an order is sent on: from an entry to a control
 // instance, from there to the leader, and once more where that has changed.
-const orderHops = 3
+const maxRedirects = 3
 
 // cmdEvacuate has nothing further sent to the endpoints of a failure domain.
 func cmdEvacuate() *cobra.Command {
-	var t target
+	var conn connection
 	var undo bool
 	c := &cobra.Command{
 		Use: "evacuate DOMAIN", Short: "have nothing further sent to the endpoints of a failure domain, or end that",
@@ -26,27 +26,27 @@
 			"The order may be sent again; the last one that was accepted stands.",
 		Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			if err := t.evacuate(c.Context(), &wire.EvacuateRequest{Domain: args[0], Undo: undo}); err != nil {
+			if err := conn.evacuate(c.Context(), &wire.EvacuateRequest{Domain: args[0], Undo: undo}); err != nil {
 				return err
 			}
-			if t.output == "json" {
+			if conn.output == "json" {
 				return PrintJSON(c.OutOrStdout(), map[string]any{"domain": args[0], "evacuated": !undo, "answer": "accepted"})
 			}
 			fmt.Fprintf(c.OutOrStdout(), "%s: accepted\n", args[0])
 			return nil
 		},
 	}
-	t.flags(c)
+	conn.addFlags(c)
 	c.Flags().BoolVar(&undo, "undo", false, "end the evacuation: new flows may go there again")
 	return c
 }
 
 // evacuate sends the order, and sends it on to whoever is named instead.
-func (t *target) evacuate(ctx context.Context, r *wire.EvacuateRequest) error {
-	at := *t
+func (conn *connection) evacuate(ctx context.Context, r *wire.EvacuateRequest) error {
+	next := *conn
 	var reply *wire.EvacuateReply
-	for range orderHops {
-		err := at.call(ctx, func(ctx context.Context, client wire.DRPCControlClient) (err error) {
+	for range maxRedirects {
+		err := next.call(ctx, func(ctx context.Context, client wire.DRPCControlClient) (err error) {
 			reply, err = client.Evacuate(ctx, r)
 			return fault.Wrap(fault.Unreachable, err)
 		})
@@ -59,7 +59,7 @@
 		if reply.Elsewhere == "" || reply.Kind != fault.NotCurrent.Name() {
 			break
 		}
-		at.addr = reply.Elsewhere
+		next.addr = reply.Elsewhere
 	}
-	return refusal(reply.Kind, reply.Detail)
+	return replyError(reply.Kind, reply.Detail)
 }
--- a/internal/cmd/cmd_history.go
+++ b/internal/cmd/cmd_history.go
@@ -13,8 +13,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// difference is what a change altered in one object.
-type difference struct {
+// objectDiff is what a change altered in one object.
+type objectDiff struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
 	What string `json:"what"`
@@ -22,8 +22,8 @@
 
 // cmdHistory lists accepted changes.
 func cmdHistory() *cobra.Command {
-	return cmdAsk("history", "list the accepted changes, the oldest first", 0, func(ctx context.Context, a asking) error {
-		s, err := askStatus(ctx, a.client, true)
+	return newQueryCommand("history", "list the accepted changes, the oldest first", 0, func(ctx context.Context, a query) error {
+		s, err := getStatus(ctx, a.client, true)
 		if err != nil {
 			return err
 		}
@@ -47,7 +47,7 @@
 	if err != nil {
 		return nil, UsageError{fmt.Errorf("revision %q is not a number", revision)}
 	}
-	s, err := askStatus(ctx, client, true)
+	s, err := getStatus(ctx, client, true)
 	if err != nil {
 		return nil, err
 	}
@@ -61,12 +61,12 @@
 
 // cmdDiff shows what a change altered.
 func cmdDiff() *cobra.Command {
-	return cmdAsk("diff REVISION", "show what an accepted change altered", 1, func(ctx context.Context, a asking) error {
+	return newQueryCommand("diff REVISION", "show what an accepted change altered", 1, func(ctx context.Context, a query) error {
 		h, err := findChange(ctx, a.client, a.args[0])
 		if err != nil {
 			return err
 		}
-		all := differences(h)
+		all := objectDiffs(h)
 		if a.json {
 			return PrintJSON(a.out, all)
 		}
@@ -77,43 +77,43 @@
 	})
 }
 
-// differences returns what a change altered, in the order of its objects.
-func differences(h *wire.HistoryEntry) []difference {
-	all := []difference{} // not null for a script
+// objectDiffs returns what a change altered, in the order of its objects.
+func objectDiffs(h *wire.HistoryEntry) []objectDiff {
+	all := []objectDiff{} // not null for a script
 	for n, o := range h.Change.Objects {
 		what := "new"
 		if before := h.Before[n]; !before.Remove {
 			what = intent.Difference(before.Body, o.Body)
 		}
-		all = append(all, difference{o.Kind, o.Name, what})
+		all = append(all, objectDiff{o.Kind, o.Name, what})
 	}
 	return all
 }
 
 // cmdRevert offers what a change altered as it was before, as a new change.
 func cmdRevert() *cobra.Command {
-	var a change
+	var flags changeFlags
 	c := &cobra.Command{
 		Use: "revert REVISION", Short: "undo an accepted change by a new one", Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var before []*wire.Object
-			err := a.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
+			err := flags.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
 				h, err := findChange(ctx, client, args[0])
 				if err != nil {
 					return err
 				}
 				before = h.Before
-				if a.base == 0 {
-					a.base = h.Revision // a later change of the same object is not overwritten
+				if flags.base == 0 {
+					flags.base = h.Revision // a later change of the same object is not overwritten
 				}
 				return nil
 			})
 			if err != nil {
 				return err
 			}
-			return a.offer(c.Context(), c.OutOrStdout(), before)
+			return flags.submit(c.Context(), c.OutOrStdout(), before)
 		},
 	}
-	a.flags(c)
+	flags.addFlags(c)
 	return c
 }
--- a/internal/cmd/cmd_platform.go
+++ b/internal/cmd/cmd_platform.go
@@ -19,15 +19,15 @@
 func cmdPlatform() *cobra.Command {
 	c := &cobra.Command{Use: "platform", Short: "run on the users' platform"}
 	c.AddCommand(
-		cmdPlatformRun("entry", "run an entry: it carries callers' packets", runEntry),
-		cmdPlatformRun("control", "run a control instance: it keeps the document and the list of endpoints", runControl),
+		newPlatformRole("entry", "run an entry: it carries callers' packets", runEntry),
+		newPlatformRole("control", "run a control instance: it keeps the document and the list of endpoints", runControl),
 		cmdPlatformCheck(),
 	)
 	return c
 }
 
-// cmdPlatformRun runs a process in one role until it is stopped.
-func cmdPlatformRun(use, short string, run func(ctx context.Context, p platformProcess) error) *cobra.Command {
+// newPlatformRole runs a process in one role until it is stopped.
+func newPlatformRole(use, short string, run func(ctx context.Context, p platformProcess) error) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: exactArgs(0),
 		Long: short + ".\nThe environment variable " + platform.SettingsVariable + " names the settings file.\n" +
@@ -38,8 +38,8 @@
 			if err != nil {
 				return err
 			}
-			limitMemory(settings.Memory)
-			logger, stopLogging, err := startLog(c.Context(), c.OutOrStdout(), settings.Name)
+			setMemoryLimit(settings.Memory)
+			logger, stopLogging, err := startLogger(c.Context(), c.OutOrStdout(), settings.Name)
 			if err != nil {
 				return err
 			}
@@ -77,31 +77,31 @@
 		Codec: node.Codec{Decode: platform.DecodePacket, Forward: platform.ForwardPacket, Reset: platform.ResetPacket},
 		Dial:  node.DialTCP, Probe: node.ProbeTCP, Log: p.log, Now: node.SteadyClock(),
 	})
-	group, running := errgroup.WithContext(context.WithoutCancel(ctx))
-	running, end := context.WithCancel(running)
-	defer end()
-	group.Go(func() error { return entry.Run(running) })
-	group.Go(func() error { return serveHTTP(running, s.Readiness, platform.ReadinessHandler(entry.Ready)) })
-	group.Go(func() error { return serveMetrics(running, p, entry.WriteMetrics) })
+	group, runCtx := errgroup.WithContext(context.WithoutCancel(ctx))
+	runCtx, cancel := context.WithCancel(runCtx)
+	defer cancel()
+	group.Go(func() error { return entry.Run(runCtx) })
+	group.Go(func() error { return serveHTTP(runCtx, s.Readiness, platform.ReadinessHandler(entry.Ready)) })
+	group.Go(func() error { return serveMetrics(runCtx, p, entry.WriteMetrics) })
 	group.Go(func() error {
-		return p.settingsLoop(running, func(seeds []netip.AddrPort) { entry.SetSeeds(running, seeds) })
+		return p.watchSettings(runCtx, func(seeds []netip.AddrPort) { entry.SetSeeds(runCtx, seeds) })
 	})
 	group.Go(func() error {
-		stopEntry(ctx, running, entry, p.log)
-		end()
+		stopOnSignal(ctx, runCtx, entry, p.log)
+		cancel()
 		return nil
 	})
-	return ended(group.Wait())
+	return ignoreShutdown(group.Wait())
 }
 
-// stopEntry has the entry stop as planned once ctx ends; it returns earlier if
+// stopOnSignal has the entry stop as planned once ctx ends; it returns earlier if
 // the entry no longer runs.
-func stopEntry(ctx, running context.Context, entry *node.Entry, logger *log.Logger) {
+func stopOnSignal(ctx, runCtx context.Context, entry *node.Entry, logger *log.Logger) {
 	select {
 	case <-ctx.Done():
-		entry.Stop(running)
+		entry.Stop(runCtx)
 		logger.Info("stop")
-	case <-running.Done():
+	case <-runCtx.Done():
 	}
 }
 
@@ -111,20 +111,20 @@
 	if !s.Control.IsValid() {
 		return fault.New(fault.InvalidSettings, "settings: serves: a control instance serves operators and endpoints")
 	}
-	const perLoss = 2 // so many voters more for each lost instance, and one
+	const votersPerLoss = 2 // so many voters more for each lost instance, and one
 	control := node.NewControl(node.ControlConfig{
 		Domain: s.Domain, Domains: s.Domains, Peer: s.Peer, Front: s.Control.String(), Seeds: s.Seeds, First: s.First,
 		Files:  func() (storage.Files, error) { return storage.Folder(s.Data) },
-		Voters: perLoss*s.Losses + 1, Beat: s.Beat, Dial: node.DialTCP, Log: p.log, Now: node.SteadyClock(),
+		Voters: votersPerLoss*s.Losses + 1, Beat: s.Beat, Dial: node.DialTCP, Log: p.log, Now: node.SteadyClock(),
 	})
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return control.Run(ctx) })
 	group.Go(func() error { return serveHTTP(ctx, s.Control, platform.ControlHandler(control)) })
 	group.Go(func() error { return serveMetrics(ctx, p, control.WriteMetrics) })
 	group.Go(func() error {
-		return p.settingsLoop(ctx, func(seeds []netip.AddrPort) { control.SetSeeds(ctx, seeds) })
+		return p.watchSettings(ctx, func(seeds []netip.AddrPort) { control.SetSeeds(ctx, seeds) })
 	})
-	err := ended(group.Wait())
+	err := ignoreShutdown(group.Wait())
 	p.log.Info("stop", "error", err)
 	return err
 }
--- a/internal/cmd/cmd_stats.go
+++ b/internal/cmd/cmd_stats.go
@@ -13,12 +13,12 @@
 
 // cmdStats prints the counters of an instance.
 func cmdStats() *cobra.Command {
-	var t target
+	var conn connection
 	var all bool
 	c := &cobra.Command{
 		Use: "stats [PREFIX]", Short: "print the counters of an instance", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
-			return t.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
+			return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
 				r, err := client.Stats(ctx, &wire.StatsRequest{})
 				if err != nil {
 					return fault.Wrap(fault.Unreachable, err)
@@ -29,18 +29,18 @@
 						continue
 					}
 					values[counter.Name] = counter.Value
-					if t.output == "text" {
+					if conn.output == "text" {
 						fmt.Fprintf(c.OutOrStdout(), "%-28s %d\n", counter.Name, counter.Value)
 					}
 				}
-				if t.output == "json" {
+				if conn.output == "json" {
 					return PrintJSON(c.OutOrStdout(), values)
 				}
 				return nil
 			})
 		},
 	}
-	t.flags(c)
+	conn.addFlags(c)
 	c.Flags().BoolVar(&all, "all", false, "counters that are 0 too")
 	return c
 }
--- a/internal/cmd/cmd_status.go
+++ b/internal/cmd/cmd_status.go
@@ -15,16 +15,16 @@
 
 // cmdStatus shows what an instance holds and who lags.
 func cmdStatus() *cobra.Command {
-	var t target
+	var conn connection
 	c := &cobra.Command{
 		Use: "status", Short: "show roles, revision, leases, what drains wait for, and who lags", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
-			return t.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
-				s, err := waitInForce(ctx, client, t.wait, time.Now)
+			return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
+				s, err := waitInForce(ctx, client, conn.extraTime, time.Now)
 				if err != nil {
 					return err
 				}
-				if t.output == "json" {
+				if conn.output == "json" {
 					return PrintJSON(c.OutOrStdout(), s)
 				}
 				printStatus(c.OutOrStdout(), s)
@@ -32,18 +32,18 @@
 			})
 		},
 	}
-	t.flags(c)
-	c.Flags().DurationVar(&t.wait, "wait", 0, "wait so long for the last revision to be in force on every instance")
+	conn.addFlags(c)
+	c.Flags().DurationVar(&conn.extraTime, "wait", 0, "wait so long for the last revision to be in force on every instance")
 	return c
 }
 
 // waitInForce asks until every live entry has applied the last revision and
 // every lease without it has run out.
 func waitInForce(ctx context.Context, client wire.DRPCControlClient, wait time.Duration, now func() time.Time) (*wire.StatusReply, error) {
-	const pause = 100 * time.Millisecond
+	const pollInterval = 100 * time.Millisecond
 	end := now().Add(wait)
 	for {
-		s, err := askStatus(ctx, client, false)
+		s, err := getStatus(ctx, client, false)
 		if err != nil {
 			return nil, err
 		}
@@ -51,23 +51,23 @@
 			return s, nil
 		}
 		if now().After(end) {
-			return nil, fault.New(fault.NotCurrent, "revision %d is not in force everywhere: %s", s.Revision, laggards(s))
+			return nil, fault.New(fault.NotCurrent, "revision %d is not in force everywhere: %s", s.Revision, describeLag(s))
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
 }
 
-func laggards(s *wire.StatusReply) string {
-	text := ""
+func describeLag(s *wire.StatusReply) string {
+	lines := ""
 	for _, m := range s.Members {
 		if m.Applied < s.Revision {
-			text += fmt.Sprintf("%s at %d, silent for %s; ", m.Name, m.Applied, time.Duration(m.SilentNanos).Round(time.Millisecond))
+			lines += fmt.Sprintf("%s at %d, silent for %s; ", m.Name, m.Applied, time.Duration(m.SilentNanos).Round(time.Millisecond))
 		}
 	}
-	if text == "" {
+	if lines == "" {
 		return "this instance has not heard that it is"
 	}
-	return text
+	return lines
 }
 
 func printStatus(w io.Writer, s *wire.StatusReply) {
@@ -78,7 +78,7 @@
 		fmt.Fprintln(w, "  the leader cannot be asked: leases and lag are not known")
 	}
 	if s.Evacuations > 0 {
-		fmt.Fprintf(w, "  evacuated: %s, by revision %d\n", evacuatedText(s), s.Evacuations)
+		fmt.Fprintf(w, "  evacuated: %s, by revision %d\n", evacuatedDomains(s), s.Evacuations)
 	}
 	for _, m := range s.Members {
 		fmt.Fprintf(w, "  entry %-16s %-12s applied %d, silent %s, leased %v, leaving %v\n", m.Name, m.Domain, m.Applied,
@@ -86,24 +86,24 @@
 	}
 	for _, d := range s.Drains {
 		fmt.Fprintf(w, "  leaving %s/%s for %s: %s are waited for\n", d.Service, d.Endpoint,
-			time.Duration(d.SinceNanos).Round(time.Second), waitedFor(d))
+			time.Duration(d.SinceNanos).Round(time.Second), remainingWork(d))
 	}
 	for _, o := range s.Objects {
 		fmt.Fprintf(w, "  %s %s, revision %d by %s, change %s\n", o.Object.Kind, o.Object.Name, o.Revision, o.Author, o.ChangeId)
 	}
 }
 
-// evacuatedText names the failure domains that are evacuated.
-func evacuatedText(s *wire.StatusReply) string {
+// evacuatedDomains names the failure domains that are evacuated.
+func evacuatedDomains(s *wire.StatusReply) string {
 	if len(s.Evacuated) == 0 {
 		return "none"
 	}
 	return strings.Join(s.Evacuated, ", ")
 }
 
-// waitedFor tells what a leaving endpoint still holds; only the fabric that
+// remainingWork tells what a leaving endpoint still holds; only the fabric that
 // carries no tags has buckets.
-func waitedFor(d *wire.DrainStatus) string {
+func remainingWork(d *wire.DrainStatus) string {
 	if d.Buckets == 0 {
 		return fmt.Sprintf("%d flows", d.Flows)
 	}
--- a/internal/cmd/cmd_team.go
+++ b/internal/cmd/cmd_team.go
@@ -13,7 +13,7 @@
 
 // cmdTeam plans changes of teams.
 func cmdTeam() *cobra.Command {
-	var a change
+	var flags changeFlags
 	plan := &cobra.Command{
 		Use: "plan FILE", Short: "tell what accepting a file would change, for which services, and its answer", Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -21,34 +21,34 @@
 			if err != nil {
 				return err
 			}
-			return a.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
-				s, err := askStatus(ctx, client, false)
+			return flags.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
+				s, err := getStatus(ctx, client, false)
 				if err != nil {
 					return err
 				}
 				printPlan(c, s, objects)
-				reply, err := client.Submit(ctx, &wire.Change{Id: "plan", Base: s.Revision, Objects: objects, Plan: true, Confirmed: a.confirm})
+				reply, err := client.Submit(ctx, &wire.Change{Id: "plan", Base: s.Revision, Objects: objects, Plan: true, Confirmed: flags.confirm})
 				if err != nil {
 					return fault.Wrap(fault.NoQuorum, err)
 				}
-				a.id = "(plan only)"
-				return a.print(c.OutOrStdout(), reply)
+				flags.id = "(plan only)"
+				return flags.printReply(c.OutOrStdout(), reply)
 			})
 		},
 	}
-	a.flags(plan)
+	flags.addFlags(plan)
 	c := &cobra.Command{Use: "team", Short: "work on teams"}
 	c.AddCommand(plan)
 	return c
 }
 
 func printPlan(c *cobra.Command, s *wire.StatusReply, objects []*wire.Object) {
-	held := map[string][]byte{}
+	current := map[string][]byte{}
 	for _, o := range s.Objects {
-		held[o.Object.Kind+" "+o.Object.Name] = o.Object.Body
+		current[o.Object.Kind+" "+o.Object.Name] = o.Object.Body
 	}
 	for _, o := range objects {
-		body, known := held[o.Kind+" "+o.Name]
+		body, known := current[o.Kind+" "+o.Name]
 		if !known {
 			fmt.Fprintf(c.OutOrStdout(), "%s %s: new\n", o.Kind, o.Name)
 			continue
--- a/internal/cmd/cmd_template.go
+++ b/internal/cmd/cmd_template.go
@@ -21,7 +21,7 @@
 }
 
 func cmdTemplateList() *cobra.Command {
-	return cmdAsk("list", "list the accepted templates", 0, func(ctx context.Context, a asking) error {
+	return newQueryCommand("list", "list the accepted templates", 0, func(ctx context.Context, a query) error {
 		templates, err := acceptedTemplates(ctx, a.client)
 		if err != nil {
 			return err
@@ -41,7 +41,7 @@
 }
 
 func cmdTemplateShow() *cobra.Command {
-	return cmdAsk("show NAME", "show a template with bounds and defaults of every parameter", 1, func(ctx context.Context, a asking) error {
+	return newQueryCommand("show NAME", "show a template with bounds and defaults of every parameter", 1, func(ctx context.Context, a query) error {
 		templates, err := acceptedTemplates(ctx, a.client)
 		if err != nil {
 			return err
@@ -60,17 +60,17 @@
 }
 
 func acceptedTemplates(ctx context.Context, client wire.DRPCControlClient) ([]*wire.StoredObject, error) {
-	s, err := askStatus(ctx, client, false)
+	s, err := getStatus(ctx, client, false)
 	if err != nil {
 		return nil, err
 	}
-	var found []*wire.StoredObject
+	var templates []*wire.StoredObject
 	for _, o := range s.Objects {
 		if o.Object.Kind == intent.KindTemplate {
-			found = append(found, o)
+			templates = append(templates, o)
 		}
 	}
-	return found, nil
+	return templates, nil
 }
 
 func printTemplate(w io.Writer, o *wire.StoredObject) error {
--- a/internal/cmd/cmd_why.go
+++ b/internal/cmd/cmd_why.go
@@ -13,8 +13,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// lagging is the answer of `why lag` for a script.
-type lagging struct {
+// lagReport is the answer of `why lag` for a script.
+type lagReport struct {
 	ByLeader bool                 `json:"by_leader"` // false: nothing is known of the members
 	Revision uint64               `json:"revision"`
 	Members  []*wire.MemberStatus `json:"members"`
@@ -25,8 +25,8 @@
 	c := &cobra.Command{Use: "why", Short: "explain a flow, a request, or what operators ask most"}
 	c.AddCommand(
 		cmdWhyFlow(),
-		cmdWhyMatter("request TOKEN", "explain a request by its token in hexadecimal digits", 1, "request"),
-		cmdWhyMatter("refused", "explain the last refusals and losses", 0, "refused"),
+		newExplainCommand("request TOKEN", "explain a request by its token in hexadecimal digits", 1, "request"),
+		newExplainCommand("refused", "explain the last refusals and losses", 0, "refused"),
 		cmdWhyLag(),
 		cmdWhyDrain(),
 	)
@@ -34,42 +34,42 @@
 }
 
 func cmdWhyFlow() *cobra.Command {
-	var t target
+	var conn connection
 	var protocol string
 	c := &cobra.Command{
 		Use: "flow SRC DST", Short: "explain why a flow went where it did; both as IP:PORT", Args: exactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
-			return t.explain(c, &wire.WhyRequest{Matter: "flow", Source: args[0], Target: args[1], Protocol: protocol})
+			return conn.explain(c, &wire.WhyRequest{Matter: "flow", Source: args[0], Target: args[1], Protocol: protocol})
 		},
 	}
-	t.flags(c)
+	conn.addFlags(c)
 	c.Flags().StringVar(&protocol, "protocol", "tcp", "tcp or udp")
 	return c
 }
 
-func cmdWhyMatter(use, short string, n int, matter string) *cobra.Command {
-	var t target
+func newExplainCommand(use, short string, argCount int, subject string) *cobra.Command {
+	var conn connection
 	c := &cobra.Command{
-		Use: use, Short: short, Args: exactArgs(n),
+		Use: use, Short: short, Args: exactArgs(argCount),
 		RunE: func(c *cobra.Command, args []string) error {
-			r := &wire.WhyRequest{Matter: matter}
-			if n > 0 {
+			r := &wire.WhyRequest{Matter: subject}
+			if argCount > 0 {
 				r.Target = args[0]
 			}
-			return t.explain(c, r)
+			return conn.explain(c, r)
 		},
 	}
-	t.flags(c)
+	conn.addFlags(c)
 	return c
 }
 
-func (t *target) explain(c *cobra.Command, r *wire.WhyRequest) error {
-	return t.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
+func (conn *connection) explain(c *cobra.Command, r *wire.WhyRequest) error {
+	return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
 		reply, err := client.Why(ctx, r)
 		if err != nil {
 			return fault.Wrap(fault.Unreachable, err)
 		}
-		if t.output == "json" {
+		if conn.output == "json" {
 			return PrintJSON(c.OutOrStdout(), reply)
 		}
 		for _, d := range reply.Decisions {
@@ -86,12 +86,12 @@
 }
 
 func printDecision(w io.Writer, d *wire.Decision) {
-	kept := ""
+	origin := ""
 	if d.Recomputed {
-		kept = " (worked out now)"
+		origin = " (worked out now)"
 	}
 	fmt.Fprintf(w, "%s %s: %s: %s%s, because %s, by index %d, in use %d\n", time.Unix(0, d.UnixNano).UTC().Format(time.RFC3339Nano),
-		d.Entry, d.Subject, d.Action, kept, d.Reason, d.Index, d.Active)
+		d.Entry, d.Subject, d.Action, origin, d.Reason, d.Index, d.Active)
 	if d.Endpoint != "" {
 		fmt.Fprintln(w, "  endpoint:", d.Endpoint)
 	}
@@ -108,13 +108,13 @@
 }
 
 func cmdWhyLag() *cobra.Command {
-	return cmdAsk("lag", "tell which instances lag, and since when", 0, func(ctx context.Context, a asking) error {
-		s, err := askStatus(ctx, a.client, false)
+	return newQueryCommand("lag", "tell which instances lag, and since when", 0, func(ctx context.Context, a query) error {
+		s, err := getStatus(ctx, a.client, false)
 		if err != nil {
 			return err
 		}
 		if a.json {
-			return PrintJSON(a.out, lagging{ByLeader: s.ByLeader, Revision: s.Commit, Members: laggingMembers(s)})
+			return PrintJSON(a.out, lagReport{ByLeader: s.ByLeader, Revision: s.Commit, Members: laggingMembers(s)})
 		}
 		return printLag(a.out, s)
 	})
@@ -134,36 +134,36 @@
 		return fault.New(fault.NotCurrent, "no leader can be asked from %s; it was last confirmed %s ago and serves by index %d", s.Name,
 			time.Duration(s.ConfirmedAgoNanos).Round(time.Millisecond), s.Applied)
 	}
-	behind := laggingMembers(s)
-	for _, m := range behind {
-		printLagging(w, m, s)
+	lagging := laggingMembers(s)
+	for _, member := range lagging {
+		printMemberLag(w, member, s)
 	}
-	if len(behind) == 0 {
+	if len(lagging) == 0 {
 		fmt.Fprintf(w, "nobody lags: all %d entries have applied %d, in use is %d\n", len(s.Members), s.Commit, s.Active)
 	}
 	return nil
 }
 
-// printLagging tells what one member lacks of the last revision.
-func printLagging(w io.Writer, m *wire.MemberStatus, s *wire.StatusReply) {
-	silent := time.Duration(m.SilentNanos).Round(time.Millisecond)
+// printMemberLag tells what one member lacks of the last revision.
+func printMemberLag(w io.Writer, m *wire.MemberStatus, s *wire.StatusReply) {
+	sinceHeartbeat := time.Duration(m.SilentNanos).Round(time.Millisecond)
 	if !m.Leased {
-		fmt.Fprintf(w, "%s in %s holds no lease, silent for %s; it decides nothing new. Look at its network and its log.\n", m.Name, m.Domain, silent)
+		fmt.Fprintf(w, "%s in %s holds no lease, silent for %s; it decides nothing new. Look at its network and its log.\n", m.Name, m.Domain, sinceHeartbeat)
 		return
 	}
 	if m.Evacuations < s.Evacuations {
 		fmt.Fprintf(w, "%s in %s has evacuations by revision %d of %d in force, silent for %s; until then it may send new flows to: %s.\n",
-			m.Name, m.Domain, m.Evacuations, s.Evacuations, silent, evacuatedText(s))
+			m.Name, m.Domain, m.Evacuations, s.Evacuations, sinceHeartbeat, evacuatedDomains(s))
 	}
 	if m.Applied < s.Commit {
 		fmt.Fprintf(w, "%s in %s has applied %d of %d, silent for %s; later changes wait for it until its lease runs out.\n",
-			m.Name, m.Domain, m.Applied, s.Commit, silent)
+			m.Name, m.Domain, m.Applied, s.Commit, sinceHeartbeat)
 	}
 }
 
 func cmdWhyDrain() *cobra.Command {
-	return cmdAsk("drain ENDPOINT", "tell what a leaving endpoint still waits for", 1, func(ctx context.Context, a asking) error {
-		s, err := askStatus(ctx, a.client, false)
+	return newQueryCommand("drain ENDPOINT", "tell what a leaving endpoint still waits for", 1, func(ctx context.Context, a query) error {
+		s, err := getStatus(ctx, a.client, false)
 		if err != nil {
 			return err
 		}
@@ -186,5 +186,5 @@
 		return
 	}
 	fmt.Fprintf(w, "%s has been leaving for %s and gets no new work; up to %s still use it or are not counted yet\n"+
-		"next: wait, or lower drain_deadline of the team to cut them\n", d.Endpoint, time.Duration(d.SinceNanos).Round(time.Second), waitedFor(d))
+		"next: wait, or lower drain_deadline of the team to cut them\n", d.Endpoint, time.Duration(d.SinceNanos).Round(time.Second), remainingWork(d))
 }
--- a/internal/cmd/platform_http.go
+++ b/internal/cmd/platform_http.go
@@ -15,13 +15,13 @@
 const (
 	// headerTimeout ends a call whose header does not come.
 	headerTimeout = 2 * time.Second
-	// httpCallTimeout ends a call on a connection that fell silent: a body that does
+	// httpRequestTimeout ends a call on a connection that fell silent: a body that does
 	// not come, an answer that is not taken. An order of some 15,000 routes over
 	// a link of 2 Mbit/s takes 8 s; callers turn elsewhere after one.
-	httpCallTimeout = 12 * time.Second
-	// keptOpen ends a connection between calls, above an endpoint's
+	httpRequestTimeout = 12 * time.Second
+	// idleTimeout ends a connection between calls, above an endpoint's
 	// heartbeat period.
-	keptOpen = 10 * time.Second
+	idleTimeout = 10 * time.Second
 )
 
 // serveMetrics serves figures; a port that is taken costs the figures only.
@@ -48,6 +48,6 @@
 // newHTTPServer returns a server that no connection holds up for ever.
 func newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
-		Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: httpCallTimeout, WriteTimeout: httpCallTimeout, IdleTimeout: keptOpen,
+		Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: httpRequestTimeout, WriteTimeout: httpRequestTimeout, IdleTimeout: idleTimeout,
 	}
 }
--- a/internal/cmd/platform_http_test.go
+++ b/internal/cmd/platform_http_test.go
@@ -9,13 +9,13 @@
 	"github.com/onsi/gomega"
 )
 
-// TestSilentCallEnds has a call fall silent after its header: the server must
+// TestServerEndsStalledRequest has a call fall silent after its header: the server must
 // end it by itself, since no packet may ever come.
-func TestSilentCallEnds(t *testing.T) {
+func TestServerEndsStalledRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server := newHTTPServer(http.NewServeMux())
-	for _, bound := range []time.Duration{server.ReadHeaderTimeout, server.ReadTimeout, server.WriteTimeout, server.IdleTimeout} {
-		g.Expect(bound).To(gomega.BeNumerically(">", 0))
+	for _, timeout := range []time.Duration{server.ReadHeaderTimeout, server.ReadTimeout, server.WriteTimeout, server.IdleTimeout} {
+		g.Expect(timeout).To(gomega.BeNumerically(">", 0))
 	}
 	ended := make(chan error, 1)
 	server.Handler = http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
--- a/internal/cmd/platform_process.go
+++ b/internal/cmd/platform_process.go
@@ -21,12 +21,12 @@
 )
 
 const (
-	// settingsPoll is how often the settings file is looked at for a change
+	// settingsPollInterval is how often the settings file is looked at for a change
 	// that no signal tells of.
-	settingsPoll = time.Second
-	// memoryShare is the part of the memory limit that the runtime may use; the
+	settingsPollInterval = time.Second
+	// heapShare is the part of the memory limit that the runtime may use; the
 	// rest is for what it does not count.
-	memoryShare = 0.7
+	heapShare = 0.7
 )
 
 // platformProcess is what the two roles have in common.
@@ -36,39 +36,39 @@
 	log      *log.Logger
 }
 
-// startLog returns a logger whose lines never wait for their reader, and what
+// startLogger returns a logger whose lines never wait for their reader, and what
 // writes the last of them.
-func startLog(ctx context.Context, out io.Writer, name string) (*log.Logger, func(), error) {
+func startLogger(ctx context.Context, out io.Writer, name string) (*log.Logger, func(), error) {
 	lines := telemetry.NewLineWriter(out)
 	logger, err := telemetry.NewLogger(lines, "info", name)
 	if err != nil {
 		return nil, nil, err
 	}
-	running, stop := context.WithCancel(context.WithoutCancel(ctx))
-	var writing sync.WaitGroup
-	writing.Go(func() { lines.Run(running) })
+	writerCtx, stop := context.WithCancel(context.WithoutCancel(ctx))
+	var writer sync.WaitGroup
+	writer.Go(func() { lines.Run(writerCtx) })
 	return logger, func() {
 		stop()
-		writing.Wait()
+		writer.Wait()
 	}, nil
 }
 
-// limitMemory has garbage collected early enough to stay under a limit in
+// setMemoryLimit has garbage collected early enough to stay under a limit in
 // bytes; 0 is none.
-func limitMemory(limit int64) {
+func setMemoryLimit(limit int64) {
 	if limit > 0 {
-		debug.SetMemoryLimit(int64(memoryShare * float64(limit)))
+		debug.SetMemoryLimit(int64(heapShare * float64(limit)))
 	}
 }
 
-// settingsLoop reads the file again at SIGHUP and when its content changes.
-func (p platformProcess) settingsLoop(ctx context.Context, take func(seeds []netip.AddrPort)) error {
+// watchSettings reads the file again at SIGHUP and when its content changes.
+func (p platformProcess) watchSettings(ctx context.Context, setSeeds func(seeds []netip.AddrPort)) error {
 	hangUp := make(chan os.Signal, 1)
 	signal.Notify(hangUp, syscall.SIGHUP)
 	defer signal.Stop(hangUp)
-	ticker := time.NewTicker(settingsPoll)
+	ticker := time.NewTicker(settingsPollInterval)
 	defer ticker.Stop()
-	last, err := os.ReadFile(p.path)
+	lastData, err := os.ReadFile(p.path)
 	if err != nil {
 		p.log.Error("settings cannot be read", "file", p.path, "error", err)
 	}
@@ -86,28 +86,28 @@
 			p.log.Error("settings cannot be read", "file", p.path, "cause", cause, "error", err)
 			continue
 		}
-		if bytes.Equal(data, last) && cause != "SIGHUP" {
+		if bytes.Equal(data, lastData) && cause != "SIGHUP" {
 			continue
 		}
-		last = data
-		p.reload(data, cause, take)
+		lastData = data
+		p.reload(data, cause, setSeeds)
 	}
 }
 
 // reload takes the seeds of changed settings; what cannot be read changes
 // nothing.
-func (p platformProcess) reload(data []byte, cause string, take func(seeds []netip.AddrPort)) {
+func (p platformProcess) reload(data []byte, cause string, setSeeds func(seeds []netip.AddrPort)) {
 	settings, err := platform.Parse(data)
 	if err != nil {
 		p.log.Error("reload refused", "cause", cause, "error", err)
 		return
 	}
 	p.log.Info("reload", "cause", cause, "seeds", settings.Seeds)
-	take(settings.Seeds)
+	setSeeds(settings.Seeds)
 }
 
-// ended drops the error that a planned stop ends with.
-func ended(err error) error {
+// ignoreShutdown drops the error that a planned stop ends with.
+func ignoreShutdown(err error) error {
 	if errors.Is(err, context.Canceled) || errors.Is(err, http.ErrServerClosed) {
 		return nil
 	}
--- a/internal/cmd/scenario_test.go
+++ b/internal/cmd/scenario_test.go
@@ -21,14 +21,14 @@
 
 // fleet runs the built program as separate processes.
 type fleet struct {
-	t         *testing.T
-	binary    string
-	settings  string
-	control   []string
-	processes map[string]*exec.Cmd
+	t            *testing.T
+	binary       string
+	settings     string
+	controlAddrs []string
+	processes    map[string]*exec.Cmd
 }
 
-const patience = 40 * time.Second
+const commandTimeout = 40 * time.Second
 
 func newFleet(t *testing.T, names ...string) *fleet {
 	t.Helper()
@@ -40,7 +40,7 @@
 	var instances []string
 	for n, name := range names {
 		control := freePort(t)
-		f.control = append(f.control, control)
+		f.controlAddrs = append(f.controlAddrs, control)
 		instances = append(instances, fmt.Sprintf(`{"name": %q, "domain": "d%d", "packets": %q, "control": %q, "data": %q}`,
 			name, n, freePort(t), control, filepath.Join(dir, name)))
 	}
@@ -53,7 +53,7 @@
 	}
 	t.Cleanup(func() {
 		for name := range f.processes {
-			f.signal(name, syscall.SIGKILL)
+			f.stop(name, syscall.SIGKILL)
 		}
 	})
 	return f
@@ -89,7 +89,7 @@
 	f.processes[name] = c
 }
 
-func (f *fleet) signal(name string, s syscall.Signal) int {
+func (f *fleet) stop(name string, s syscall.Signal) int {
 	f.t.Helper()
 	c := f.processes[name]
 	delete(f.processes, name)
@@ -107,10 +107,10 @@
 	return out.String(), c.ProcessState.ExitCode()
 }
 
-// until repeats a command until it ends with the code.
-func (f *fleet) until(code int, args ...string) string {
+// runUntil repeats a command runUntil it ends with the code.
+func (f *fleet) runUntil(code int, args ...string) string {
 	f.t.Helper()
-	end := time.Now().Add(patience)
+	end := time.Now().Add(commandTimeout)
 	for {
 		out, got := f.run(args...)
 		if got == code {
@@ -123,14 +123,14 @@
 	}
 }
 
-func exampleFile(t *testing.T, change func(string) string) string {
+func writeExample(t *testing.T, edit func(string) string) string {
 	t.Helper()
 	data, err := examples.Files.ReadFile("visa/intent.jsonc")
 	if err != nil {
 		t.Fatal(err)
 	}
 	path := filepath.Join(t.TempDir(), "intent.jsonc")
-	if err := os.WriteFile(path, []byte(change(string(data))), 0o600); err != nil {
+	if err := os.WriteFile(path, []byte(edit(string(data))), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return path
@@ -138,57 +138,57 @@
 
 // The whole of an operator's day on separate processes: acceptance, a race, a
 // resend, the loss of the leader, explanations, and a planned stop.
-func TestOperatorsDay(t *testing.T) {
+func TestOperatorWorkflow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, "one", "two", "three")
-	file := exampleFile(t, func(s string) string { return s })
-	f.until(0, "accept", file, "--addr", f.control[0], "--id", "first")
-	out := f.until(0, "accept", file, "--addr", f.control[1], "--id", "first")
+	file := writeExample(t, func(s string) string { return s })
+	f.runUntil(0, "accept", file, "--addr", f.controlAddrs[0], "--id", "first")
+	out := f.runUntil(0, "accept", file, "--addr", f.controlAddrs[1], "--id", "first")
 	g.Expect(out).To(gomega.ContainSubstring("already accepted"), "a resend never counts twice")
-	f.until(0, "status", "--wait", "20s", "--addr", f.control[2])
+	f.runUntil(0, "status", "--wait", "20s", "--addr", f.controlAddrs[2])
 
 	base := strings.TrimSpace(revision(t, f))
-	less := exampleFile(t, func(s string) string { return strings.Replace(s, `"balance": 0.9`, `"balance": 0.6`, 1) })
-	more := exampleFile(t, func(s string) string { return strings.Replace(s, `"balance": 0.9`, `"balance": 0.7`, 1) })
-	f.until(0, "accept", less, "--addr", f.control[0], "--base", base, "--author", "amina")
-	out, code := f.run("accept", more, "--addr", f.control[1], "--base", base, "--author", "yusuf")
+	lower := writeExample(t, func(s string) string { return strings.Replace(s, `"balance": 0.9`, `"balance": 0.6`, 1) })
+	higher := writeExample(t, func(s string) string { return strings.Replace(s, `"balance": 0.9`, `"balance": 0.7`, 1) })
+	f.runUntil(0, "accept", lower, "--addr", f.controlAddrs[0], "--base", base, "--author", "amina")
+	out, code := f.run("accept", higher, "--addr", f.controlAddrs[1], "--base", base, "--author", "yusuf")
 	g.Expect(code).To(gomega.Equal(5), out)
 	g.Expect(out).To(gomega.ContainSubstring("amina"), "the loser learns who won")
 
-	bad := exampleFile(t, func(s string) string { return strings.Replace(s, `"balance": 0.9`, `"balance": 9`, 1) })
-	out, code = f.run("accept", bad, "--addr", f.control[0])
+	invalid := writeExample(t, func(s string) string { return strings.Replace(s, `"balance": 0.9`, `"balance": 9`, 1) })
+	out, code = f.run("accept", invalid, "--addr", f.controlAddrs[0])
 	g.Expect(code).To(gomega.Equal(4), out)
 
 	leader := leaderOf(t, f)
-	f.signal(leader, syscall.SIGKILL)
-	left := f.control[0]
+	f.stop(leader, syscall.SIGKILL)
+	survivor := f.controlAddrs[0]
 	if leader == "one" {
-		left = f.control[1]
+		survivor = f.controlAddrs[1]
 	}
-	f.until(0, "accept", more, "--addr", left, "--id", "after-loss")
+	f.runUntil(0, "accept", higher, "--addr", survivor, "--id", "after-loss")
 	f.start(leader)
-	f.until(0, "status", "--wait", "20s", "--addr", left)
-	out = f.until(0, "history", "--addr", left)
+	f.runUntil(0, "status", "--wait", "20s", "--addr", survivor)
+	out = f.runUntil(0, "history", "--addr", survivor)
 	g.Expect(strings.Count(out, "change first:")).To(gomega.Equal(1))
 	g.Expect(out).To(gomega.ContainSubstring("after-loss"))
 
-	out = f.until(0, "control", "list", "--addr", left)
+	out = f.runUntil(0, "control", "list", "--addr", survivor)
 	g.Expect(out).To(gomega.ContainSubstring("three"))
 	spare := "three"
 	if leaderOf(t, f) == spare {
 		spare = "two"
 	}
-	f.until(0, "control", "remove", spare, "--addr", left)
-	f.until(0, "control", "add", spare, "--addr", left)
-	_, code = f.run("control", "add", "nobody", "--addr", left)
+	f.runUntil(0, "control", "remove", spare, "--addr", survivor)
+	f.runUntil(0, "control", "add", spare, "--addr", survivor)
+	_, code = f.run("control", "add", "nobody", "--addr", survivor)
 	g.Expect(code).To(gomega.Equal(4))
 
-	out = f.until(0, "why", "flow", "10.0.0.1:4000", "192.0.2.10:443", "--addr", left)
+	out = f.runUntil(0, "why", "flow", "10.0.0.1:4000", "192.0.2.10:443", "--addr", survivor)
 	g.Expect(out).To(gomega.ContainSubstring("candidate booking-1"))
-	f.until(0, "why", "lag", "--addr", left)
-	_, code = f.run("why", "drain", "nobody", "--addr", left)
+	f.runUntil(0, "why", "lag", "--addr", survivor)
+	_, code = f.run("why", "drain", "nobody", "--addr", survivor)
 	g.Expect(code).To(gomega.Equal(13))
-	g.Expect(f.signal("three", syscall.SIGTERM)).To(gomega.Equal(0), "a planned stop ends cleanly")
+	g.Expect(f.stop("three", syscall.SIGTERM)).To(gomega.Equal(0), "a planned stop ends cleanly")
 }
 
 func revision(t *testing.T, f *fleet) string {
@@ -203,7 +203,7 @@
 
 func status(t *testing.T, f *fleet) map[string]any {
 	t.Helper()
-	out := f.until(0, "status", "--output", "json", "--addr", f.control[0])
+	out := f.runUntil(0, "status", "--output", "json", "--addr", f.controlAddrs[0])
 	var s map[string]any
 	if err := json.Unmarshal([]byte(out), &s); err != nil {
 		t.Fatal(err, out)
@@ -211,7 +211,7 @@
 	return s
 }
 
-func TestExactAnswersToBadInput(t *testing.T) {
+func TestExitCodesOfBadInput(t *testing.T) {
 	g := gomega.NewWithT(t)
 	var out, errOut bytes.Buffer
 	g.Expect(Main([]string{"settings", "check", "/does/not/exist"}, &out, &errOut)).To(gomega.Equal(3))
@@ -222,7 +222,7 @@
 	g.Expect(errOut.String()).To(gomega.ContainSubstring("next: "))
 }
 
-func TestPortInUseAndFolderThatCannotBeWritten(t *testing.T) {
+func TestExitCodesOfUnusablePortAndDataFolder(t *testing.T) {
 	g := gomega.NewWithT(t)
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	warmUp      = 3 * time.Second
-	coolDown    = 1500 * time.Millisecond
-	fabricLag   = 300 * time.Millisecond // until the fabric sees that an entry is gone
-	stopLimit   = 8 * time.Second
-	feedEvery   = 400 * time.Millisecond
-	feedPerUnit = 60 // long flows for each endpoint of the first service
+	warmUp           = 3 * time.Second
+	coolDown         = 1500 * time.Millisecond
+	fabricDetection  = 300 * time.Millisecond // until the fabric sees that an entry is gone
+	stopTimeout      = 8 * time.Second
+	feedInterval     = 400 * time.Millisecond
+	feedsPerEndpoint = 60 // long flows for each endpoint of the first service
 )
 
 // Report is the result of a run: counted by callers and backend servers.
@@ -53,11 +53,11 @@
 	Events           []string           `json:"events"`
 }
 
-// KnownEvents lists what can happen in a run, in the order it does.
-func KnownEvents() []string { return []string{"drain", "join", "kill", "restart", "cut"} }
+// EventNames lists what can happen in a run, in the order it does.
+func EventNames() []string { return []string{"drain", "join", "kill", "restart", "cut"} }
 
-// Broken returns the promises of the brief that the run broke.
-func (r Report) Broken() []string {
+// BrokenGuarantees returns the promises of the brief that the run broke.
+func (r Report) BrokenGuarantees() []string {
 	var broken []string
 	for _, p := range []struct {
 		name  string
@@ -85,7 +85,7 @@
 		return Report{}, err
 	}
 	time.Sleep(warmUp / 2)
-	r := &run{fleet: f, rng: rand.New(rand.NewPCG(c.Seed, 9)), began: c.Now(), imbalance: map[string][]float64{}}
+	r := &run{fleet: f, rng: rand.New(rand.NewPCG(c.Seed, 9)), started: c.Now(), imbalanceSamples: map[string][]float64{}}
 	report, err := r.run(ctx)
 	cancel()
 	f.group.Wait()
@@ -94,50 +94,50 @@
 
 // run is one run with its traffic and events.
 type run struct {
-	fleet     *fleet
-	rng       *rand.Rand
-	began     time.Time
-	events    []string
-	imbalance map[string][]float64
-	leaving   string
+	fleet            *fleet
+	rng              *rand.Rand
+	started          time.Time
+	events           []string
+	imbalanceSamples map[string][]float64
+	drained          string
 }
 
 func (r *run) run(ctx context.Context) (Report, error) {
 	traffic, stopTraffic := context.WithCancel(ctx)
 	defer stopTraffic()
 	var callers sync.WaitGroup
-	end := r.began.Add(r.fleet.config.For)
-	r.startTraffic(traffic, &callers, end.Add(-coolDown))
-	if err := r.watch(ctx, end); err != nil {
+	trafficEnd := r.started.Add(r.fleet.config.Duration)
+	r.startTraffic(traffic, &callers, trafficEnd.Add(-coolDown))
+	if err := r.runEvents(ctx, trafficEnd); err != nil {
 		return Report{}, err
 	}
-	done := make(chan struct{})
-	go callerWait{&callers, done}.run()
-	const patience = 12 * time.Second
+	callersDone := make(chan struct{})
+	go callerWait{&callers, callersDone}.run()
+	const callerTimeout = 12 * time.Second
 	select {
-	case <-done:
-	case <-time.After(patience):
+	case <-callersDone:
+	case <-time.After(callerTimeout):
 		stopTraffic()
-		<-done
+		<-callersDone
 	}
 	return r.report(), nil
 }
 
-// watch shows progress, measures imbalance, and lets the events happen.
-func (r *run) watch(ctx context.Context, end time.Time) error {
-	events := r.plan()
+// runEvents shows progress, measures imbalance, and lets the events happen.
+func (r *run) runEvents(ctx context.Context, end time.Time) error {
+	events := r.schedule()
 	ticker := time.NewTicker(500 * time.Millisecond)
 	defer ticker.Stop()
 	for now := r.fleet.config.Now(); now.Before(end); now = r.fleet.config.Now() {
 		for len(events) > 0 && !now.Before(events[0].at) {
-			if err := events[0].happen(ctx); err != nil {
+			if err := events[0].trigger(ctx); err != nil {
 				return fmt.Errorf("event %s: %w", events[0].name, err)
 			}
-			r.events = append(r.events, fmt.Sprintf("%.1fs %s", now.Sub(r.began).Seconds(), events[0].name))
+			r.events = append(r.events, fmt.Sprintf("%.1fs %s", now.Sub(r.started).Seconds(), events[0].name))
 			events = events[1:]
 		}
-		r.measure()
-		r.progress(now)
+		r.sampleImbalance()
+		r.printProgress(now)
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
@@ -147,51 +147,51 @@
 	return nil
 }
 
-func (r *run) progress(now time.Time) {
+func (r *run) printProgress(now time.Time) {
 	c := r.fleet.ledger.Counts()
-	last := "steady"
+	lastEvent := "steady"
 	if len(r.events) > 0 {
-		last = r.events[len(r.events)-1]
+		lastEvent = r.events[len(r.events)-1]
 	}
 	fmt.Fprintf(r.fleet.config.Progress, "%5.1fs  flows open %d of %d  broken %d+%d  requests %d answered %d not run %d unknown %d  last event: %s\n",
-		now.Sub(r.began).Seconds(), c.FlowsOpen, c.Flows, c.BrokenPlanned, c.BrokenUnplanned, c.Requests, c.Answered, c.NotRun, c.Unknown, last)
+		now.Sub(r.started).Seconds(), c.FlowsOpen, c.Flows, c.BrokenPlanned, c.BrokenUnplanned, c.Requests, c.Answered, c.NotRun, c.Unknown, lastEvent)
 }
 
-// measure notes how uneven the flows are on the endpoints that take new ones.
-func (r *run) measure() {
+// sampleImbalance notes how uneven the flows are on the endpoints that take new ones.
+func (r *run) sampleImbalance() {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
 	for service, backends := range r.fleet.backends {
 		highest, sum, n := 0, 0, 0
 		for name, b := range backends {
-			if name == r.leaving {
+			if name == r.drained {
 				continue
 			}
 			flows := b.Flows()
 			highest, sum, n = max(highest, flows), sum+flows, n+1
 		}
 		if sum >= 20*n {
-			r.imbalance[service] = append(r.imbalance[service], float64(highest)*float64(n)/float64(sum))
+			r.imbalanceSamples[service] = append(r.imbalanceSamples[service], float64(highest)*float64(n)/float64(sum))
 		}
 	}
 }
 
 type event struct {
-	name   string
-	at     time.Time
-	happen func(context.Context) error
+	name    string
+	at      time.Time
+	trigger func(context.Context) error
 }
 
-// plan spreads the events over the run.
-func (r *run) plan() []event {
-	all := map[string]func(context.Context) error{
-		"drain": r.drain, "join": r.join, "kill": r.kill, "restart": r.restartAll, "cut": r.cutDomain,
+// schedule spreads the events over the run.
+func (r *run) schedule() []event {
+	handlers := map[string]func(context.Context) error{
+		"drain": r.drain, "join": r.join, "kill": r.kill, "restart": r.restartAll, "cut": r.partitionDomain,
 	}
 	names := r.fleet.config.Events
-	step := (r.fleet.config.For - warmUp - 2*coolDown) / time.Duration(len(names)+1)
+	interval := (r.fleet.config.Duration - warmUp - 2*coolDown) / time.Duration(len(names)+1)
 	var events []event
 	for n, name := range names {
-		events = append(events, event{name, r.began.Add(warmUp + time.Duration(n)*step), all[name]})
+		events = append(events, event{name, r.started.Add(warmUp + time.Duration(n)*interval), handlers[name]})
 	}
 	return events
 }
@@ -205,72 +205,72 @@
 // drain lets the third endpoint of the first service leave.
 func (r *run) drain(ctx context.Context) error {
 	service := r.firstService()
-	endpoints, _ := r.fleet.document[service]["endpoints"].([]any)
+	endpoints, _ := r.fleet.services[service]["endpoints"].([]any)
 	endpoint, _ := endpoints[2].(map[string]any)
 	endpoint["leaving"] = true
-	r.leaving, _ = endpoint["name"].(string)
-	r.fleet.ledger.Leaving(r.leaving)
-	return r.fleet.accept(ctx, []*wire.Object{r.fleet.serviceObject(service)})
+	r.drained, _ = endpoint["name"].(string)
+	r.fleet.ledger.RecordDrain(r.drained)
+	return r.fleet.submit(ctx, []*wire.Object{r.fleet.serviceObject(service)})
 }
 
 // join adds a cold endpoint to the first service.
 func (r *run) join(ctx context.Context) error {
 	service := r.firstService()
-	var typed intent.Service
-	body := r.fleet.serviceObject(service)
-	if err := json.Unmarshal(body.Body, &typed); err != nil {
+	var spec intent.Service
+	object := r.fleet.serviceObject(service)
+	if err := json.Unmarshal(object.Body, &spec); err != nil {
 		return err
 	}
-	first := typed.Endpoints[0]
+	first := spec.Endpoints[0]
 	added := intent.Endpoint{Name: service + "-joined", Domain: first.Domain, Slots: first.Slots, Connections: first.Connections}
-	const cold = 2 * time.Second
-	entry, err := r.fleet.addBackend(service, typed, added, cold)
+	const warmup = 2 * time.Second
+	entry, err := r.fleet.addBackend(service, spec, added, warmup)
 	if err != nil {
 		return err
 	}
-	endpoints, _ := r.fleet.document[service]["endpoints"].([]any)
-	r.fleet.document[service]["endpoints"] = append(endpoints, entry)
-	return r.fleet.accept(ctx, []*wire.Object{r.fleet.serviceObject(service)})
+	endpoints, _ := r.fleet.services[service]["endpoints"].([]any)
+	r.fleet.services[service]["endpoints"] = append(endpoints, entry)
+	return r.fleet.submit(ctx, []*wire.Object{r.fleet.serviceObject(service)})
 }
 
 // kill ends an entry without a word and starts it again with empty memory.
 func (r *run) kill(ctx context.Context) error {
 	victim := r.fleet.settings.Instances[1+r.rng.IntN(len(r.fleet.settings.Instances)-1)].Name
-	r.fleet.ledger.Unplanned()
+	r.fleet.ledger.RecordUnplannedEvent()
 	r.fleet.mu.Lock()
-	i := r.fleet.instances[victim]
+	inst := r.fleet.instances[victim]
 	r.fleet.mu.Unlock()
-	i.Kill()
-	time.Sleep(fabricLag)
+	inst.Kill()
+	time.Sleep(fabricDetection)
 	r.fleet.fabric.RemoveEntry(victim)
-	go outage{r.fleet, victim}.run(ctx)
+	go restart{r.fleet, victim}.run(ctx)
 	return nil
 }
 
-// cutDomain cuts the last failure domain off for a while.
-func (r *run) cutDomain(ctx context.Context) error {
+// partitionDomain cuts the last failure domain off for a while.
+func (r *run) partitionDomain(ctx context.Context) error {
 	instances := r.fleet.settings.Instances
 	domain := instances[len(instances)-1].Domain
-	r.fleet.ledger.Unplanned()
-	r.fleet.cutOff(domain, true)
-	go domainCut{r.fleet, domain}.run(ctx)
+	r.fleet.ledger.RecordUnplannedEvent()
+	r.fleet.setPartitioned(domain, true)
+	go partition{r.fleet, domain}.run(ctx)
 	return nil
 }
 
 // restartAll stops and starts every entry, one after the other, as planned.
 func (r *run) restartAll(ctx context.Context) error {
-	for _, own := range r.fleet.settings.Instances {
+	for _, settings := range r.fleet.settings.Instances {
 		r.fleet.mu.Lock()
-		i := r.fleet.instances[own.Name]
+		inst := r.fleet.instances[settings.Name]
 		r.fleet.mu.Unlock()
-		limit, cancel := context.WithTimeout(ctx, stopLimit)
-		r.fleet.fabric.RemoveEntry(own.Name)
-		err := i.Stop(limit)
+		stopCtx, cancel := context.WithTimeout(ctx, stopTimeout)
+		r.fleet.fabric.RemoveEntry(settings.Name)
+		err := inst.Stop(stopCtx)
 		cancel()
 		if err != nil {
-			return fmt.Errorf("stop %s: %w", own.Name, err)
+			return fmt.Errorf("stop %s: %w", settings.Name, err)
 		}
-		if err := r.fleet.start(ctx, own.Name); err != nil {
+		if err := r.fleet.start(ctx, settings.Name); err != nil {
 			return err
 		}
 		time.Sleep(time.Second)
@@ -281,13 +281,13 @@
 func (r *run) report() Report {
 	c := r.fleet.ledger.Counts()
 	report := Report{
-		User: r.fleet.config.User, Placement: placementName(r.fleet.config.Placement), Seconds: r.fleet.config.For.Seconds(),
+		User: r.fleet.config.Example, Placement: placementName(r.fleet.config.Placement), Seconds: r.fleet.config.Duration.Seconds(),
 		Flows: c.Flows, BrokenPlanned: c.BrokenPlanned, BrokenUnplanned: c.BrokenUnplanned, Misdelivered: c.Misdelivered,
 		Crossed: c.Crossed, NotOpened: c.NotOpened, Requests: c.Requests, Answered: c.Answered, NotRun: c.NotRun,
 		Unknown: c.Unknown, NoAnswer: c.NoAnswer, RanTwice: c.RanTwice, FalseNotRun: c.FalseNotRun, LateNew: c.LateNew,
 		Incomplete: c.Incomplete, Imbalance: map[string]float64{}, Reasons: r.fleet.ledger.Reasons(), Events: r.events,
 	}
-	for service, values := range r.imbalance {
+	for service, values := range r.imbalanceSamples {
 		slices.Sort(values)
 		report.Imbalance[service] = values[len(values)/2]
 	}
@@ -299,7 +299,7 @@
 		forwarded += i.Counters().Counter("flow_by_cache").Count() + i.Counters().Counter("flow_by_settled").Count()
 	}
 	r.fleet.mu.Unlock()
-	report.PacketsPerSecond = float64(in) / r.fleet.config.For.Seconds()
+	report.PacketsPerSecond = float64(in) / r.fleet.config.Duration.Seconds()
 	if in > 0 {
 		report.RelayedShare = float64(relayed) / float64(in)
 	}
@@ -313,8 +313,8 @@
 	return p
 }
 
-// Table writes the report for people.
-func (r Report) Table(w io.Writer) {
+// WriteTable writes the report for people.
+func (r Report) WriteTable(w io.Writer) {
 	row := func(name string, value any) { fmt.Fprintf(w, "  %-22s %v\n", name, value) }
 	fmt.Fprintf(w, "\n%s, placement %s, %.0f s, events: %s\n", r.User, r.Placement, r.Seconds, strings.Join(r.Events, ", "))
 	row("flows", r.Flows)
@@ -345,9 +345,9 @@
 	}
 }
 
-// Check returns an error that names the broken promises, or nil.
-func (r Report) Check() error {
-	if broken := r.Broken(); len(broken) > 0 {
+// Err returns an error that names the broken promises, or nil.
+func (r Report) Err() error {
+	if broken := r.BrokenGuarantees(); len(broken) > 0 {
 		return fault.New(fault.PromiseBroken, "%s", strings.Join(broken, ", "))
 	}
 	return nil
--- a/internal/demo/events.go
+++ b/internal/demo/events.go
@@ -7,22 +7,22 @@
 )
 
 const (
-	// downFor is how long an instance that was killed stays down.
-	downFor = 3 * time.Second
-	// cutFor is how long a failure domain stays cut off: longer than it waits before it
+	// downtime is how long an instance that was killed stays down.
+	downtime = 3 * time.Second
+	// partitionDuration is how long a failure domain stays cut off: longer than it waits before it
 	// serves by itself.
-	cutFor = 6 * time.Second
+	partitionDuration = 6 * time.Second
 )
 
 type (
-	// outage is an entry that was killed and starts again.
-	outage struct {
+	// restart is an entry that was killed and starts again.
+	restart struct {
 		fleet *fleet
 		entry string // name
 	}
 
-	// domainCut is a failure domain that is cut off and comes back.
-	domainCut struct {
+	// partition is a failure domain that is cut off and comes back.
+	partition struct {
 		fleet  *fleet
 		domain string
 	}
@@ -35,21 +35,21 @@
 )
 
 // run starts the entry again after a while.
-func (o outage) run(ctx context.Context) {
-	time.Sleep(downFor)
+func (o restart) run(ctx context.Context) {
+	time.Sleep(downtime)
 	if ctx.Err() == nil {
 		_ = o.fleet.start(ctx, o.entry)
 	}
 }
 
 // run has the failure domain come back after a while.
-func (c domainCut) run(ctx context.Context) {
+func (c partition) run(ctx context.Context) {
 	select {
-	case <-time.After(cutFor):
+	case <-time.After(partitionDuration):
 	case <-ctx.Done():
 	}
-	c.fleet.ledger.Unplanned()
-	c.fleet.cutOff(c.domain, false)
+	c.fleet.ledger.RecordUnplannedEvent()
+	c.fleet.setPartitioned(c.domain, false)
 }
 
 // run waits for the callers.
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -27,12 +27,12 @@
 type (
 	// Config sets up a run.
 	Config struct {
-		User      string // visa or qasr
+		Example   string // visa or qasr
 		Seed      uint64
-		For       time.Duration
+		Duration  time.Duration
 		Events    []string
 		Placement string // empty, or instance.PlacementModulo
-		Folder    string // data folders go below it
+		DataDir   string // data folders go below it
 		Log       io.Writer
 		LogLevel  string
 		Progress  io.Writer
@@ -41,36 +41,36 @@
 
 	// fleet is 8 instances with their stand-ins.
 	fleet struct {
-		config    Config
-		settings  settings.Settings
-		document  map[string]map[string]any // services as JSON, by name
-		team      map[string]any
-		teamName  string
-		fabric    *standin.Fabric
-		ledger    *standin.Ledger
-		callers   *standin.Callers
-		mu        sync.Mutex
-		instances map[string]*instance.Instance
-		backends  map[string]map[string]*standin.Backend // by service and name
-		group     sync.WaitGroup
-		runErrors []error
-		changes   int
-		cut       atomic.Pointer[string] // the domain that is cut off, or nil
-		domainOf  map[netip.AddrPort]string
-		templates map[string]json.RawMessage
+		config      Config
+		settings    settings.Settings
+		services    map[string]map[string]any // services as JSON, by name
+		team        map[string]any
+		teamName    string
+		fabric      *standin.Fabric
+		ledger      *standin.Ledger
+		callers     *standin.Callers
+		mu          sync.Mutex
+		instances   map[string]*instance.Instance
+		backends    map[string]map[string]*standin.Backend // by service and name
+		group       sync.WaitGroup
+		runErrors   []error
+		changes     int
+		partitioned atomic.Pointer[string] // the domain that is cut off, or nil
+		domainOf    map[netip.AddrPort]string
+		templates   map[string]json.RawMessage
 	}
 )
 
 // newFleet reads the user's example, gives it free ports and starts all of it.
 func newFleet(ctx context.Context, c Config) (*fleet, error) {
-	f := &fleet{config: c, instances: map[string]*instance.Instance{}, backends: map[string]map[string]*standin.Backend{}, document: map[string]map[string]any{}, domainOf: map[netip.AddrPort]string{}}
+	f := &fleet{config: c, instances: map[string]*instance.Instance{}, backends: map[string]map[string]*standin.Backend{}, services: map[string]map[string]any{}, domainOf: map[netip.AddrPort]string{}}
 	f.ledger = standin.NewLedger(c.Now)
 	var err error
 	if f.fabric, err = standin.NewFabric(netip.MustParseAddrPort("127.0.0.1:0"), c.Seed); err != nil {
 		return nil, err
 	}
 	f.callers = standin.NewCallers(f.fabric, f.ledger, c.Now)
-	if err := errors.Join(f.readSettings(), f.readDocument()); err != nil {
+	if err := errors.Join(f.readSettings(), f.readIntent()); err != nil {
 		return f, err
 	}
 	for _, i := range f.settings.Instances {
@@ -78,13 +78,13 @@
 			return f, err
 		}
 	}
-	return f, f.acceptAll(ctx)
+	return f, f.submitAll(ctx)
 }
 
 func (f *fleet) readSettings() error {
-	data, err := examples.Files.ReadFile(f.config.User + "/settings.jsonc")
+	data, err := examples.Files.ReadFile(f.config.Example + "/settings.jsonc")
 	if err != nil {
-		return fmt.Errorf("there is no example %q: visa or qasr", f.config.User)
+		return fmt.Errorf("there is no example %q: visa or qasr", f.config.Example)
 	}
 	s, faults := settings.Parse(data)
 	if len(faults) > 0 {
@@ -102,17 +102,17 @@
 		}
 		f.domainOf[i.Packets], f.domainOf[i.Control] = i.Domain, i.Domain
 		if i.Data != "" {
-			i.Data = filepath.Join(f.config.Folder, i.Name)
+			i.Data = filepath.Join(f.config.DataDir, i.Name)
 		}
 	}
 	f.settings = s
 	return nil
 }
 
-// readDocument starts a backend server for each endpoint of the example and
+// readIntent starts a backend server for each endpoint of the example and
 // writes its addresses into the document.
-func (f *fleet) readDocument() error {
-	data, err := examples.Files.ReadFile(f.config.User + "/intent.jsonc")
+func (f *fleet) readIntent() error {
+	data, err := examples.Files.ReadFile(f.config.Example + "/intent.jsonc")
 	if err != nil {
 		return err
 	}
@@ -147,36 +147,36 @@
 }
 
 func (f *fleet) readService(o intent.Object) error {
-	var typed intent.Service
-	var loose map[string]any
-	if err := errors.Join(json.Unmarshal(o.Body, &typed), json.Unmarshal(o.Body, &loose)); err != nil {
+	var spec intent.Service
+	var raw map[string]any
+	if err := errors.Join(json.Unmarshal(o.Body, &spec), json.Unmarshal(o.Body, &raw)); err != nil {
 		return err
 	}
 	f.backends[o.Name] = map[string]*standin.Backend{}
 	var endpoints []any
-	for _, e := range typed.Endpoints {
-		entry, err := f.addBackend(o.Name, typed, e, 0)
+	for _, e := range spec.Endpoints {
+		entry, err := f.addBackend(o.Name, spec, e, 0)
 		if err != nil {
 			return err
 		}
 		endpoints = append(endpoints, entry)
 	}
-	loose["endpoints"] = endpoints
-	f.document[o.Name] = loose
+	raw["endpoints"] = endpoints
+	f.services[o.Name] = raw
 	return nil
 }
 
 // addBackend starts a backend server and returns its endpoint for the document.
-func (f *fleet) addBackend(service string, s intent.Service, e intent.Endpoint, cold time.Duration) (map[string]any, error) {
+func (f *fleet) addBackend(service string, s intent.Service, e intent.Endpoint, warmup time.Duration) (map[string]any, error) {
 	var addresses []netip.AddrPort
-	for _, c := range s.Classes {
-		addresses = append(addresses, c.Address)
+	for _, class := range s.Classes {
+		addresses = append(addresses, class.Address)
 	}
 	const serviceTime, blocks = 40 * time.Millisecond, 4
 	b, err := standin.NewBackend(standin.BackendConfig{
 		Name: e.Name, Service: service, Addr: netip.MustParseAddrPort("127.0.0.1:0"), HealthAddr: netip.MustParseAddrPort("127.0.0.1:0"),
-		Addresses: addresses, Slots: e.Slots, Connections: e.Connections, ServiceTime: serviceTime, Cold: cold, Blocks: blocks,
-		Pick: func() (netip.AddrPort, bool) { return f.pickFrom(e.Domain) }, Ledger: f.ledger, Now: f.config.Now,
+		Addresses: addresses, Slots: e.Slots, Connections: e.Connections, ServiceTime: serviceTime, Warmup: warmup, Blocks: blocks,
+		Pick: func() (netip.AddrPort, bool) { return f.pickEntry(e.Domain) }, Ledger: f.ledger, Now: f.config.Now,
 	})
 	if err != nil {
 		return nil, err
@@ -197,15 +197,15 @@
 	if err != nil {
 		return err
 	}
-	i, err := instance.New(instance.Config{Settings: f.settings, Name: name, Log: logger, Now: f.config.Now, Placement: f.config.Placement, Blocked: f.blockedFrom(name)})
+	inst, err := instance.New(instance.Config{Settings: f.settings, Name: name, Log: logger, Now: f.config.Now, Placement: f.config.Placement, Blocked: f.blockFunc(name)})
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
-	f.instances[name] = i
+	f.instances[name] = inst
 	f.mu.Unlock()
 	f.group.Go(func() {
-		if err := i.Run(ctx); err != nil {
+		if err := inst.Run(ctx); err != nil {
 			f.mu.Lock()
 			f.runErrors = append(f.runErrors, fmt.Errorf("%s: %w", name, err))
 			f.mu.Unlock()
@@ -215,78 +215,78 @@
 	if err != nil {
 		return err
 	}
-	f.group.Go(func() { f.announce(ctx, i, name, own.Packets) })
+	f.group.Go(func() { f.announceWhenReady(ctx, inst, name, own.Packets) })
 	return nil
 }
 
-// announce lets the fabric use an instance once it is ready, as a fabric that
+// announceWhenReady lets the fabric use an instance once it is ready, as a fabric that
 // checks its next hops does.
-func (f *fleet) announce(ctx context.Context, i *instance.Instance, name string, at netip.AddrPort) {
-	const every = 20 * time.Millisecond
-	ticker := time.NewTicker(every)
+func (f *fleet) announceWhenReady(ctx context.Context, inst *instance.Instance, name string, addr netip.AddrPort) {
+	const pollInterval = 20 * time.Millisecond
+	ticker := time.NewTicker(pollInterval)
 	defer ticker.Stop()
-	for !i.Ready() {
+	for !inst.Ready() {
 		select {
 		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
 	}
-	f.fabric.AddEntry(name, at)
+	f.fabric.AddEntry(name, addr)
 }
 
-// apart reports whether the cut runs between two domains.
-func (f *fleet) apart(a, b string) bool {
-	cut := f.cut.Load()
-	return cut != nil && (a == *cut) != (b == *cut)
+// separated reports whether the cut runs between two domains.
+func (f *fleet) separated(a, b string) bool {
+	partitioned := f.partitioned.Load()
+	return partitioned != nil && (a == *partitioned) != (b == *partitioned)
 }
 
-// blockedFrom tells which addresses an instance cannot reach now.
-func (f *fleet) blockedFrom(name string) func(netip.AddrPort) bool {
+// blockFunc tells which addresses an instance cannot reach now.
+func (f *fleet) blockFunc(name string) func(netip.AddrPort) bool {
 	own, err := f.settings.Instance(name)
 	return func(to netip.AddrPort) bool {
-		if err != nil || f.cut.Load() == nil {
+		if err != nil || f.partitioned.Load() == nil {
 			return false
 		}
 		f.mu.Lock()
 		domain, known := f.domainOf[to]
 		f.mu.Unlock()
-		return known && f.apart(own.Domain, domain)
+		return known && f.separated(own.Domain, domain)
 	}
 }
 
-// pickFrom returns an entry that a backend server can reach.
-func (f *fleet) pickFrom(domain string) (netip.AddrPort, bool) {
+// pickEntry returns an entry that a backend server can reach.
+func (f *fleet) pickEntry(domain string) (netip.AddrPort, bool) {
 	return f.fabric.PickAmong(func(name string) bool {
 		i, err := f.settings.Instance(name)
-		return err == nil && !f.apart(domain, i.Domain)
+		return err == nil && !f.separated(domain, i.Domain)
 	})
 }
 
-// cutOff cuts a domain off from the others and from the callers, or joins it.
-func (f *fleet) cutOff(domain string, off bool) {
+// setPartitioned cuts a domain off from the others and from the callers, or joins it.
+func (f *fleet) setPartitioned(domain string, on bool) {
 	var names []string
 	for _, i := range f.settings.Instances {
 		if i.Domain == domain {
 			names = append(names, i.Name)
 		}
 	}
-	if off {
-		f.cut.Store(&domain)
+	if on {
+		f.partitioned.Store(&domain)
 	} else {
-		f.cut.Store(nil)
+		f.partitioned.Store(nil)
 	}
-	f.fabric.Hide(names, off)
+	f.fabric.SetHidden(names, on)
 }
 
-// acceptAll has the whole example accepted; an operator would run
+// submitAll has the whole example accepted; an operator would run
 // `oxbowsaddle accept`.
-func (f *fleet) acceptAll(ctx context.Context) error {
+func (f *fleet) submitAll(ctx context.Context) error {
 	var objects []*wire.Object
 	for name, body := range f.templates {
 		objects = append(objects, &wire.Object{Kind: intent.KindTemplate, Name: name, Body: body})
 	}
-	for name := range f.document {
+	for name := range f.services {
 		objects = append(objects, f.serviceObject(name))
 	}
 	team, err := json.Marshal(f.team)
@@ -294,44 +294,44 @@
 		return err
 	}
 	objects = append(objects, &wire.Object{Kind: intent.KindTeam, Name: f.teamName, Body: team})
-	return f.accept(ctx, objects)
+	return f.submit(ctx, objects)
 }
 
 func (f *fleet) serviceObject(name string) *wire.Object {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	body, err := json.Marshal(f.document[name])
+	body, err := json.Marshal(f.services[name])
 	if err != nil {
 		return nil
 	}
 	return &wire.Object{Kind: intent.KindService, Name: name, Body: body}
 }
 
-// accept offers a change to one instance after the other until it is taken;
+// submit offers a change to one instance after the other until it is taken;
 // the same id makes it count once.
-func (f *fleet) accept(ctx context.Context, objects []*wire.Object) error {
-	const tries, pause = 40, 250 * time.Millisecond
+func (f *fleet) submit(ctx context.Context, objects []*wire.Object) error {
+	const maxAttempts, retryInterval = 40, 250 * time.Millisecond
 	f.changes++
 	change := &wire.Change{Id: fmt.Sprintf("demo-%d", f.changes), Author: "demo", Base: 1 << 62, Objects: objects}
-	var last string
-	for try := range tries {
+	var lastReply string
+	for try := range maxAttempts {
 		target := f.settings.Instances[try%len(f.settings.Instances)]
-		kind, err := submit(ctx, target.Control, change)
-		if err == nil && (kind.Kind == "accepted" || kind.Kind == "already accepted") {
+		reply, err := submitOnce(ctx, target.Control, change)
+		if err == nil && (reply.Kind == "accepted" || reply.Kind == "already accepted") {
 			return nil
 		}
 		if err == nil {
-			last = fmt.Sprint(kind.Kind, " ", kind.Detail, " ", kind.Faults)
-			if kind.Kind == "invalid" || kind.Kind == "conflict" || kind.Kind == "needs confirmation" {
+			lastReply = fmt.Sprint(reply.Kind, " ", reply.Detail, " ", reply.Faults)
+			if reply.Kind == "invalid" || reply.Kind == "conflict" || reply.Kind == "needs confirmation" {
 				break
 			}
 		}
-		time.Sleep(pause)
+		time.Sleep(retryInterval)
 	}
-	return fmt.Errorf("the example was not accepted: %s", last)
+	return fmt.Errorf("the example was not accepted: %s", lastReply)
 }
 
-func submit(ctx context.Context, addr netip.AddrPort, c *wire.Change) (*wire.SubmitReply, error) {
+func submitOnce(ctx context.Context, addr netip.AddrPort, c *wire.Change) (*wire.SubmitReply, error) {
 	client, done, err := instance.Dial(ctx, addr, settings.TLS{})
 	if err != nil {
 		return nil, err
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	shortFlow       = 700 * time.Millisecond
-	requestDeadline = 3 * time.Second
+	downloadDuration = 700 * time.Millisecond
+	requestDeadline  = 3 * time.Second
 )
 
 // startTraffic starts the callers of every class until the given time: long
 // feeds and short downloads on flow classes, requests on work classes.
 func (r *run) startTraffic(ctx context.Context, group *sync.WaitGroup, until time.Time) {
-	for service := range r.fleet.document {
-		var s intent.Service
-		if json.Unmarshal(r.fleet.serviceObject(service).Body, &s) != nil {
+	for service := range r.fleet.services {
+		var spec intent.Service
+		if json.Unmarshal(r.fleet.serviceObject(service).Body, &spec) != nil {
 			continue
 		}
-		for _, class := range s.Classes {
+		for _, class := range spec.Classes {
 			switch {
 			case class.Kind == intent.ClassWork:
-				r.startRequests(ctx, group, until, service, s, class)
+				r.startRequests(ctx, group, until, service, spec, class)
 			case service == r.firstService():
-				r.startFeeds(ctx, group, until, class, feedPerUnit*len(s.Endpoints))
+				r.startFeeds(ctx, group, until, class, feedsPerEndpoint*len(spec.Endpoints))
 			default:
-				r.startDownloads(ctx, group, until, class, 8*len(s.Endpoints))
+				r.startDownloads(ctx, group, until, class, 8*len(spec.Endpoints))
 			}
 		}
 	}
@@ -43,8 +43,8 @@
 		delay := rand.N(2 * time.Second)
 		group.Go(func() {
 			time.Sleep(delay)
-			left := until.Sub(r.fleet.config.Now())
-			r.fleet.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: feedEvery, Lasts: left})
+			remaining := until.Sub(r.fleet.config.Now())
+			r.fleet.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: feedInterval, Lasts: remaining})
 		})
 	}
 }
@@ -54,26 +54,26 @@
 	for range n {
 		group.Go(func() {
 			for r.fleet.config.Now().Before(until) && ctx.Err() == nil {
-				lasts := shortFlow/2 + rand.N(shortFlow)
-				r.fleet.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: shortFlow / 10, Lasts: lasts})
+				duration := downloadDuration/2 + rand.N(downloadDuration)
+				r.fleet.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: downloadDuration / 10, Lasts: duration})
 			}
 		})
 	}
 }
 
 // startRequests keeps the slots of a service about two thirds busy.
-func (r *run) startRequests(ctx context.Context, group *sync.WaitGroup, until time.Time, service string, s intent.Service, class intent.Class) {
+func (r *run) startRequests(ctx context.Context, group *sync.WaitGroup, until time.Time, service string, spec intent.Service, class intent.Class) {
 	slots := 0
-	for _, e := range s.Endpoints {
+	for _, e := range spec.Endpoints {
 		slots += e.Slots
 	}
-	blocks := service != r.firstService()
+	blockwise := service != r.firstService()
 	callers := max(slots/3, 2)
 	for range callers {
 		group.Go(func() {
 			for r.fleet.config.Now().Before(until) && ctx.Err() == nil {
 				r.fleet.callers.Request(ctx, standin.RequestConfig{
-					Class: class.Name, To: class.Address, Once: !class.Repeatable, Deadline: requestDeadline, Blocks: blocks,
+					Class: class.Name, To: class.Address, Once: !class.Repeatable, Deadline: requestDeadline, Blockwise: blockwise,
 				})
 				time.Sleep(rand.N(10 * time.Millisecond))
 			}
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -64,14 +64,14 @@
 }
 
 // Name returns the short name of the kind.
-func (k Kind) Name() string { return k.Answer().name }
+func (kind Kind) Name() string { return kind.Answer().name }
 
 // Answer returns the row of the table for the kind.
-func (k Kind) Answer() Answer {
-	if k < 0 || k >= kindCount {
+func (kind Kind) Answer() Answer {
+	if kind < 0 || kind >= kindCount {
 		return answers[Internal]
 	}
-	return answers[k]
+	return answers[kind]
 }
 
 // ExitCode returns the exit code of a command that ends with this answer.
--- a/internal/fault/fault_test.go
+++ b/internal/fault/fault_test.go
@@ -7,7 +7,7 @@
 	"github.com/onsi/gomega"
 )
 
-func TestEveryKindHasAnAnswer(t *testing.T) {
+func TestEveryKindHasANameAndExitCode(t *testing.T) {
 	g := gomega.NewWithT(t)
 	codes := map[int]Kind{}
 	for k := range kindCount {
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -19,10 +19,10 @@
 )
 
 const (
-	healthLag    = 500 * time.Millisecond
-	coldFactor   = 3
-	blockBytes   = 256
-	blockSize256 = 4 // SZX of RFC 7959 for blocks of 256 bytes
+	healthCacheTime = 500 * time.Millisecond
+	warmupSlowdown  = 3
+	blockBytes      = 256
+	blockSize256    = 4 // SZX of RFC 7959 for blocks of 256 bytes
 )
 
 type (
@@ -36,7 +36,7 @@
 		Slots       int
 		Connections int
 		ServiceTime time.Duration
-		Cold        time.Duration // it is slow so long after its start
+		Warmup      time.Duration // it is slow so long after its start
 		Blocks      uint32        // of a block-wise answer; 0 is one message
 		Pick        func() (netip.AddrPort, bool)
 		Ledger      *Ledger
@@ -47,21 +47,21 @@
 	// flows, runs requests in slots, refuses what is above them, obeys
 	// cancellation and deadlines, and tells its health with a lag.
 	Backend struct {
-		config  BackendConfig
-		conn    *net.UDPConn
-		http    *http.Server
-		encoder *packet.Encoder
-		began   time.Time
-		mu      sync.Mutex
-		flows   map[packet.Tuple]bool
-		running map[string]*time.Timer
-		seen    map[string]bool // CoAP message ids, RFC 7252 section 4.5
-		lying   bool
-		told    healthAnswer
-		toldAt  time.Time
+		config       BackendConfig
+		conn         *net.UDPConn
+		http         *http.Server
+		encoder      *packet.Encoder
+		started      time.Time
+		mu           sync.Mutex
+		flows        map[packet.Tuple]bool
+		running      map[string]*time.Timer
+		seen         map[string]bool // CoAP message ids, RFC 7252 section 4.5
+		reportDown   bool
+		cachedHealth healthReport
+		cachedAt     time.Time
 	}
 
-	healthAnswer struct {
+	healthReport struct {
 		Healthy     bool `json:"healthy"`
 		Leaving     bool `json:"leaving"`
 		Shedding    bool `json:"shedding"`
@@ -81,7 +81,7 @@
 		return nil, errors.Join(err, conn.Close())
 	}
 	b := &Backend{
-		config: c, conn: conn, encoder: encoder, began: c.Now(), flows: map[packet.Tuple]bool{},
+		config: c, conn: conn, encoder: encoder, started: c.Now(), flows: map[packet.Tuple]bool{},
 		running: map[string]*time.Timer{}, seen: map[string]bool{},
 	}
 	listener, err := net.Listen("tcp", c.HealthAddr.String())
@@ -92,13 +92,13 @@
 	mux.HandleFunc("/health", b.health)
 	b.config.HealthAddr = netip.MustParseAddrPort(listener.Addr().String())
 	b.http = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
-	go b.runHealth(listener)
+	go b.serveHealth(listener)
 	go b.run()
 	return b, nil
 }
 
-// runHealth answers health checks until the server is closed.
-func (b *Backend) runHealth(listener net.Listener) { _ = b.http.Serve(listener) }
+// serveHealth answers health checks until the server is closed.
+func (b *Backend) serveHealth(listener net.Listener) { _ = b.http.Serve(listener) }
 
 // Name returns the endpoint's name.
 func (b *Backend) Name() string { return b.config.Name }
@@ -116,11 +116,11 @@
 	return len(b.flows)
 }
 
-// Lie makes its health endpoint tell that it is down and idle.
-func (b *Backend) Lie(on bool) {
+// ReportDown makes its health endpoint tell that it is down and idle.
+func (b *Backend) ReportDown(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lying = on
+	b.reportDown = on
 }
 
 // Close ends the endpoint.
@@ -134,13 +134,13 @@
 func (b *Backend) health(w http.ResponseWriter, _ *http.Request) {
 	b.mu.Lock()
 	now := b.config.Now()
-	if now.Sub(b.toldAt) > healthLag {
-		b.toldAt = now
-		b.told = healthAnswer{Healthy: true, Connections: len(b.flows), Running: len(b.running)}
+	if now.Sub(b.cachedAt) > healthCacheTime {
+		b.cachedAt = now
+		b.cachedHealth = healthReport{Healthy: true, Connections: len(b.flows), Running: len(b.running)}
 	}
-	answer := b.told
-	if b.lying {
-		answer = healthAnswer{}
+	answer := b.cachedHealth
+	if b.reportDown {
+		answer = healthReport{}
 	}
 	b.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
@@ -159,20 +159,20 @@
 		if err != nil || d.Decode(buffer[:n], &p) != packet.Decoded {
 			continue
 		}
-		if !b.mine(p.Tuple().Dst()) {
-			b.config.Ledger.misdelivered()
+		if !b.servesAddress(p.Tuple().Dst()) {
+			b.config.Ledger.recordMisdelivered()
 			continue
 		}
 		if p.Tuple().Transport() == packet.TCP {
 			seq, _ := d.TCPSequence()
-			b.takeFlow(&p, seq)
+			b.handleTCP(&p, seq)
 		} else {
-			b.takeWork(p.Clone())
+			b.handleRequest(p.Clone())
 		}
 	}
 }
 
-func (b *Backend) mine(addr netip.AddrPort) bool {
+func (b *Backend) servesAddress(addr netip.AddrPort) bool {
 	for _, a := range b.config.Addresses {
 		if a == addr {
 			return true
@@ -181,9 +181,9 @@
 	return false
 }
 
-// takeFlow answers a TCP packet; data is echoed, so that the caller can check
+// handleTCP answers a TCP packet; data is echoed, so that the caller can check
 // that the whole answer to its own request came.
-func (b *Backend) takeFlow(p *packet.Packet, seq uint32) {
+func (b *Backend) handleTCP(p *packet.Packet, seq uint32) {
 	b.mu.Lock()
 	held := b.flows[p.Tuple()]
 	full := len(b.flows) >= b.config.Connections
@@ -191,12 +191,12 @@
 	switch {
 	case p.Flags().Opens() && (held || !full):
 		if !held {
-			b.config.Ledger.opened(b.config.Name)
+			b.config.Ledger.recordAccepted(b.config.Name)
 		}
 		b.flows[p.Tuple()] = true
 		answer = packet.NewFlags(true, true, false, false)
 	case p.Flags().Opens():
-		b.config.Ledger.overfull()
+		b.config.Ledger.recordOverfull()
 		answer = packet.NewFlags(false, true, false, true)
 	case held && p.Flags().Ends():
 		delete(b.flows, p.Tuple())
@@ -221,15 +221,15 @@
 	}
 }
 
-// takeWork runs a request in a slot, or refuses it before it begins.
-func (b *Backend) takeWork(p *packet.Packet) {
+// handleRequest runs a request in a slot, or refuses it before it begins.
+func (b *Backend) handleRequest(p *packet.Packet) {
 	m, err := work.Decode(p.Payload())
 	if err != nil {
 		return
 	}
-	key := callerKey(p.Tuple().Src()) + string(m.Token)
+	key := callerPrefix(p.Tuple().Src()) + string(m.Token)
 	if m.IsReset() {
-		b.cancel(p.Tuple().Src(), m.MessageID)
+		b.cancelRequests(p.Tuple().Src(), m.MessageID)
 		return
 	}
 	if !m.IsRequest() {
@@ -237,37 +237,37 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	id := messageName(p.Tuple().Src(), m.MessageID)
+	id := messageKey(p.Tuple().Src(), m.MessageID)
 	if b.seen[id+string(m.Token)] {
 		return
 	}
 	if len(b.running) >= b.config.Slots {
-		b.config.Ledger.refusedBy(b.config.Name)
-		b.answer(p.Tuple(), m, codes.ServiceUnavailable, "no slot", 0)
+		b.config.Ledger.recordRefusal(b.config.Name)
+		b.sendResponse(p.Tuple(), m, codes.ServiceUnavailable, "no slot", 0)
 		return
 	}
 	b.seen[id+string(m.Token)] = true
-	b.config.Ledger.ran(m.Token, b.config.Name)
-	took := b.config.ServiceTime
-	if b.config.Now().Sub(b.began) < b.config.Cold {
-		took *= coldFactor
+	b.config.Ledger.recordExecution(m.Token, b.config.Name)
+	duration := b.config.ServiceTime
+	if b.config.Now().Sub(b.started) < b.config.Warmup {
+		duration *= warmupSlowdown
 	}
 	if left, said := m.Left(); said {
-		took = min(took, left)
+		duration = min(duration, left)
 	}
 	block, _ := m.Block()
-	b.running[key] = time.AfterFunc(took, func() { b.finish(p.Tuple(), m, key, block) })
+	b.running[key] = time.AfterFunc(duration, func() { b.completeRequest(p.Tuple(), m, key, block) })
 }
 
-// callerKey is the part of a request's key that names its caller; each caller
+// callerPrefix is the part of a request's key that names its caller; each caller
 // of the stand-ins has one request at a time.
-func callerKey(caller netip.AddrPort) string { return caller.String() + "/" }
+func callerPrefix(caller netip.AddrPort) string { return caller.String() + "/" }
 
-func messageName(caller netip.AddrPort, id int32) string {
+func messageKey(caller netip.AddrPort, id int32) string {
 	return caller.String() + string([]byte{byte(id >> 8), byte(id)})
 }
 
-func (b *Backend) finish(t packet.Tuple, m work.Message, key string, block uint32) {
+func (b *Backend) completeRequest(t packet.Tuple, m work.Message, key string, block uint32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.running[key] == nil {
@@ -278,23 +278,23 @@
 	if b.config.Blocks > 0 && m.Code == codes.GET {
 		text += string(make([]byte, blockBytes-len(text)))
 	}
-	b.answer(t, m, codes.Content, text, block)
+	b.sendResponse(t, m, codes.Content, text, block)
 }
 
-// cancel frees the slot of a request; the message id names it.
-func (b *Backend) cancel(caller netip.AddrPort, _ int32) {
+// cancelRequests frees the slot of a request; the message id names it.
+func (b *Backend) cancelRequests(caller netip.AddrPort, _ int32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for key, timer := range b.running {
-		if strings.HasPrefix(key, callerKey(caller)) {
+		if strings.HasPrefix(key, callerPrefix(caller)) {
 			timer.Stop()
 			delete(b.running, key)
-			b.config.Ledger.cancelled()
+			b.config.Ledger.recordCancelled()
 		}
 	}
 }
 
-func (b *Backend) answer(t packet.Tuple, m work.Message, code codes.Code, text string, block uint32) {
+func (b *Backend) sendResponse(t packet.Tuple, m work.Message, code codes.Code, text string, block uint32) {
 	answer := work.Message{Message: message.Message{
 		Token: m.Token, Code: code, Type: message.NonConfirmable, MessageID: m.MessageID, Payload: []byte(text),
 	}}
--- a/internal/standin/fabric.go
+++ b/internal/standin/fabric.go
@@ -23,14 +23,14 @@
 	// Fabric hands packets of callers to entries at random, and answers that
 	// entries send it to the callers.
 	Fabric struct {
-		conn    *net.UDPConn
-		encoder *packet.Encoder
-		mu      sync.Mutex
-		rng     *rand.Rand
-		entries map[string]netip.AddrPort
-		hidden  map[string]bool // cut off from the callers
-		order   []netip.AddrPort
-		callers map[netip.AddrPort]func(*packet.Packet)
+		conn      *net.UDPConn
+		encoder   *packet.Encoder
+		mu        sync.Mutex
+		rng       *rand.Rand
+		entries   map[string]netip.AddrPort
+		hidden    map[string]bool // cut off from the callers
+		reachable []netip.AddrPort
+		receivers map[netip.AddrPort]func(*packet.Packet)
 	}
 )
 
@@ -46,7 +46,7 @@
 	}
 	f := &Fabric{
 		conn: conn, encoder: encoder, rng: rand.New(rand.NewPCG(seed, 5)),
-		entries: map[string]netip.AddrPort{}, hidden: map[string]bool{}, callers: map[netip.AddrPort]func(*packet.Packet){},
+		entries: map[string]netip.AddrPort{}, hidden: map[string]bool{}, receivers: map[netip.AddrPort]func(*packet.Packet){},
 	}
 	go f.run()
 	return f, nil
@@ -83,7 +83,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entries[name] = addr
-	f.reorder()
+	f.updateReachable()
 }
 
 // RemoveEntry ends that.
@@ -91,66 +91,66 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.entries, name)
-	f.reorder()
+	f.updateReachable()
 }
 
-func (f *Fabric) reorder() {
-	f.order = f.order[:0]
+func (f *Fabric) updateReachable() {
+	f.reachable = f.reachable[:0]
 	for name, addr := range f.entries {
 		if !f.hidden[name] {
-			f.order = append(f.order, addr)
+			f.reachable = append(f.reachable, addr)
 		}
 	}
 }
 
-// Hide cuts entries off from the callers, or joins them again.
-func (f *Fabric) Hide(names []string, hidden bool) {
+// SetHidden cuts entries off from the callers, or joins them again.
+func (f *Fabric) SetHidden(names []string, hidden bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, name := range names {
 		f.hidden[name] = hidden
 	}
-	f.reorder()
+	f.updateReachable()
 }
 
 // PickAmong returns one of some entries at random, hidden or not.
-func (f *Fabric) PickAmong(may func(name string) bool) (netip.AddrPort, bool) {
+func (f *Fabric) PickAmong(allowed func(name string) bool) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var found []netip.AddrPort
+	var candidates []netip.AddrPort
 	for name, addr := range f.entries {
-		if may(name) {
-			found = append(found, addr)
+		if allowed(name) {
+			candidates = append(candidates, addr)
 		}
 	}
-	if len(found) == 0 {
+	if len(candidates) == 0 {
 		return netip.AddrPort{}, false
 	}
-	return found[f.rng.IntN(len(found))], true
+	return candidates[f.rng.IntN(len(candidates))], true
 }
 
 // Pick returns an entry at random, as the fabric would.
 func (f *Fabric) Pick() (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.order) == 0 {
+	if len(f.reachable) == 0 {
 		return netip.AddrPort{}, false
 	}
-	return f.order[f.rng.IntN(len(f.order))], true
+	return f.reachable[f.rng.IntN(len(f.reachable))], true
 }
 
 // Attach names the receiver of packets to a caller's address.
-func (f *Fabric) Attach(caller netip.AddrPort, take func(*packet.Packet)) {
+func (f *Fabric) Attach(caller netip.AddrPort, receive func(*packet.Packet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.callers[caller] = take
+	f.receivers[caller] = receive
 }
 
 // Detach ends that.
 func (f *Fabric) Detach(caller netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.callers, caller)
+	delete(f.receivers, caller)
 }
 
 // Send hands a caller's packet to an entry at random.
@@ -176,10 +176,10 @@
 			continue
 		}
 		f.mu.Lock()
-		take := f.callers[p.Tuple().Dst()]
+		receive := f.receivers[p.Tuple().Dst()]
 		f.mu.Unlock()
-		if take != nil {
-			take(p.Clone())
+		if receive != nil {
+			receive(p.Clone())
 		}
 	}
 }
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -11,17 +11,17 @@
 	// Ledger counts what callers and backend servers have seen. Nothing in it
 	// comes from the balancer.
 	Ledger struct {
-		mu      sync.Mutex
-		now     func() time.Time
-		counts  Counts
-		runs    map[string]int  // by token
-		denied  map[string]bool // tokens whose callers were told "not run"
-		once    map[string]bool // tokens that may run only once
-		latency map[string]*hdrhistogram.Histogram
-		opens   map[string]int       // by endpoint
-		faults  []time.Time          // of unplanned events
-		leaving map[string]time.Time // endpoints, since when
-		reasons map[string]int
+		mu              sync.Mutex
+		now             func() time.Time
+		counts          Counts
+		executions      map[string]int  // by token
+		reportedNotRun  map[string]bool // tokens whose callers were told "not run"
+		nonRepeatable   map[string]bool // tokens that may run only once
+		latency         map[string]*hdrhistogram.Histogram
+		opens           map[string]int       // by endpoint
+		unplannedEvents []time.Time          // of unplanned events
+		drainStarted    map[string]time.Time // endpoints, since when
+		reasons         map[string]int
 	}
 
 	// Counts is the result.
@@ -49,17 +49,17 @@
 )
 
 const (
-	slowest      = 60_000_000 // microseconds
-	figures      = 3
-	unplannedFor = 8 * time.Second
-	leavingBound = 3 * time.Second
+	maxLatency        = 60_000_000 // microseconds
+	significantDigits = 3
+	unplannedWindow   = 8 * time.Second
+	drainGrace        = 3 * time.Second
 )
 
 // NewLedger returns an empty ledger.
 func NewLedger(now func() time.Time) *Ledger {
 	return &Ledger{
-		now: now, runs: map[string]int{}, denied: map[string]bool{}, once: map[string]bool{},
-		latency: map[string]*hdrhistogram.Histogram{}, opens: map[string]int{}, reasons: map[string]int{}, leaving: map[string]time.Time{},
+		now: now, executions: map[string]int{}, reportedNotRun: map[string]bool{}, nonRepeatable: map[string]bool{},
+		latency: map[string]*hdrhistogram.Histogram{}, opens: map[string]int{}, reasons: map[string]int{}, drainStarted: map[string]time.Time{},
 	}
 }
 
@@ -102,11 +102,11 @@
 	return nil
 }
 
-// Unplanned notes an unplanned event: what breaks soon after counts as such.
-func (l *Ledger) Unplanned() {
+// RecordUnplannedEvent notes an unplanned event: what breaks soon after counts as such.
+func (l *Ledger) RecordUnplannedEvent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.faults = append(l.faults, l.now())
+	l.unplannedEvents = append(l.unplannedEvents, l.now())
 }
 
 func (l *Ledger) update(f func(*Counts)) {
@@ -115,47 +115,47 @@
 	f(&l.counts)
 }
 
-func (l *Ledger) misdelivered() { l.update(func(c *Counts) { c.Misdelivered++ }) }
-func (l *Ledger) overfull()     { l.update(func(c *Counts) { c.Overfull++ }) }
-func (l *Ledger) cancelled()    { l.update(func(c *Counts) { c.Cancelled++ }) }
-func (l *Ledger) crossed()      { l.update(func(c *Counts) { c.Crossed++ }) }
-func (l *Ledger) incomplete()   { l.update(func(c *Counts) { c.Incomplete++ }) }
-func (l *Ledger) flowBegan()    { l.update(func(c *Counts) { c.Flows++; c.FlowsOpen++ }) }
-func (l *Ledger) flowEnded()    { l.update(func(c *Counts) { c.FlowsOpen-- }) }
-func (l *Ledger) notOpened()    { l.update(func(c *Counts) { c.NotOpened++; c.FlowsOpen-- }) }
-func (l *Ledger) refusedBy(string) {
+func (l *Ledger) recordMisdelivered() { l.update(func(c *Counts) { c.Misdelivered++ }) }
+func (l *Ledger) recordOverfull()     { l.update(func(c *Counts) { c.Overfull++ }) }
+func (l *Ledger) recordCancelled()    { l.update(func(c *Counts) { c.Cancelled++ }) }
+func (l *Ledger) recordCrossed()      { l.update(func(c *Counts) { c.Crossed++ }) }
+func (l *Ledger) recordIncomplete()   { l.update(func(c *Counts) { c.Incomplete++ }) }
+func (l *Ledger) recordFlowStart()    { l.update(func(c *Counts) { c.Flows++; c.FlowsOpen++ }) }
+func (l *Ledger) recordFlowEnd()      { l.update(func(c *Counts) { c.FlowsOpen-- }) }
+func (l *Ledger) recordNotOpened()    { l.update(func(c *Counts) { c.NotOpened++; c.FlowsOpen-- }) }
+func (l *Ledger) recordRefusal(string) {
 	l.update(func(c *Counts) { c.RefusedByServer++ })
 }
 
-func (l *Ledger) opened(endpoint string) {
+func (l *Ledger) recordAccepted(endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.opens[endpoint]++
-	l.checkLeaving(endpoint)
+	l.checkDraining(endpoint)
 }
 
-// Leaving notes that an endpoint gets no new work a few seconds from now.
-func (l *Ledger) Leaving(endpoint string) {
+// RecordDrain notes that an endpoint gets no new work a few seconds from now.
+func (l *Ledger) RecordDrain(endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.leaving[endpoint] = l.now()
+	l.drainStarted[endpoint] = l.now()
 }
 
-func (l *Ledger) checkLeaving(endpoint string) {
-	if since, leaving := l.leaving[endpoint]; leaving && l.now().Sub(since) > leavingBound {
+func (l *Ledger) checkDraining(endpoint string) {
+	if since, draining := l.drainStarted[endpoint]; draining && l.now().Sub(since) > drainGrace {
 		l.counts.LateNew++
 	}
 }
 
-// broken counts a flow that ended without its caller or backend server
+// recordBroken counts a flow that ended without its caller or backend server
 // wanting it.
-func (l *Ledger) broken(reason string) {
+func (l *Ledger) recordBroken(reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.FlowsOpen--
 	l.reasons[reason]++
-	for _, at := range l.faults {
-		if l.now().Sub(at) < unplannedFor {
+	for _, at := range l.unplannedEvents {
+		if l.now().Sub(at) < unplannedWindow {
 			l.counts.BrokenUnplanned++
 			return
 		}
@@ -163,51 +163,51 @@
 	l.counts.BrokenPlanned++
 }
 
-func (l *Ledger) asked(token string, once bool) {
+func (l *Ledger) recordRequest(token string, once bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Requests++
 	if once {
-		l.once[token] = true
+		l.nonRepeatable[token] = true
 	}
 }
 
-func (l *Ledger) ran(token []byte, endpoint string) {
+func (l *Ledger) recordExecution(token []byte, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := string(token)
-	l.runs[key]++
-	l.checkLeaving(endpoint)
-	if l.once[key] && l.runs[key] == 2 {
+	l.executions[key]++
+	l.checkDraining(endpoint)
+	if l.nonRepeatable[key] && l.executions[key] == 2 {
 		l.counts.RanTwice++
 	}
-	if l.denied[key] {
+	if l.reportedNotRun[key] {
 		l.counts.FalseNotRun++
 	}
 }
 
-func (l *Ledger) told(token, class, what string, took time.Duration) {
+func (l *Ledger) recordOutcome(token, class, outcome string, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	switch what {
+	switch outcome {
 	case "answered":
 		l.counts.Answered++
 		h := l.latency[class]
 		if h == nil {
-			h = hdrhistogram.New(1, slowest, figures)
+			h = hdrhistogram.New(1, maxLatency, significantDigits)
 			l.latency[class] = h
 		}
-		_ = h.RecordValue(min(max(took.Microseconds(), 1), slowest))
+		_ = h.RecordValue(min(max(latency.Microseconds(), 1), maxLatency))
 	case "not_run":
 		l.counts.NotRun++
-		l.denied[token] = true
-		if l.runs[token] > 0 {
+		l.reportedNotRun[token] = true
+		if l.executions[token] > 0 {
 			l.counts.FalseNotRun++
 		}
 	case "unknown":
 		l.counts.Unknown++
 	default:
 		l.counts.NoAnswer++
-		l.reasons["request_"+what]++
+		l.reasons["request_"+outcome]++
 	}
 }
