--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -1,4 +1,5 @@
-// Package cmd holds the commands of the one binary, one file a command.
+// Package cmd implements the oxbowsaddle command line, with one file per
+// command.
 package cmd
 
 import (
@@ -23,18 +24,18 @@
 )
 
 const (
-	callTimeout   = 10 * time.Second
-	defaultTarget = "127.0.0.1:8100"
+	callTimeout = 10 * time.Second
+	defaultAddr = "127.0.0.1:8100"
 )
 
-// UsageError marks an error of the command line itself.
+// UsageError marks an error in the flags or arguments of a command.
 type UsageError struct{ Err error }
 
-// Error returns what is wrong with the line.
+// Error returns the message of the wrapped error.
 func (e UsageError) Error() string { return e.Err.Error() }
 
-// Main runs the command line, with more commands beside its own, and returns
-// the exit code.
+// Main runs the command given by args and returns the exit code. The commands
+// in more are added to the built-in ones.
 func Main(args []string, out, errOut io.Writer, more ...*cobra.Command) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -56,14 +57,15 @@
 	return kind.Answer().ExitCode()
 }
 
-// isUsageError reports whether the command line library itself refused the line.
+// isUsageError reports whether err is one of cobra's own usage errors, which
+// have no error type.
 func isUsageError(err error) bool {
 	return strings.HasPrefix(err.Error(), "unknown command") || strings.HasPrefix(err.Error(), "required flag")
 }
 
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
-		Use: "oxbowsaddle", Short: "a layer-4 load balancer that keeps flows up and explains itself",
+		Use: "oxbowsaddle", Short: "a layer-4 load balancer that keeps flows alive and explains its decisions",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return UsageError{err} })
@@ -72,25 +74,25 @@
 	return root
 }
 
-// connection is how a command reaches an instance.
+// connection holds the flags that tell a command how to reach an instance.
 type connection struct {
 	addr        string
 	certificate string
 	key         string
 	authority   string
 	output      string
-	extraTime   time.Duration // how much longer than callTimeout the call may take
+	extraTime   time.Duration // added to callTimeout
 }
 
 func (conn *connection) addFlags(c *cobra.Command) {
-	c.Flags().StringVar(&conn.addr, "addr", defaultTarget, "control address of any instance")
-	c.Flags().StringVar(&conn.certificate, "certificate", "", "operator's certificate, for mutual TLS")
-	c.Flags().StringVar(&conn.key, "key", "", "operator's key")
-	c.Flags().StringVar(&conn.authority, "authority", "", "certificate of the authority")
-	c.Flags().StringVar(&conn.output, "output", "text", "text or json")
+	c.Flags().StringVar(&conn.addr, "addr", defaultAddr, "control address of an instance; any one will do")
+	c.Flags().StringVar(&conn.certificate, "certificate", "", "certificate file of the operator, for mutual TLS")
+	c.Flags().StringVar(&conn.key, "key", "", "private key file of the operator")
+	c.Flags().StringVar(&conn.authority, "authority", "", "certificate file of the certificate authority")
+	c.Flags().StringVar(&conn.output, "output", "text", "output format: text or json")
 }
 
-// call connects to the instance and makes one call.
+// call connects to the instance, runs send, and closes the connection.
 func (conn *connection) call(ctx context.Context, send func(context.Context, wire.DRPCControlClient) error) error {
 	addr, err := netip.ParseAddrPort(conn.addr)
 	if err != nil {
@@ -108,15 +110,16 @@
 	return errors.Join(send(ctx, client), closeConn())
 }
 
-// query is one use of a command that asks an instance.
+// query is what a query command needs to run.
 type query struct {
 	client wire.DRPCControlClient
 	args   []string
 	out    io.Writer
-	json   bool // a script reads the answer
+	json   bool // print JSON instead of text
 }
 
-// newQueryCommand returns a command with n arguments that asks an instance.
+// newQueryCommand returns a command that takes argCount arguments, connects to
+// an instance and calls run.
 func newQueryCommand(use, short string, argCount int, run func(ctx context.Context, q query) error) *cobra.Command {
 	var conn connection
 	c := &cobra.Command{
@@ -131,13 +134,14 @@
 	return c
 }
 
-// getStatus asks an instance what it holds.
+// getStatus fetches the status of an instance, with the accepted changes if
+// history is set.
 func getStatus(ctx context.Context, client wire.DRPCControlClient, history bool) (*wire.StatusReply, error) {
 	s, err := client.Status(ctx, &wire.StatusRequest{History: history})
 	return s, fault.Wrap(fault.Unreachable, err)
 }
 
-// replyError returns the error of an answer that names its kind.
+// replyError turns the kind and detail of a reply into an error.
 func replyError(kind, detail string) error {
 	k, err := fault.FromName(kind)
 	if err != nil {
@@ -146,7 +150,7 @@
 	return fault.New(k, "%s", detail)
 }
 
-// PrintJSON writes a value for a script to read.
+// PrintJSON writes v as indented JSON.
 func PrintJSON(w io.Writer, v any) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
--- a/internal/cmd/cmd_accept.go
+++ b/internal/cmd/cmd_accept.go
@@ -15,7 +15,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// changeFlags holds the flags of commands that offer a changeFlags.
+// changeFlags holds the flags of the commands that submit a change.
 type changeFlags struct {
 	connection
 	id      string
@@ -26,10 +26,10 @@
 
 func (f *changeFlags) addFlags(c *cobra.Command) {
 	f.connection.addFlags(c)
-	c.Flags().StringVar(&f.id, "id", "", "change id; made and printed where none is given, so that it can be resent")
-	c.Flags().Uint64Var(&f.base, "base", 0, "revision that the change is based on; 0 takes the present one")
-	c.Flags().BoolVar(&f.confirm, "confirm", false, "confirm a change that leaves a service without endpoints")
-	c.Flags().StringVar(&f.author, "author", "", "who makes the change; your user name where empty")
+	c.Flags().StringVar(&f.id, "id", "", "change id; if empty, a random one is generated and printed, so that the change can be sent again under it")
+	c.Flags().Uint64Var(&f.base, "base", 0, "revision that the change is based on; 0 means the current one")
+	c.Flags().BoolVar(&f.confirm, "confirm", false, "accept a change even if it leaves a service without endpoints")
+	c.Flags().StringVar(&f.author, "author", "", "author of the change; defaults to your user name")
 }
 
 func defaultAuthor() string {
@@ -39,14 +39,14 @@
 	return "unknown"
 }
 
-// cmdAccept has a configuration file accepted.
+// cmdAccept submits a configuration file.
 func cmdAccept() *cobra.Command {
 	var flags changeFlags
 	c := &cobra.Command{
-		Use: "accept FILE", Short: "have a configuration accepted: durable on a majority, then in force everywhere",
-		Long: "Offers every object of the file as one change. The answers: accepted; already accepted (the same id);\n" +
-			"conflict (another change took an object since the base); invalid (every fault); needs confirmation;\n" +
-			"no quorum (nothing decided here; sending the same id again is safe); not current.",
+		Use: "accept FILE", Short: "submit a configuration; once a majority has stored it, it is rolled out to all instances",
+		Long: "Submits all objects of the file as one change. Answers: accepted; already accepted (under the same id);\n" +
+			"conflict (another change has altered an object since the base revision); invalid (with every error); needs\n" +
+			"confirmation; no quorum (outcome unknown; sending the same id again is safe); not current.",
 		Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			objects, err := readObjects(args[0])
@@ -76,7 +76,8 @@
 	return objects, nil
 }
 
-// submit sends the change and prints its answer.
+// submit sends the objects as one change, based on the current revision unless
+// --base is given, and prints the reply.
 func (f *changeFlags) submit(ctx context.Context, out io.Writer, objects []*wire.Object) error {
 	if f.id == "" {
 		f.id = rand.Text()
@@ -101,23 +102,23 @@
 	})
 }
 
-func (f *changeFlags) printReply(out io.Writer, r *wire.SubmitReply) error {
+func (f *changeFlags) printReply(out io.Writer, reply *wire.SubmitReply) error {
 	if f.output == "json" {
-		if err := PrintJSON(out, map[string]any{"id": f.id, "answer": r.Kind, "revision": r.Revision, "detail": r.Detail, "faults": r.Faults}); err != nil {
+		if err := PrintJSON(out, map[string]any{"id": f.id, "answer": reply.Kind, "revision": reply.Revision, "detail": reply.Detail, "faults": reply.Faults}); err != nil {
 			return err
 		}
 	} else {
-		fmt.Fprintf(out, "change id %s: %s", f.id, r.Kind)
-		if r.Revision > 0 {
-			fmt.Fprintf(out, ", revision %d", r.Revision)
+		fmt.Fprintf(out, "change id %s: %s", f.id, reply.Kind)
+		if reply.Revision > 0 {
+			fmt.Fprintf(out, ", revision %d", reply.Revision)
 		}
 		fmt.Fprintln(out)
-		for _, f := range r.Faults {
+		for _, f := range reply.Faults {
 			fmt.Fprintln(out, "  "+f)
 		}
 	}
-	if r.Kind == "accepted" || r.Kind == "already accepted" {
+	if reply.Kind == "accepted" || reply.Kind == "already accepted" {
 		return nil
 	}
-	return replyError(r.Kind, r.Detail)
+	return replyError(reply.Kind, reply.Detail)
 }
--- a/internal/cmd/cmd_control.go
+++ b/internal/cmd/cmd_control.go
@@ -10,15 +10,15 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// cmdControl shows and changes the control instances.
+// cmdControl lists, adds and removes control instances.
 func cmdControl() *cobra.Command {
 	c := &cobra.Command{
-		Use: "control", Short: "show or change the control instances, one at a time",
-		Long: "To replace a lost one: start the new instance with an empty data folder, add it, and remove the lost one.",
+		Use: "control", Short: "list control instances, or add or remove one",
+		Long: "To replace a lost control instance, start the new one with an empty data folder, add it, and remove the lost one.",
 	}
 	c.AddCommand(
 		newVotersCommand("list", "list the control instances", 0, func([]string) *wire.VotersRequest { return &wire.VotersRequest{} }),
-		newVotersCommand("add NAME", "add an instance that the settings name with a data folder", 1, func(args []string) *wire.VotersRequest {
+		newVotersCommand("add NAME", "add a control instance; it must have a data folder in the settings", 1, func(args []string) *wire.VotersRequest {
 			return &wire.VotersRequest{Add: args[0]}
 		}),
 		newVotersCommand("remove NAME", "remove a control instance", 1, func(args []string) *wire.VotersRequest {
@@ -28,19 +28,19 @@
 	return c
 }
 
-func newVotersCommand(use, short string, n int, request func([]string) *wire.VotersRequest) *cobra.Command {
-	return newQueryCommand(use, short, n, func(ctx context.Context, a query) error {
-		r, err := a.client.Voters(ctx, request(a.args))
+func newVotersCommand(use, short string, argCount int, request func([]string) *wire.VotersRequest) *cobra.Command {
+	return newQueryCommand(use, short, argCount, func(ctx context.Context, q query) error {
+		r, err := q.client.Voters(ctx, request(q.args))
 		if err != nil {
 			return fault.Wrap(fault.Unreachable, err)
 		}
 		if r.Kind != "accepted" {
 			return replyError(r.Kind, r.Detail)
 		}
-		if a.json {
-			return PrintJSON(a.out, r.Voters)
+		if q.json {
+			return PrintJSON(q.out, r.Voters)
 		}
-		fmt.Fprintln(a.out, r.Voters)
+		fmt.Fprintln(q.out, r.Voters)
 		return nil
 	})
 }
--- a/internal/cmd/cmd_demo.go
+++ b/internal/cmd/cmd_demo.go
@@ -15,15 +15,15 @@
 	"oxbowsaddle/internal/instance"
 )
 
-// cmdDemo runs the main job: a whole fleet under traffic and events.
+// cmdDemo runs a whole fleet with simulated traffic and failures.
 func cmdDemo() *cobra.Command {
 	var config demo.Config
 	var compare, verbose bool
 	var folder string
 	c := &cobra.Command{
-		Use: "demo", Short: "run 8 entry instances with callers and backend servers on loopback, with a drain, a join and a kill",
-		Long: "Runs everything in one process and reports what callers and backend servers have counted. The last line is\n" +
-			"JSON. The exit code is not 0 where a promise was broken.",
+		Use: "demo", Short: "run 8 entry instances with simulated callers and backend servers on loopback",
+		Long: "Runs everything in one process and reports what the callers and backend servers have counted. The last line\n" +
+			"is JSON. The exit code is not 0 if a guarantee was violated.",
 		Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			if slices.Contains(config.Events, "all") {
@@ -48,17 +48,19 @@
 			return runDemos(c, config, folder, runs)
 		},
 	}
-	c.Flags().StringVar(&config.Example, "template", "visa", "visa or qasr")
-	c.Flags().Uint64Var(&config.Seed, "seed", 1, "seed of the fabric and of the events")
+	c.Flags().StringVar(&config.Example, "template", "visa", "example configuration to run: visa or qasr")
+	c.Flags().Uint64Var(&config.Seed, "seed", 1, "seed of the random choices of the fabric and the events")
 	c.Flags().DurationVar(&config.Duration, "for", 18*time.Second, "how long traffic flows")
-	c.Flags().StringSliceVar(&config.Events, "events", []string{"drain", "join", "kill"}, "drain, join, kill, restart, cut or all")
-	c.Flags().StringVar(&config.Placement, "placement", "", "run a baseline instead: modulo")
-	c.Flags().BoolVar(&compare, "compare", false, "run the project's own placement and the baseline, one after the other")
-	c.Flags().BoolVar(&verbose, "verbose", false, "show the instances' logs")
-	c.Flags().StringVar(&folder, "data", "", "keep data folders here; a temporary folder where empty")
+	c.Flags().StringSliceVar(&config.Events, "events", []string{"drain", "join", "kill"}, "events to run, in this order: drain, join, kill, restart, cut; or all")
+	c.Flags().StringVar(&config.Placement, "placement", "", "baseline placement to run instead of the project's own: modulo")
+	c.Flags().BoolVar(&compare, "compare", false, "run the project's own placement and then the modulo baseline")
+	c.Flags().BoolVar(&verbose, "verbose", false, "print the debug logs of the instances to standard error")
+	c.Flags().StringVar(&folder, "data", "", "folder for the instances' data folders; a temporary one if empty")
 	return c
 }
 
+// runDemos runs the demo once for each placement and prints the reports. The
+// modulo baseline may violate guarantees.
 func runDemos(c *cobra.Command, config demo.Config, folder string, placements []string) error {
 	var reports []demo.Report
 	for _, placement := range placements {
--- a/internal/cmd/cmd_entry.go
+++ b/internal/cmd/cmd_entry.go
@@ -12,14 +12,15 @@
 	"oxbowsaddle/internal/telemetry"
 )
 
-// cmdEntry runs an instance.
+// cmdEntry runs an entry instance, which is also a control instance if its
+// settings name a data folder.
 func cmdEntry() *cobra.Command {
 	var file, name string
 	c := &cobra.Command{
 		Use:   "entry --settings FILE --name NAME",
-		Short: "run an entry instance; with a data folder it is a control instance too",
-		Long: "Runs the instance that the settings name. SIGTERM or an interrupt begins a planned stop:\n" +
-			"the instance hands over what it holds and then ends.",
+		Short: "run an entry instance; if it has a data folder, it is a control instance too",
+		Long: "Runs the instance of this name from the settings. SIGTERM or an interrupt starts a planned stop:\n" +
+			"the instance hands over its flows and requests, then exits.",
 		Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			s, err := settings.Load(file)
@@ -44,16 +45,16 @@
 	return c
 }
 
-// instanceRun runs an instance and tells how that ended.
+// instanceRun runs an instance in a goroutine and sends its result to done.
 type instanceRun struct {
 	instance *instance.Instance
 	done     chan<- error
 }
 
-// run runs it until it ends.
 func (r instanceRun) run(ctx context.Context) { r.done <- r.instance.Run(ctx) }
 
-// runUntilStopped runs the instance; at a signal it stops as planned.
+// runUntilStopped runs the instance. When signalCtx ends, it starts a planned
+// stop, which may take stopTimeout.
 func runUntilStopped(signalCtx context.Context, inst *instance.Instance, stopTimeout time.Duration) error {
 	done := make(chan error, 1)
 	go instanceRun{inst, done}.run(context.WithoutCancel(signalCtx))
--- a/internal/cmd/cmd_evacuate.go
+++ b/internal/cmd/cmd_evacuate.go
@@ -10,20 +10,20 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// maxRedirects bounds how often an order is sent on: from an entry to a control
-// instance, from there to the leader, and once more where that has changed.
+// maxRedirects bounds the number of instances that are asked: an entry refers
+// to a control instance, that one to the leader, which may have changed since.
 const maxRedirects = 3
 
-// cmdEvacuate has nothing further sent to the endpoints of a failure domain.
+// cmdEvacuate stops new flows to the endpoints of a failure domain, or undoes that.
 func cmdEvacuate() *cobra.Command {
 	var conn connection
 	var undo bool
 	c := &cobra.Command{
-		Use: "evacuate DOMAIN", Short: "have nothing further sent to the endpoints of a failure domain, or end that",
-		Long: "New flows go to the other failure domains; flows that are open stay where they are. Accepted means that a\n" +
-			"majority of the control instances holds the order on disk; see `oxbowsaddle status` for who has it in force.\n" +
-			"While every failure domain with endpoints of a service is evacuated, its new flows are reset at once.\n" +
-			"The order may be sent again; the last one that was accepted stands.",
+		Use: "evacuate DOMAIN", Short: "stop sending new flows to the endpoints of a failure domain, or resume",
+		Long: "New flows go to the other failure domains; open flows stay where they are. \"accepted\" means that a majority\n" +
+			"of the control instances has stored the order on disk; `oxbowsaddle status` shows which instances apply it.\n" +
+			"While all failure domains with endpoints of a service are evacuated, new flows of that service are reset at\n" +
+			"once. It is safe to send the order again; the last accepted one is in effect.",
 		Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			if err := conn.evacuate(c.Context(), &wire.EvacuateRequest{Domain: args[0], Undo: undo}); err != nil {
@@ -37,11 +37,12 @@
 		},
 	}
 	conn.addFlags(c)
-	c.Flags().BoolVar(&undo, "undo", false, "end the evacuation: new flows may go there again")
+	c.Flags().BoolVar(&undo, "undo", false, "end the evacuation, so that new flows go there again")
 	return c
 }
 
-// evacuate sends the order, and sends it on to whoever is named instead.
+// evacuate sends the order and follows redirects to the instance that can
+// accept it.
 func (conn *connection) evacuate(ctx context.Context, r *wire.EvacuateRequest) error {
 	next := *conn
 	var reply *wire.EvacuateReply
--- a/internal/cmd/cmd_evacuate_test.go
+++ b/internal/cmd/cmd_evacuate_test.go
@@ -14,7 +14,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// fakeControl stands in for a process that is sent orders of evacuation.
+// fakeControl is a control server that records evacuation requests and gives a
+// fixed reply.
 type fakeControl struct {
 	wire.DRPCControlUnimplementedServer
 	reply    *wire.EvacuateReply
@@ -26,7 +27,7 @@
 	return f.reply, nil
 }
 
-// serve answers commands on a loopback address, which it returns.
+// serve starts the server on a loopback address, which it returns.
 func (f *fakeControl) serve(t *testing.T) string {
 	t.Helper()
 	g := gomega.NewWithT(t)
@@ -57,6 +58,8 @@
 	g.Expect(leader.requests[0].Undo).To(gomega.BeTrue())
 }
 
+// Redirects that form a loop end after maxRedirects requests, and only the
+// reply "not current" is a redirect.
 func TestEvacuateStopsRedirecting(t *testing.T) {
 	g := gomega.NewWithT(t)
 	loop := &fakeControl{reply: &wire.EvacuateReply{Kind: fault.NotCurrent.Name(), Detail: "does not lead"}}
@@ -70,5 +73,5 @@
 	code = Main([]string{"evacuate", "nowhere", "--addr", unknown.serve(t)}, &out, &errOut)
 	g.Expect(code).To(gomega.Equal(fault.NotFound.Answer().ExitCode()))
 	g.Expect(errOut.String()).To(gomega.ContainSubstring("no such"))
-	g.Expect(loop.requests).To(gomega.HaveLen(maxRedirects), "an answer is not asked for elsewhere")
+	g.Expect(loop.requests).To(gomega.HaveLen(maxRedirects), "a final answer is not redirected")
 }
--- a/internal/cmd/cmd_history.go
+++ b/internal/cmd/cmd_history.go
@@ -13,7 +13,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// objectDiff is what a change altered in one object.
+// objectDiff describes how a change altered one object.
 type objectDiff struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
@@ -22,26 +22,26 @@
 
 // cmdHistory lists accepted changes.
 func cmdHistory() *cobra.Command {
-	return newQueryCommand("history", "list the accepted changes, the oldest first", 0, func(ctx context.Context, a query) error {
-		s, err := getStatus(ctx, a.client, true)
+	return newQueryCommand("history", "list the accepted changes, the oldest first", 0, func(ctx context.Context, q query) error {
+		s, err := getStatus(ctx, q.client, true)
 		if err != nil {
 			return err
 		}
-		if a.json {
-			return PrintJSON(a.out, s.History)
+		if q.json {
+			return PrintJSON(q.out, s.History)
 		}
 		for _, h := range s.History {
-			fmt.Fprintf(a.out, "revision %d, %s, by %s, change %s:", h.Revision, time.Unix(0, h.UnixNano).UTC().Format(time.RFC3339), h.Change.Author, h.Change.Id)
+			fmt.Fprintf(q.out, "revision %d, %s, by %s, change %s:", h.Revision, time.Unix(0, h.UnixNano).UTC().Format(time.RFC3339), h.Change.Author, h.Change.Id)
 			for _, o := range h.Change.Objects {
-				fmt.Fprintf(a.out, " %s %s", o.Kind, o.Name)
+				fmt.Fprintf(q.out, " %s %s", o.Kind, o.Name)
 			}
-			fmt.Fprintln(a.out)
+			fmt.Fprintln(q.out)
 		}
 		return nil
 	})
 }
 
-// findChange returns the accepted change of a revision.
+// findChange returns the accepted change that made a revision.
 func findChange(ctx context.Context, client wire.DRPCControlClient, revision string) (*wire.HistoryEntry, error) {
 	number, err := strconv.ParseUint(revision, 10, 64)
 	if err != nil {
@@ -56,30 +56,30 @@
 			return h, nil
 		}
 	}
-	return nil, fault.New(fault.NotFound, "revision %d is no accepted change that is remembered", number)
+	return nil, fault.New(fault.NotFound, "no change of revision %d in the stored history", number)
 }
 
 // cmdDiff shows what a change altered.
 func cmdDiff() *cobra.Command {
-	return newQueryCommand("diff REVISION", "show what an accepted change altered", 1, func(ctx context.Context, a query) error {
-		h, err := findChange(ctx, a.client, a.args[0])
+	return newQueryCommand("diff REVISION", "show what an accepted change altered", 1, func(ctx context.Context, q query) error {
+		h, err := findChange(ctx, q.client, q.args[0])
 		if err != nil {
 			return err
 		}
 		all := objectDiffs(h)
-		if a.json {
-			return PrintJSON(a.out, all)
+		if q.json {
+			return PrintJSON(q.out, all)
 		}
 		for _, d := range all {
-			fmt.Fprintf(a.out, "%s %s: %s\n", d.Kind, d.Name, d.What)
+			fmt.Fprintf(q.out, "%s %s: %s\n", d.Kind, d.Name, d.What)
 		}
 		return nil
 	})
 }
 
-// objectDiffs returns what a change altered, in the order of its objects.
+// objectDiffs describes how a change altered each of its objects, in their order.
 func objectDiffs(h *wire.HistoryEntry) []objectDiff {
-	all := []objectDiff{} // not null for a script
+	all := []objectDiff{} // encoded as [] rather than null if empty
 	for n, o := range h.Change.Objects {
 		what := "new"
 		if before := h.Before[n]; !before.Remove {
@@ -90,21 +90,22 @@
 	return all
 }
 
-// cmdRevert offers what a change altered as it was before, as a new change.
+// cmdRevert submits a new change that restores the objects as they were before
+// an accepted change.
 func cmdRevert() *cobra.Command {
 	var flags changeFlags
 	c := &cobra.Command{
-		Use: "revert REVISION", Short: "undo an accepted change by a new one", Args: exactArgs(1),
+		Use: "revert REVISION", Short: "undo an accepted change by submitting a new one", Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var before []*wire.Object
 			err := flags.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
-				h, err := findChange(ctx, client, args[0])
+				change, err := findChange(ctx, client, args[0])
 				if err != nil {
 					return err
 				}
-				before = h.Before
+				before = change.Before
 				if flags.base == 0 {
-					flags.base = h.Revision // a later change of the same object is not overwritten
+					flags.base = change.Revision // conflict if a later change has altered one of the objects
 				}
 				return nil
 			})
--- a/internal/cmd/cmd_platform.go
+++ b/internal/cmd/cmd_platform.go
@@ -15,23 +15,25 @@
 	"oxbowsaddle/platform"
 )
 
-// cmdPlatform runs the processes of a fleet on the users' platform.
+// cmdPlatform runs the entry and control processes on the users' platform,
+// which starts them and writes their settings files.
 func cmdPlatform() *cobra.Command {
-	c := &cobra.Command{Use: "platform", Short: "run on the users' platform"}
+	c := &cobra.Command{Use: "platform", Short: "run a process on the users' platform"}
 	c.AddCommand(
-		newPlatformRole("entry", "run an entry: it carries callers' packets", runEntry),
-		newPlatformRole("control", "run a control instance: it keeps the document and the list of endpoints", runControl),
+		newPlatformRole("entry", "run an entry instance, which forwards packets between callers and endpoints", runEntry),
+		newPlatformRole("control", "run a control instance, which stores the configuration document and the list of endpoints", runControl),
 		cmdPlatformCheck(),
 	)
 	return c
 }
 
-// newPlatformRole runs a process in one role until it is stopped.
+// newPlatformRole returns a command that runs a process in one role until it is
+// stopped.
 func newPlatformRole(use, short string, run func(ctx context.Context, p platformProcess) error) *cobra.Command {
 	return &cobra.Command{
 		Use: use, Short: short, Args: exactArgs(0),
 		Long: short + ".\nThe environment variable " + platform.SettingsVariable + " names the settings file.\n" +
-			"SIGTERM begins a planned stop; SIGHUP, or a change of the file, has it read again.",
+			"SIGTERM starts a planned stop. The file is read again at SIGHUP and when it changes.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			path := os.Getenv(platform.SettingsVariable)
 			settings, err := platform.Load(path)
@@ -50,10 +52,10 @@
 	}
 }
 
-// cmdPlatformCheck prints what a settings file says, or every fault in it.
+// cmdPlatformCheck prints the parsed settings file, or every error in it.
 func cmdPlatformCheck() *cobra.Command {
 	return &cobra.Command{
-		Use: "check FILE", Short: "check a settings file of the platform and print every fault", Args: exactArgs(1),
+		Use: "check FILE", Short: "check a settings file of the platform and list every error in it", Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := platform.Load(args[0])
 			if err != nil {
@@ -64,12 +66,11 @@
 	}
 }
 
-// runEntry serves callers until the context ends, then for the time of a
-// planned stop.
+// runEntry runs an entry until ctx ends and its planned stop is complete.
 func runEntry(ctx context.Context, p platformProcess) error {
 	s := p.settings
 	if !s.Packets.IsValid() {
-		return fault.New(fault.InvalidSettings, "settings: serves: an entry serves callers")
+		return fault.New(fault.InvalidSettings, "settings: serves: no address for packets, which an entry needs")
 	}
 	entry := node.NewEntry(node.EntryConfig{
 		Name: s.Name, Domain: s.Domain, PacketAddr: s.Packets, OperatorAddr: s.Operators, Seeds: s.Seeds,
@@ -94,8 +95,8 @@
 	return ignoreShutdown(group.Wait())
 }
 
-// stopOnSignal has the entry stop as planned once ctx ends; it returns earlier if
-// the entry no longer runs.
+// stopOnSignal starts a planned stop of the entry when ctx ends and waits for
+// it. It returns early if the entry is no longer running.
 func stopOnSignal(ctx, runCtx context.Context, entry *node.Entry, logger *log.Logger) {
 	select {
 	case <-ctx.Done():
@@ -105,13 +106,13 @@
 	}
 }
 
-// runControl serves operators, endpoints and entries until the context ends.
+// runControl runs a control instance until ctx ends.
 func runControl(ctx context.Context, p platformProcess) error {
 	s := p.settings
 	if !s.Control.IsValid() {
-		return fault.New(fault.InvalidSettings, "settings: serves: a control instance serves operators and endpoints")
+		return fault.New(fault.InvalidSettings, "settings: serves: no address for operators and endpoints, which a control instance needs")
 	}
-	const votersPerLoss = 2 // so many voters more for each lost instance, and one
+	const votersPerLoss = 2 // a majority must remain: 2n+1 voters tolerate n losses
 	control := node.NewControl(node.ControlConfig{
 		Domain: s.Domain, Domains: s.Domains, Peer: s.Peer, Front: s.Control.String(), Seeds: s.Seeds, First: s.First,
 		Files:  func() (storage.Files, error) { return storage.Folder(s.Data) },
--- a/internal/cmd/cmd_settings.go
+++ b/internal/cmd/cmd_settings.go
@@ -8,10 +8,10 @@
 	"oxbowsaddle/internal/settings"
 )
 
-// cmdSettings checks settings files.
+// cmdSettings has the commands on settings files.
 func cmdSettings() *cobra.Command {
 	check := &cobra.Command{
-		Use: "check FILE", Short: "check a settings file and name every fault with its line", Args: exactArgs(1),
+		Use: "check FILE", Short: "check a settings file and list every error with its line", Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			s, err := settings.Load(args[0])
 			if err != nil {
--- a/internal/cmd/cmd_stats.go
+++ b/internal/cmd/cmd_stats.go
@@ -16,7 +16,7 @@
 	var conn connection
 	var all bool
 	c := &cobra.Command{
-		Use: "stats [PREFIX]", Short: "print the counters of an instance", Args: cobra.MaximumNArgs(1),
+		Use: "stats [PREFIX]", Short: "print the counters of an instance, or those whose names begin with PREFIX", Args: cobra.MaximumNArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
 				r, err := client.Stats(ctx, &wire.StatsRequest{})
@@ -41,6 +41,6 @@
 		},
 	}
 	conn.addFlags(c)
-	c.Flags().BoolVar(&all, "all", false, "counters that are 0 too")
+	c.Flags().BoolVar(&all, "all", false, "include counters that are 0")
 	return c
 }
--- a/internal/cmd/cmd_status.go
+++ b/internal/cmd/cmd_status.go
@@ -13,11 +13,11 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// cmdStatus shows what an instance holds and who lags.
+// cmdStatus shows the state of an instance and which instances lag behind.
 func cmdStatus() *cobra.Command {
 	var conn connection
 	c := &cobra.Command{
-		Use: "status", Short: "show roles, revision, leases, what drains wait for, and who lags", Args: exactArgs(0),
+		Use: "status", Short: "show role, revision, leases, draining endpoints, and which instances lag", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
 				s, err := waitInForce(ctx, client, conn.extraTime, time.Now)
@@ -33,12 +33,12 @@
 		},
 	}
 	conn.addFlags(c)
-	c.Flags().DurationVar(&conn.extraTime, "wait", 0, "wait so long for the last revision to be in force on every instance")
+	c.Flags().DurationVar(&conn.extraTime, "wait", 0, "how long to wait for the last revision to be in use on every instance")
 	return c
 }
 
-// waitInForce asks until every live entry has applied the last revision and
-// every lease without it has run out.
+// waitInForce polls until the last revision is in use: every instance has
+// applied it, or its lease has expired. A wait of 0 returns the first status.
 func waitInForce(ctx context.Context, client wire.DRPCControlClient, wait time.Duration, now func() time.Time) (*wire.StatusReply, error) {
 	const pollInterval = 100 * time.Millisecond
 	end := now().Add(wait)
@@ -51,23 +51,24 @@
 			return s, nil
 		}
 		if now().After(end) {
-			return nil, fault.New(fault.NotCurrent, "revision %d is not in force everywhere: %s", s.Revision, describeLag(s))
+			return nil, fault.New(fault.NotCurrent, "revision %d is not yet in use everywhere: %s", s.Revision, describeLag(s))
 		}
 		time.Sleep(pollInterval)
 	}
 }
 
+// describeLag lists the members that have not applied the last revision.
 func describeLag(s *wire.StatusReply) string {
-	lines := ""
+	text := ""
 	for _, m := range s.Members {
 		if m.Applied < s.Revision {
-			lines += fmt.Sprintf("%s at %d, silent for %s; ", m.Name, m.Applied, time.Duration(m.SilentNanos).Round(time.Millisecond))
+			text += fmt.Sprintf("%s at %d, silent for %s; ", m.Name, m.Applied, time.Duration(m.SilentNanos).Round(time.Millisecond))
 		}
 	}
-	if lines == "" {
-		return "this instance has not heard that it is"
+	if text == "" {
+		return "all known members have applied it, but this instance has not been told yet"
 	}
-	return lines
+	return text
 }
 
 func printStatus(w io.Writer, s *wire.StatusReply) {
@@ -75,7 +76,7 @@
 	fmt.Fprintf(w, "revision %d, applied %d, in use %d, lease left %s, confirmed %s ago\n", s.Revision, s.Applied, s.Active,
 		time.Duration(s.LeaseLeftNanos).Round(time.Millisecond), time.Duration(s.ConfirmedAgoNanos).Round(time.Millisecond))
 	if !s.ByLeader {
-		fmt.Fprintln(w, "  the leader cannot be asked: leases and lag are not known")
+		fmt.Fprintln(w, "  the leader is unreachable: leases and lag are unknown")
 	}
 	if s.Evacuations > 0 {
 		fmt.Fprintf(w, "  evacuated: %s, by revision %d\n", evacuatedDomains(s), s.Evacuations)
@@ -93,7 +94,7 @@
 	}
 }
 
-// evacuatedDomains names the failure domains that are evacuated.
+// evacuatedDomains lists the evacuated failure domains.
 func evacuatedDomains(s *wire.StatusReply) string {
 	if len(s.Evacuated) == 0 {
 		return "none"
@@ -101,8 +102,8 @@
 	return strings.Join(s.Evacuated, ", ")
 }
 
-// remainingWork tells what a leaving endpoint still holds; only the fabric that
-// carries no tags has buckets.
+// remainingWork tells what a draining endpoint still holds. Buckets are counted
+// only where packets carry no tag that identifies their endpoint.
 func remainingWork(d *wire.DrainStatus) string {
 	if d.Buckets == 0 {
 		return fmt.Sprintf("%d flows", d.Flows)
--- a/internal/cmd/cmd_team.go
+++ b/internal/cmd/cmd_team.go
@@ -11,11 +11,11 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// cmdTeam plans changes of teams.
+// cmdTeam has the commands on teams; plan submits a change as a dry run.
 func cmdTeam() *cobra.Command {
 	var flags changeFlags
 	plan := &cobra.Command{
-		Use: "plan FILE", Short: "tell what accepting a file would change, for which services, and its answer", Args: exactArgs(1),
+		Use: "plan FILE", Short: "show what accepting a file would change and what the answer would be", Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			objects, err := readObjects(args[0])
 			if err != nil {
@@ -42,6 +42,7 @@
 	return c
 }
 
+// printPlan compares each object of a change with its accepted version.
 func printPlan(c *cobra.Command, s *wire.StatusReply, objects []*wire.Object) {
 	current := map[string][]byte{}
 	for _, o := range s.Objects {
--- a/internal/cmd/cmd_template.go
+++ b/internal/cmd/cmd_template.go
@@ -13,7 +13,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// cmdTemplate shows templates and the parameters they may set.
+// cmdTemplate shows templates: bounds and defaults of the parameters that teams
+// may set.
 func cmdTemplate() *cobra.Command {
 	c := &cobra.Command{Use: "template", Short: "show templates"}
 	c.AddCommand(cmdTemplateList(), cmdTemplateShow())
@@ -21,41 +22,41 @@
 }
 
 func cmdTemplateList() *cobra.Command {
-	return newQueryCommand("list", "list the accepted templates", 0, func(ctx context.Context, a query) error {
-		templates, err := acceptedTemplates(ctx, a.client)
+	return newQueryCommand("list", "list the accepted templates", 0, func(ctx context.Context, q query) error {
+		templates, err := acceptedTemplates(ctx, q.client)
 		if err != nil {
 			return err
 		}
-		if a.json {
-			return PrintJSON(a.out, templates)
+		if q.json {
+			return PrintJSON(q.out, templates)
 		}
 		for _, o := range templates {
 			var body intent.Template
 			if err := json.Unmarshal(o.Object.Body, &body); err != nil {
 				return fault.Wrap(fault.Internal, err)
 			}
-			fmt.Fprintf(a.out, "%s\trevision %d by %s\t%s\n", o.Object.Name, o.Revision, o.Author, body.About)
+			fmt.Fprintf(q.out, "%s\trevision %d by %s\t%s\n", o.Object.Name, o.Revision, o.Author, body.About)
 		}
 		return nil
 	})
 }
 
 func cmdTemplateShow() *cobra.Command {
-	return newQueryCommand("show NAME", "show a template with bounds and defaults of every parameter", 1, func(ctx context.Context, a query) error {
-		templates, err := acceptedTemplates(ctx, a.client)
+	return newQueryCommand("show NAME", "show the bounds and default of every parameter of a template", 1, func(ctx context.Context, q query) error {
+		templates, err := acceptedTemplates(ctx, q.client)
 		if err != nil {
 			return err
 		}
 		for _, o := range templates {
-			if o.Object.Name != a.args[0] {
+			if o.Object.Name != q.args[0] {
 				continue
 			}
-			if a.json {
-				return PrintJSON(a.out, json.RawMessage(o.Object.Body))
+			if q.json {
+				return PrintJSON(q.out, json.RawMessage(o.Object.Body))
 			}
-			return printTemplate(a.out, o)
+			return printTemplate(q.out, o)
 		}
-		return fault.New(fault.NotFound, "there is no template %q", a.args[0])
+		return fault.New(fault.NotFound, "there is no template %q", q.args[0])
 	})
 }
 
--- a/internal/cmd/cmd_version.go
+++ b/internal/cmd/cmd_version.go
@@ -7,10 +7,10 @@
 	"github.com/spf13/cobra"
 )
 
-// Version is the release, set by the build.
+// Version is the release version; a build can set it with -ldflags -X.
 var Version = "0.1.0"
 
-// cmdVersion prints the version.
+// cmdVersion prints the version, the Go version and the platform.
 func cmdVersion() *cobra.Command {
 	return &cobra.Command{
 		Use: "version", Short: "print the version", Args: exactArgs(0),
--- a/internal/cmd/cmd_why.go
+++ b/internal/cmd/cmd_why.go
@@ -13,20 +13,20 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// lagReport is the answer of `why lag` for a script.
+// lagReport is the JSON output of `why lag`.
 type lagReport struct {
-	ByLeader bool                 `json:"by_leader"` // false: nothing is known of the members
+	ByLeader bool                 `json:"by_leader"` // if false, the state of the members is unknown
 	Revision uint64               `json:"revision"`
 	Members  []*wire.MemberStatus `json:"members"`
 }
 
-// cmdWhy explains decisions.
+// cmdWhy explains decisions and what is being waited for.
 func cmdWhy() *cobra.Command {
-	c := &cobra.Command{Use: "why", Short: "explain a flow, a request, or what operators ask most"}
+	c := &cobra.Command{Use: "why", Short: "explain where a flow or request went, recent refusals, lag, or a drain"}
 	c.AddCommand(
 		cmdWhyFlow(),
-		newExplainCommand("request TOKEN", "explain a request by its token in hexadecimal digits", 1, "request"),
-		newExplainCommand("refused", "explain the last refusals and losses", 0, "refused"),
+		newExplainCommand("request TOKEN", "explain a request, given its token in hexadecimal", 1, "request"),
+		newExplainCommand("refused", "explain the most recent refused or lost requests and flows", 0, "refused"),
 		cmdWhyLag(),
 		cmdWhyDrain(),
 	)
@@ -37,7 +37,7 @@
 	var conn connection
 	var protocol string
 	c := &cobra.Command{
-		Use: "flow SRC DST", Short: "explain why a flow went where it did; both as IP:PORT", Args: exactArgs(2),
+		Use: "flow SRC DST", Short: "explain why a flow went to its endpoint; SRC and DST are IP:PORT", Args: exactArgs(2),
 		RunE: func(c *cobra.Command, args []string) error {
 			return conn.explain(c, &wire.WhyRequest{Matter: "flow", Source: args[0], Target: args[1], Protocol: protocol})
 		},
@@ -63,9 +63,9 @@
 	return c
 }
 
-func (conn *connection) explain(c *cobra.Command, r *wire.WhyRequest) error {
+func (conn *connection) explain(c *cobra.Command, request *wire.WhyRequest) error {
 	return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
-		reply, err := client.Why(ctx, r)
+		reply, err := client.Why(ctx, request)
 		if err != nil {
 			return fault.Wrap(fault.Unreachable, err)
 		}
@@ -88,7 +88,7 @@
 func printDecision(w io.Writer, d *wire.Decision) {
 	origin := ""
 	if d.Recomputed {
-		origin = " (worked out now)"
+		origin = " (worked out now)" // recomputed, not recorded when it was made
 	}
 	fmt.Fprintf(w, "%s %s: %s: %s%s, because %s, by index %d, in use %d\n", time.Unix(0, d.UnixNano).UTC().Format(time.RFC3339Nano),
 		d.Entry, d.Subject, d.Action, origin, d.Reason, d.Index, d.Active)
@@ -108,30 +108,31 @@
 }
 
 func cmdWhyLag() *cobra.Command {
-	return newQueryCommand("lag", "tell which instances lag, and since when", 0, func(ctx context.Context, a query) error {
-		s, err := getStatus(ctx, a.client, false)
+	return newQueryCommand("lag", "show which instances lag behind, and for how long", 0, func(ctx context.Context, q query) error {
+		s, err := getStatus(ctx, q.client, false)
 		if err != nil {
 			return err
 		}
-		if a.json {
-			return PrintJSON(a.out, lagReport{ByLeader: s.ByLeader, Revision: s.Commit, Members: laggingMembers(s)})
+		if q.json {
+			return PrintJSON(q.out, lagReport{ByLeader: s.ByLeader, Revision: s.Commit, Members: laggingMembers(s)})
 		}
-		return printLag(a.out, s)
+		return printLag(q.out, s)
 	})
 }
 
-// laggingMembers returns the members that hold no lease or lack something.
+// laggingMembers returns the members that have no lease, or have not applied the
+// last revision or the last evacuation order.
 func laggingMembers(s *wire.StatusReply) []*wire.MemberStatus {
-	all := append([]*wire.MemberStatus{}, s.Members...) // not null for a script
+	all := append([]*wire.MemberStatus{}, s.Members...) // a copy; encoded as [] rather than null if empty
 	return slices.DeleteFunc(all, func(m *wire.MemberStatus) bool {
 		return m.Leased && m.Applied >= s.Commit && m.Evacuations >= s.Evacuations
 	})
 }
 
-// printLag names who lags and what each of them keeps from being in use.
+// printLag lists the members that lag and what each of them holds up.
 func printLag(w io.Writer, s *wire.StatusReply) error {
 	if !s.ByLeader {
-		return fault.New(fault.NotCurrent, "no leader can be asked from %s; it was last confirmed %s ago and serves by index %d", s.Name,
+		return fault.New(fault.NotCurrent, "%s reaches no leader; it was last confirmed %s ago and serves by index %d", s.Name,
 			time.Duration(s.ConfirmedAgoNanos).Round(time.Millisecond), s.Applied)
 	}
 	lagging := laggingMembers(s)
@@ -144,7 +145,7 @@
 	return nil
 }
 
-// printMemberLag tells what one member lacks of the last revision.
+// printMemberLag tells what one member has not applied yet.
 func printMemberLag(w io.Writer, m *wire.MemberStatus, s *wire.StatusReply) {
 	sinceHeartbeat := time.Duration(m.SilentNanos).Round(time.Millisecond)
 	if !m.Leased {
@@ -162,21 +163,21 @@
 }
 
 func cmdWhyDrain() *cobra.Command {
-	return newQueryCommand("drain ENDPOINT", "tell what a leaving endpoint still waits for", 1, func(ctx context.Context, a query) error {
-		s, err := getStatus(ctx, a.client, false)
+	return newQueryCommand("drain ENDPOINT", "show what still keeps a leaving endpoint from being removed", 1, func(ctx context.Context, q query) error {
+		s, err := getStatus(ctx, q.client, false)
 		if err != nil {
 			return err
 		}
 		for _, d := range s.Drains {
-			if d.Endpoint == a.args[0] {
-				if a.json {
-					return PrintJSON(a.out, d)
+			if d.Endpoint == q.args[0] {
+				if q.json {
+					return PrintJSON(q.out, d)
 				}
-				printDrain(a.out, d)
+				printDrain(q.out, d)
 				return nil
 			}
 		}
-		return fault.New(fault.NotFound, "no endpoint %q is leaving", a.args[0])
+		return fault.New(fault.NotFound, "no endpoint %q is leaving", q.args[0])
 	})
 }
 
--- a/internal/cmd/platform_http.go
+++ b/internal/cmd/platform_http.go
@@ -13,27 +13,27 @@
 )
 
 const (
-	// headerTimeout ends a call whose header does not come.
+	// headerTimeout bounds reading the header of a request.
 	headerTimeout = 2 * time.Second
-	// httpRequestTimeout ends a call on a connection that fell silent: a body that does
-	// not come, an answer that is not taken. An order of some 15,000 routes over
-	// a link of 2 Mbit/s takes 8 s; callers turn elsewhere after one.
+	// httpRequestTimeout bounds reading a request and writing its response. It is
+	// long enough for a configuration of some 15,000 routes at 2 Mbit/s.
 	httpRequestTimeout = 12 * time.Second
-	// idleTimeout ends a connection between calls, above an endpoint's
-	// heartbeat period.
+	// idleTimeout closes idle connections. It is longer than the heartbeat period
+	// of endpoints, so that they can reuse theirs.
 	idleTimeout = 10 * time.Second
 )
 
-// serveMetrics serves figures; a port that is taken costs the figures only.
+// serveMetrics serves metrics. A failure, such as a port in use, is only logged:
+// the process goes on without metrics.
 func serveMetrics(ctx context.Context, p platformProcess, write func(io.Writer)) error {
 	if err := serveHTTP(ctx, p.settings.Metrics, platform.MetricsHandler(write)); ctx.Err() == nil {
-		p.log.Error("no metrics", "address", p.settings.Metrics, "error", err)
+		p.log.Error("metrics server failed", "address", p.settings.Metrics, "error", err)
 	}
 	return nil
 }
 
-// serveHTTP serves at an address until the context ends; an error is of kind
-// AddressInUse where the address cannot be had.
+// serveHTTP serves at addr until ctx ends. If it cannot listen there, the error
+// is of kind AddressInUse.
 func serveHTTP(ctx context.Context, addr netip.AddrPort, handler http.Handler) error {
 	listener, err := net.Listen("tcp", addr.String())
 	if err != nil {
@@ -45,7 +45,8 @@
 	return server.Serve(listener)
 }
 
-// newHTTPServer returns a server that no connection holds up for ever.
+// newHTTPServer returns a server with timeouts, so that stalled connections are
+// closed.
 func newHTTPServer(handler http.Handler) *http.Server {
 	return &http.Server{
 		Handler: handler, ReadHeaderTimeout: headerTimeout, ReadTimeout: httpRequestTimeout, WriteTimeout: httpRequestTimeout, IdleTimeout: idleTimeout,
--- a/internal/cmd/platform_http_test.go
+++ b/internal/cmd/platform_http_test.go
@@ -9,8 +9,8 @@
 	"github.com/onsi/gomega"
 )
 
-// TestServerEndsStalledRequest has a call fall silent after its header: the server must
-// end it by itself, since no packet may ever come.
+// A request that stalls after its header must be ended by the server's own
+// timeout, since the peer may never close the connection.
 func TestServerEndsStalledRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server := newHTTPServer(http.NewServeMux())
@@ -22,7 +22,7 @@
 		_, err := r.Body.Read(make([]byte, 1))
 		ended <- err
 	})
-	server.ReadTimeout = 50 * time.Millisecond // the real one is too long for a test
+	server.ReadTimeout = 50 * time.Millisecond // shortened for the test
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	go func() { _ = server.Serve(listener) }()
--- a/internal/cmd/platform_process.go
+++ b/internal/cmd/platform_process.go
@@ -21,23 +21,23 @@
 )
 
 const (
-	// settingsPollInterval is how often the settings file is looked at for a change
-	// that no signal tells of.
+	// settingsPollInterval is how often the settings file is checked for changes;
+	// SIGHUP is optional.
 	settingsPollInterval = time.Second
-	// heapShare is the part of the memory limit that the runtime may use; the
-	// rest is for what it does not count.
+	// heapShare is the share of the memory limit given to the Go runtime; the rest
+	// is for memory that the runtime does not count.
 	heapShare = 0.7
 )
 
-// platformProcess is what the two roles have in common.
+// platformProcess is what entry and control processes have in common.
 type platformProcess struct {
 	settings platform.Settings
-	path     string
+	path     string // of the settings file
 	log      *log.Logger
 }
 
-// startLogger returns a logger whose lines never wait for their reader, and what
-// writes the last of them.
+// startLogger returns a logger that never blocks on out, and a function that
+// flushes it and stops it.
 func startLogger(ctx context.Context, out io.Writer, name string) (*log.Logger, func(), error) {
 	lines := telemetry.NewLineWriter(out)
 	logger, err := telemetry.NewLogger(lines, "info", name)
@@ -53,15 +53,16 @@
 	}, nil
 }
 
-// setMemoryLimit has garbage collected early enough to stay under a limit in
-// bytes; 0 is none.
+// setMemoryLimit sets the soft memory limit of the Go runtime to a share of
+// limit, which is in bytes; 0 means no limit.
 func setMemoryLimit(limit int64) {
 	if limit > 0 {
 		debug.SetMemoryLimit(int64(heapShare * float64(limit)))
 	}
 }
 
-// watchSettings reads the file again at SIGHUP and when its content changes.
+// watchSettings reloads the settings file at SIGHUP and when its content
+// changes, until ctx ends.
 func (p platformProcess) watchSettings(ctx context.Context, setSeeds func(seeds []netip.AddrPort)) error {
 	hangUp := make(chan os.Signal, 1)
 	signal.Notify(hangUp, syscall.SIGHUP)
@@ -94,8 +95,8 @@
 	}
 }
 
-// reload takes the seeds of changed settings; what cannot be read changes
-// nothing.
+// reload applies the seeds of new settings, the only field that can change while
+// the process runs. Invalid settings are logged and change nothing.
 func (p platformProcess) reload(data []byte, cause string, setSeeds func(seeds []netip.AddrPort)) {
 	settings, err := platform.Parse(data)
 	if err != nil {
@@ -106,7 +107,7 @@
 	setSeeds(settings.Seeds)
 }
 
-// ignoreShutdown drops the error that a planned stop ends with.
+// ignoreShutdown returns nil for the errors that a planned stop ends with.
 func ignoreShutdown(err error) error {
 	if errors.Is(err, context.Canceled) || errors.Is(err, http.ErrServerClosed) {
 		return nil
--- a/internal/cmd/scenario_test.go
+++ b/internal/cmd/scenario_test.go
@@ -19,7 +19,7 @@
 	"oxbowsaddle/internal/standin"
 )
 
-// fleet runs the built program as separate processes.
+// fleet builds the binary and runs one process of it per instance.
 type fleet struct {
 	t            *testing.T
 	binary       string
@@ -89,6 +89,7 @@
 	f.processes[name] = c
 }
 
+// stop sends a signal to an instance and returns its exit code.
 func (f *fleet) stop(name string, s syscall.Signal) int {
 	f.t.Helper()
 	c := f.processes[name]
@@ -107,7 +108,7 @@
 	return out.String(), c.ProcessState.ExitCode()
 }
 
-// runUntil repeats a command runUntil it ends with the code.
+// runUntil repeats a command until it exits with code.
 func (f *fleet) runUntil(code int, args ...string) string {
 	f.t.Helper()
 	end := time.Now().Add(commandTimeout)
@@ -123,6 +124,7 @@
 	}
 }
 
+// writeExample writes the visa example, changed by edit, to a temporary file.
 func writeExample(t *testing.T, edit func(string) string) string {
 	t.Helper()
 	data, err := examples.Files.ReadFile("visa/intent.jsonc")
@@ -136,15 +138,15 @@
 	return path
 }
 
-// The whole of an operator's day on separate processes: acceptance, a race, a
-// resend, the loss of the leader, explanations, and a planned stop.
+// Runs the operator commands against three processes: accept, resend, conflicting
+// changes, loss of the leader, change of control instances, why, planned stop.
 func TestOperatorWorkflow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	f := newFleet(t, "one", "two", "three")
 	file := writeExample(t, func(s string) string { return s })
 	f.runUntil(0, "accept", file, "--addr", f.controlAddrs[0], "--id", "first")
 	out := f.runUntil(0, "accept", file, "--addr", f.controlAddrs[1], "--id", "first")
-	g.Expect(out).To(gomega.ContainSubstring("already accepted"), "a resend never counts twice")
+	g.Expect(out).To(gomega.ContainSubstring("already accepted"), "a change sent twice is accepted once")
 	f.runUntil(0, "status", "--wait", "20s", "--addr", f.controlAddrs[2])
 
 	base := strings.TrimSpace(revision(t, f))
@@ -153,7 +155,7 @@
 	f.runUntil(0, "accept", lower, "--addr", f.controlAddrs[0], "--base", base, "--author", "amina")
 	out, code := f.run("accept", higher, "--addr", f.controlAddrs[1], "--base", base, "--author", "yusuf")
 	g.Expect(code).To(gomega.Equal(5), out)
-	g.Expect(out).To(gomega.ContainSubstring("amina"), "the loser learns who won")
+	g.Expect(out).To(gomega.ContainSubstring("amina"), "the conflict names the author of the accepted change")
 
 	invalid := writeExample(t, func(s string) string { return strings.Replace(s, `"balance": 0.9`, `"balance": 9`, 1) })
 	out, code = f.run("accept", invalid, "--addr", f.controlAddrs[0])
@@ -188,7 +190,7 @@
 	f.runUntil(0, "why", "lag", "--addr", survivor)
 	_, code = f.run("why", "drain", "nobody", "--addr", survivor)
 	g.Expect(code).To(gomega.Equal(13))
-	g.Expect(f.stop("three", syscall.SIGTERM)).To(gomega.Equal(0), "a planned stop ends cleanly")
+	g.Expect(f.stop("three", syscall.SIGTERM)).To(gomega.Equal(0), "a planned stop exits with 0")
 }
 
 func revision(t *testing.T, f *fleet) string {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -185,7 +185,7 @@
 // schedule spreads the events over the run.
 func (r *run) schedule() []event {
 	handlers := map[string]func(context.Context) error{
-		"drain": r.drain, "join": r.join, "kill": r.kill, "restart": r.restartAll, "cut": r.partitionDomain,
+		"drain": r.drain, "join": r.join, "kill": r.kill, "restart": r.restartAll, "cut": r.isolateDomain,
 	}
 	names := r.fleet.config.Events
 	interval := (r.fleet.config.Duration - warmUp - 2*coolDown) / time.Duration(len(names)+1)
@@ -247,8 +247,8 @@
 	return nil
 }
 
-// partitionDomain cuts the last failure domain off for a while.
-func (r *run) partitionDomain(ctx context.Context) error {
+// isolateDomain cuts the last failure domain off for a while.
+func (r *run) isolateDomain(ctx context.Context) error {
 	instances := r.fleet.settings.Instances
 	domain := instances[len(instances)-1].Domain
 	r.fleet.ledger.RecordUnplannedEvent()
@@ -291,48 +291,48 @@
 		slices.Sort(values)
 		report.Imbalance[service] = values[len(values)/2]
 	}
-	var in, relayed, forwarded int64
+	var packets, relayed, forwarded int64
 	r.fleet.mu.Lock()
 	for _, i := range r.fleet.instances {
-		in += i.Counters().Counter("packets_in").Count()
+		packets += i.Counters().Counter("packets_in").Count()
 		relayed += i.Counters().Counter("packets_relayed").Count()
 		forwarded += i.Counters().Counter("flow_by_cache").Count() + i.Counters().Counter("flow_by_settled").Count()
 	}
 	r.fleet.mu.Unlock()
-	report.PacketsPerSecond = float64(in) / r.fleet.config.Duration.Seconds()
-	if in > 0 {
-		report.RelayedShare = float64(relayed) / float64(in)
+	report.PacketsPerSecond = float64(packets) / r.fleet.config.Duration.Seconds()
+	if packets > 0 {
+		report.RelayedShare = float64(relayed) / float64(packets)
 	}
 	return report
 }
 
-func placementName(p string) string {
-	if p == "" {
+func placementName(placement string) string {
+	if placement == "" {
 		return "oxbowsaddle"
 	}
-	return p
+	return placement
 }
 
 // WriteTable writes the report for people.
 func (r Report) WriteTable(w io.Writer) {
-	row := func(name string, value any) { fmt.Fprintf(w, "  %-22s %v\n", name, value) }
+	writeRow := func(name string, value any) { fmt.Fprintf(w, "  %-22s %v\n", name, value) }
 	fmt.Fprintf(w, "\n%s, placement %s, %.0f s, events: %s\n", r.User, r.Placement, r.Seconds, strings.Join(r.Events, ", "))
-	row("flows", r.Flows)
-	row("broken, planned", r.BrokenPlanned)
-	row("broken, unplanned", r.BrokenUnplanned)
-	row("misdelivered", r.Misdelivered)
-	row("new on a leaving one", r.LateNew)
-	row("requests", r.Requests)
-	row("answered", r.Answered)
-	row("not run, said so", r.NotRun)
-	row("unknown", r.Unknown)
-	row("ran twice", r.RanTwice)
-	row("false not run", r.FalseNotRun)
+	writeRow("flows", r.Flows)
+	writeRow("broken, planned", r.BrokenPlanned)
+	writeRow("broken, unplanned", r.BrokenUnplanned)
+	writeRow("misdelivered", r.Misdelivered)
+	writeRow("new on a leaving one", r.LateNew)
+	writeRow("requests", r.Requests)
+	writeRow("answered", r.Answered)
+	writeRow("not run, said so", r.NotRun)
+	writeRow("unknown", r.Unknown)
+	writeRow("ran twice", r.RanTwice)
+	writeRow("false not run", r.FalseNotRun)
 	for _, service := range slices.Sorted(mapKeys(r.Imbalance)) {
-		row("imbalance "+service, fmt.Sprintf("%.3f", r.Imbalance[service]))
+		writeRow("imbalance "+service, fmt.Sprintf("%.3f", r.Imbalance[service]))
 	}
-	row("packets a second", fmt.Sprintf("%.0f", r.PacketsPerSecond))
-	row("relayed share", fmt.Sprintf("%.4f", r.RelayedShare))
+	writeRow("packets a second", fmt.Sprintf("%.0f", r.PacketsPerSecond))
+	writeRow("relayed share", fmt.Sprintf("%.4f", r.RelayedShare))
 }
 
 func mapKeys(m map[string]float64) func(func(string) bool) {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -54,7 +54,7 @@
 		backends    map[string]map[string]*standin.Backend // by service and name
 		group       sync.WaitGroup
 		runErrors   []error
-		changes     int
+		changeCount int
 		partitioned atomic.Pointer[string] // the domain that is cut off, or nil
 		domainOf    map[netip.AddrPort]string
 		templates   map[string]json.RawMessage
@@ -167,27 +167,27 @@
 }
 
 // addBackend starts a backend server and returns its endpoint for the document.
-func (f *fleet) addBackend(service string, s intent.Service, e intent.Endpoint, warmup time.Duration) (map[string]any, error) {
+func (f *fleet) addBackend(service string, spec intent.Service, endpoint intent.Endpoint, warmup time.Duration) (map[string]any, error) {
 	var addresses []netip.AddrPort
-	for _, class := range s.Classes {
+	for _, class := range spec.Classes {
 		addresses = append(addresses, class.Address)
 	}
 	const serviceTime, blocks = 40 * time.Millisecond, 4
-	b, err := standin.NewBackend(standin.BackendConfig{
-		Name: e.Name, Service: service, Addr: netip.MustParseAddrPort("127.0.0.1:0"), HealthAddr: netip.MustParseAddrPort("127.0.0.1:0"),
-		Addresses: addresses, Slots: e.Slots, Connections: e.Connections, ServiceTime: serviceTime, Warmup: warmup, Blocks: blocks,
-		Pick: func() (netip.AddrPort, bool) { return f.pickEntry(e.Domain) }, Ledger: f.ledger, Now: f.config.Now,
+	server, err := standin.NewBackend(standin.BackendConfig{
+		Name: endpoint.Name, Service: service, Addr: netip.MustParseAddrPort("127.0.0.1:0"), HealthAddr: netip.MustParseAddrPort("127.0.0.1:0"),
+		Addresses: addresses, Slots: endpoint.Slots, Connections: endpoint.Connections, ServiceTime: serviceTime, Warmup: warmup, Blocks: blocks,
+		Pick: func() (netip.AddrPort, bool) { return f.pickEntry(endpoint.Domain) }, Ledger: f.ledger, Now: f.config.Now,
 	})
 	if err != nil {
 		return nil, err
 	}
 	f.mu.Lock()
-	f.backends[service][e.Name] = b
-	f.domainOf[b.Addr()] = e.Domain
+	f.backends[service][endpoint.Name] = server
+	f.domainOf[server.Addr()] = endpoint.Domain
 	f.mu.Unlock()
 	return map[string]any{
-		"name": e.Name, "address": b.Addr().String(), "health": b.HealthAddr().String(), "domain": e.Domain,
-		"slots": e.Slots, "connections": e.Connections,
+		"name": endpoint.Name, "address": server.Addr().String(), "health": server.HealthAddr().String(), "domain": endpoint.Domain,
+		"slots": endpoint.Slots, "connections": endpoint.Connections,
 	}, nil
 }
 
@@ -311,8 +311,8 @@
 // the same id makes it count once.
 func (f *fleet) submit(ctx context.Context, objects []*wire.Object) error {
 	const maxAttempts, retryInterval = 40, 250 * time.Millisecond
-	f.changes++
-	change := &wire.Change{Id: fmt.Sprintf("demo-%d", f.changes), Author: "demo", Base: 1 << 62, Objects: objects}
+	f.changeCount++
+	change := &wire.Change{Id: fmt.Sprintf("demo-%d", f.changeCount), Author: "demo", Base: 1 << 62, Objects: objects}
 	var lastReply string
 	for try := range maxAttempts {
 		target := f.settings.Instances[try%len(f.settings.Instances)]
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -22,7 +22,7 @@
 	healthCacheTime = 500 * time.Millisecond
 	warmupSlowdown  = 3
 	blockBytes      = 256
-	blockSize256    = 4 // SZX of RFC 7959 for blocks of 256 bytes
+	blockSZX        = 4 // SZX of RFC 7959 for blocks of 256 bytes
 )
 
 type (
@@ -93,7 +93,7 @@
 	b.config.HealthAddr = netip.MustParseAddrPort(listener.Addr().String())
 	b.http = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
 	go b.serveHealth(listener)
-	go b.run()
+	go b.serve()
 	return b, nil
 }
 
@@ -147,7 +147,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-func (b *Backend) run() {
+func (b *Backend) serve() {
 	var d packet.Decoder
 	var p packet.Packet
 	buffer := make([]byte, packetSize)
@@ -252,8 +252,8 @@
 	if b.config.Now().Sub(b.started) < b.config.Warmup {
 		duration *= warmupSlowdown
 	}
-	if left, said := m.Left(); said {
-		duration = min(duration, left)
+	if remaining, said := m.Left(); said {
+		duration = min(duration, remaining)
 	}
 	block, _ := m.Block()
 	b.running[key] = time.AfterFunc(duration, func() { b.completeRequest(p.Tuple(), m, key, block) })
@@ -303,7 +303,7 @@
 		if block+1 < b.config.Blocks {
 			more = 1 << 3
 		}
-		answer = answer.WithBlock(block<<4 | more | blockSize256)
+		answer = answer.WithBlock(block<<4 | more | blockSZX)
 	}
 	data, err := answer.Encode()
 	if err != nil {
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -66,9 +66,9 @@
 	return netip.AddrPortFrom(ip, uint16(firstPort+n%ports))
 }
 
-// attach takes a new address and returns what comes to it; a caller that is
+// attachCaller takes a new address and returns what comes to it; a caller that is
 // too slow loses packets.
-func (c *Callers) attach() (netip.AddrPort, chan *packet.Packet) {
+func (c *Callers) attachCaller() (netip.AddrPort, chan *packet.Packet) {
 	src := c.newAddress()
 	inbox := make(chan *packet.Packet, inboxSize)
 	c.fabric.Attach(src, func(p *packet.Packet) {
@@ -82,7 +82,7 @@
 
 // Flow opens one TCP flow, sends on it and checks every answer, and closes it.
 func (c *Callers) Flow(ctx context.Context, f FlowConfig) {
-	src, inbox := c.attach()
+	src, inbox := c.attachCaller()
 	defer c.fabric.Detach(src)
 	c.ledger.recordFlowStart()
 	flow := &callerFlow{callers: c, tuple: packet.NewTuple(src, f.To, packet.TCP), inbox: inbox, end: c.now().Add(f.Lasts)}
@@ -195,10 +195,10 @@
 // Request sends one request until it has a final answer or its time is over,
 // and returns "answered", "not_run", "unknown" or "silent".
 func (c *Callers) Request(ctx context.Context, r RequestConfig) string {
-	src, inbox := c.attach()
+	src, inbox := c.attachCaller()
 	defer c.fabric.Detach(src)
 	if !r.Blockwise {
-		return c.requestWhole(ctx, r, src, inbox, codes.POST, nil)
+		return c.requestOnce(ctx, r, src, inbox, codes.POST, nil)
 	}
 	for block := uint32(0); ; block++ {
 		number := block
@@ -210,7 +210,7 @@
 	}
 }
 
-func (c *Callers) requestWhole(ctx context.Context, r RequestConfig, src netip.AddrPort, inbox chan *packet.Packet, code codes.Code, block *uint32) string {
+func (c *Callers) requestOnce(ctx context.Context, r RequestConfig, src netip.AddrPort, inbox chan *packet.Packet, code codes.Code, block *uint32) string {
 	return c.sendRequest(ctx, r, src, inbox, code, block, nil)
 }
 
@@ -224,7 +224,7 @@
 	token := binary.BigEndian.AppendUint64(nil, number)
 	m := work.Message{Message: message.Message{Token: token, Code: code, Type: message.Confirmable, MessageID: int32(number & 0xffff)}}
 	if block != nil {
-		m = m.WithBlock(*block<<4 | blockSize256)
+		m = m.WithBlock(*block<<4 | blockSZX)
 	}
 	c.ledger.recordRequest(string(token), r.Once)
 	started := c.now()
--- a/internal/standin/fabric.go
+++ b/internal/standin/fabric.go
@@ -48,7 +48,7 @@
 		conn: conn, encoder: encoder, rng: rand.New(rand.NewPCG(seed, 5)),
 		entries: map[string]netip.AddrPort{}, hidden: map[string]bool{}, receivers: map[netip.AddrPort]func(*packet.Packet){},
 	}
-	go f.run()
+	go f.serve()
 	return f, nil
 }
 
@@ -163,7 +163,7 @@
 	_, _ = f.conn.WriteToUDPAddrPort(f.encoder.AppendPlain(nil, inner), to)
 }
 
-func (f *Fabric) run() {
+func (f *Fabric) serve() {
 	var d packet.Decoder
 	var p packet.Packet
 	buffer := make([]byte, packetSize)
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -18,7 +18,7 @@
 		reportedNotRun  map[string]bool // tokens whose callers were told "not run"
 		nonRepeatable   map[string]bool // tokens that may run only once
 		latency         map[string]*hdrhistogram.Histogram
-		opens           map[string]int       // by endpoint
+		accepted        map[string]int       // by endpoint
 		unplannedEvents []time.Time          // of unplanned events
 		drainStarted    map[string]time.Time // endpoints, since when
 		reasons         map[string]int
@@ -59,7 +59,7 @@
 func NewLedger(now func() time.Time) *Ledger {
 	return &Ledger{
 		now: now, executions: map[string]int{}, reportedNotRun: map[string]bool{}, nonRepeatable: map[string]bool{},
-		latency: map[string]*hdrhistogram.Histogram{}, opens: map[string]int{}, reasons: map[string]int{}, drainStarted: map[string]time.Time{},
+		latency: map[string]*hdrhistogram.Histogram{}, accepted: map[string]int{}, reasons: map[string]int{}, drainStarted: map[string]time.Time{},
 	}
 }
 
@@ -86,7 +86,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	all := map[string]int{}
-	for name, n := range l.opens {
+	for name, n := range l.accepted {
 		all[name] = n
 	}
 	return all
@@ -96,8 +96,8 @@
 func (l *Ledger) Latency(class string) *hdrhistogram.Histogram {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if h := l.latency[class]; h != nil {
-		return hdrhistogram.Import(h.Export())
+	if histogram := l.latency[class]; histogram != nil {
+		return hdrhistogram.Import(histogram.Export())
 	}
 	return nil
 }
@@ -130,8 +130,8 @@
 func (l *Ledger) recordAccepted(endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.opens[endpoint]++
-	l.checkDraining(endpoint)
+	l.accepted[endpoint]++
+	l.countIfDraining(endpoint)
 }
 
 // RecordDrain notes that an endpoint gets no new work a few seconds from now.
@@ -141,7 +141,7 @@
 	l.drainStarted[endpoint] = l.now()
 }
 
-func (l *Ledger) checkDraining(endpoint string) {
+func (l *Ledger) countIfDraining(endpoint string) {
 	if since, draining := l.drainStarted[endpoint]; draining && l.now().Sub(since) > drainGrace {
 		l.counts.LateNew++
 	}
@@ -163,11 +163,11 @@
 	l.counts.BrokenPlanned++
 }
 
-func (l *Ledger) recordRequest(token string, once bool) {
+func (l *Ledger) recordRequest(token string, nonRepeatable bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.counts.Requests++
-	if once {
+	if nonRepeatable {
 		l.nonRepeatable[token] = true
 	}
 }
@@ -177,7 +177,7 @@
 	defer l.mu.Unlock()
 	key := string(token)
 	l.executions[key]++
-	l.checkDraining(endpoint)
+	l.countIfDraining(endpoint)
 	if l.nonRepeatable[key] && l.executions[key] == 2 {
 		l.counts.RanTwice++
 	}
@@ -192,12 +192,12 @@
 	switch outcome {
 	case "answered":
 		l.counts.Answered++
-		h := l.latency[class]
-		if h == nil {
-			h = hdrhistogram.New(1, maxLatency, significantDigits)
-			l.latency[class] = h
+		histogram := l.latency[class]
+		if histogram == nil {
+			histogram = hdrhistogram.New(1, maxLatency, significantDigits)
+			l.latency[class] = histogram
 		}
-		_ = h.RecordValue(min(max(latency.Microseconds(), 1), maxLatency))
+		_ = histogram.RecordValue(min(max(latency.Microseconds(), 1), maxLatency))
 	case "not_run":
 		l.counts.NotRun++
 		l.reportedNotRun[token] = true
