--- a/examples/examples.go
+++ b/examples/examples.go
@@ -1,10 +1,10 @@
-// Package examples holds working settings and configurations of both users,
-// as files that an operator can copy and as the demo reads them.
+// Package examples embeds the example settings and configurations, which the
+// demo runs and operators can copy.
 package examples
 
 import "embed"
 
-// Files holds a folder for each user with settings.jsonc and intent.jsonc.
+// Files holds a folder per example, with settings.jsonc and intent.jsonc.
 //
 //go:embed visa qasr
 var Files embed.FS
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -20,15 +20,16 @@
 const (
 	warmUp           = 3 * time.Second
 	coolDown         = 1500 * time.Millisecond
-	fabricDetection  = 300 * time.Millisecond // until the fabric sees that an entry is gone
+	fabricDetection  = 300 * time.Millisecond // until the fabric stops using a killed entry
 	stopTimeout      = 8 * time.Second
 	feedInterval     = 400 * time.Millisecond
-	feedsPerEndpoint = 60 // long flows for each endpoint of the first service
+	feedsPerEndpoint = 60 // long-lived flows per endpoint of the first service
 )
 
-// Report is the result of a run: counted by callers and backend servers.
+// Report is the result of a run, as counted by callers and backend servers.
+// For the counts see standin.Counts.
 type Report struct {
-	User             string             `json:"user"`
+	Example          string             `json:"user"`
 	Placement        string             `json:"placement"`
 	Seconds          float64            `json:"seconds"`
 	Flows            int                `json:"flows"`
@@ -53,10 +54,12 @@
 	Events           []string           `json:"events"`
 }
 
-// EventNames lists what can happen in a run, in the order it does.
+// EventNames returns the names of all events, in the order in which "all" runs
+// them.
 func EventNames() []string { return []string{"drain", "join", "kill", "restart", "cut"} }
 
-// BrokenGuarantees returns the promises of the brief that the run broke.
+// BrokenGuarantees returns the guarantees that the run violated, each with its
+// count.
 func (r Report) BrokenGuarantees() []string {
 	var broken []string
 	for _, p := range []struct {
@@ -73,11 +76,11 @@
 	return broken
 }
 
-// Run runs the demo and returns what was counted.
-func Run(ctx context.Context, c Config) (Report, error) {
+// Run runs the demo and returns its report.
+func Run(ctx context.Context, config Config) (Report, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	f, err := newFleet(ctx, c)
+	f, err := newFleet(ctx, config)
 	if f != nil {
 		defer func() { _ = f.close() }()
 	}
@@ -85,21 +88,21 @@
 		return Report{}, err
 	}
 	time.Sleep(warmUp / 2)
-	r := &run{fleet: f, rng: rand.New(rand.NewPCG(c.Seed, 9)), started: c.Now(), imbalanceSamples: map[string][]float64{}}
+	r := &run{fleet: f, rng: rand.New(rand.NewPCG(config.Seed, 9)), started: config.Now(), imbalanceSamples: map[string][]float64{}}
 	report, err := r.run(ctx)
 	cancel()
 	f.group.Wait()
 	return report, errors.Join(err, errors.Join(f.runErrors...))
 }
 
-// run is one run with its traffic and events.
+// run is one run of the demo with its traffic and events.
 type run struct {
 	fleet            *fleet
 	rng              *rand.Rand
 	started          time.Time
-	events           []string
-	imbalanceSamples map[string][]float64
-	drained          string
+	events           []string             // those that happened, with their times
+	imbalanceSamples map[string][]float64 // by service
+	drained          string               // endpoint that was told to leave
 }
 
 func (r *run) run(ctx context.Context) (Report, error) {
@@ -123,7 +126,8 @@
 	return r.report(), nil
 }
 
-// runEvents shows progress, measures imbalance, and lets the events happen.
+// runEvents triggers the events when they are due, and meanwhile prints progress
+// and samples the imbalance.
 func (r *run) runEvents(ctx context.Context, end time.Time) error {
 	events := r.schedule()
 	ticker := time.NewTicker(500 * time.Millisecond)
@@ -148,7 +152,7 @@
 }
 
 func (r *run) printProgress(now time.Time) {
-	c := r.fleet.ledger.Counts()
+	c := r.fleet.recorder.Counts()
 	lastEvent := "steady"
 	if len(r.events) > 0 {
 		lastEvent = r.events[len(r.events)-1]
@@ -157,7 +161,8 @@
 		now.Sub(r.started).Seconds(), c.FlowsOpen, c.Flows, c.BrokenPlanned, c.BrokenUnplanned, c.Requests, c.Answered, c.NotRun, c.Unknown, lastEvent)
 }
 
-// sampleImbalance notes how uneven the flows are on the endpoints that take new ones.
+// sampleImbalance records, for each service with enough flows, the ratio of the
+// highest to the mean number of flows per endpoint. A leaving endpoint is left out.
 func (r *run) sampleImbalance() {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
@@ -182,7 +187,7 @@
 	trigger func(context.Context) error
 }
 
-// schedule spreads the events over the run.
+// schedule spreads the events evenly over the run.
 func (r *run) schedule() []event {
 	handlers := map[string]func(context.Context) error{
 		"drain": r.drain, "join": r.join, "kill": r.kill, "restart": r.restartAll, "cut": r.isolateDomain,
@@ -202,18 +207,18 @@
 	return name
 }
 
-// drain lets the third endpoint of the first service leave.
+// drain marks the third endpoint of the first service as leaving.
 func (r *run) drain(ctx context.Context) error {
 	service := r.firstService()
 	endpoints, _ := r.fleet.services[service]["endpoints"].([]any)
 	endpoint, _ := endpoints[2].(map[string]any)
 	endpoint["leaving"] = true
 	r.drained, _ = endpoint["name"].(string)
-	r.fleet.ledger.RecordDrain(r.drained)
+	r.fleet.recorder.RecordDrain(r.drained)
 	return r.fleet.submit(ctx, []*wire.Object{r.fleet.serviceObject(service)})
 }
 
-// join adds a cold endpoint to the first service.
+// join adds an endpoint to the first service; it is slow until it has warmed up.
 func (r *run) join(ctx context.Context) error {
 	service := r.firstService()
 	var spec intent.Service
@@ -233,31 +238,32 @@
 	return r.fleet.submit(ctx, []*wire.Object{r.fleet.serviceObject(service)})
 }
 
-// kill ends an entry without a word and starts it again with empty memory.
+// kill ends a random entry, but the first, without a planned stop and restarts
+// it later with empty memory.
 func (r *run) kill(ctx context.Context) error {
 	victim := r.fleet.settings.Instances[1+r.rng.IntN(len(r.fleet.settings.Instances)-1)].Name
-	r.fleet.ledger.RecordUnplannedEvent()
+	r.fleet.recorder.RecordUnplannedEvent()
 	r.fleet.mu.Lock()
 	inst := r.fleet.instances[victim]
 	r.fleet.mu.Unlock()
 	inst.Kill()
 	time.Sleep(fabricDetection)
 	r.fleet.fabric.RemoveEntry(victim)
-	go restart{r.fleet, victim}.run(ctx)
+	go delayedRestart{r.fleet, victim}.run(ctx)
 	return nil
 }
 
-// isolateDomain cuts the last failure domain off for a while.
+// isolateDomain cuts off the last failure domain for partitionDuration.
 func (r *run) isolateDomain(ctx context.Context) error {
 	instances := r.fleet.settings.Instances
 	domain := instances[len(instances)-1].Domain
-	r.fleet.ledger.RecordUnplannedEvent()
+	r.fleet.recorder.RecordUnplannedEvent()
 	r.fleet.setPartitioned(domain, true)
-	go partition{r.fleet, domain}.run(ctx)
+	go delayedRejoin{r.fleet, domain}.run(ctx)
 	return nil
 }
 
-// restartAll stops and starts every entry, one after the other, as planned.
+// restartAll restarts the entries one after the other, each with a planned stop.
 func (r *run) restartAll(ctx context.Context) error {
 	for _, settings := range r.fleet.settings.Instances {
 		r.fleet.mu.Lock()
@@ -279,13 +285,13 @@
 }
 
 func (r *run) report() Report {
-	c := r.fleet.ledger.Counts()
+	c := r.fleet.recorder.Counts()
 	report := Report{
-		User: r.fleet.config.Example, Placement: placementName(r.fleet.config.Placement), Seconds: r.fleet.config.Duration.Seconds(),
+		Example: r.fleet.config.Example, Placement: placementName(r.fleet.config.Placement), Seconds: r.fleet.config.Duration.Seconds(),
 		Flows: c.Flows, BrokenPlanned: c.BrokenPlanned, BrokenUnplanned: c.BrokenUnplanned, Misdelivered: c.Misdelivered,
 		Crossed: c.Crossed, NotOpened: c.NotOpened, Requests: c.Requests, Answered: c.Answered, NotRun: c.NotRun,
 		Unknown: c.Unknown, NoAnswer: c.NoAnswer, RanTwice: c.RanTwice, FalseNotRun: c.FalseNotRun, LateNew: c.LateNew,
-		Incomplete: c.Incomplete, Imbalance: map[string]float64{}, Reasons: r.fleet.ledger.Reasons(), Events: r.events,
+		Incomplete: c.Incomplete, Imbalance: map[string]float64{}, Reasons: r.fleet.recorder.Reasons(), Events: r.events,
 	}
 	for service, values := range r.imbalanceSamples {
 		slices.Sort(values)
@@ -313,25 +319,25 @@
 	return placement
 }
 
-// WriteTable writes the report for people.
+// WriteTable writes the report as a table for people to read.
 func (r Report) WriteTable(w io.Writer) {
 	writeRow := func(name string, value any) { fmt.Fprintf(w, "  %-22s %v\n", name, value) }
-	fmt.Fprintf(w, "\n%s, placement %s, %.0f s, events: %s\n", r.User, r.Placement, r.Seconds, strings.Join(r.Events, ", "))
+	fmt.Fprintf(w, "\n%s, placement %s, %.0f s, events: %s\n", r.Example, r.Placement, r.Seconds, strings.Join(r.Events, ", "))
 	writeRow("flows", r.Flows)
 	writeRow("broken, planned", r.BrokenPlanned)
 	writeRow("broken, unplanned", r.BrokenUnplanned)
 	writeRow("misdelivered", r.Misdelivered)
-	writeRow("new on a leaving one", r.LateNew)
+	writeRow("new on leaving", r.LateNew)
 	writeRow("requests", r.Requests)
 	writeRow("answered", r.Answered)
-	writeRow("not run, said so", r.NotRun)
+	writeRow("not run, reported", r.NotRun)
 	writeRow("unknown", r.Unknown)
 	writeRow("ran twice", r.RanTwice)
 	writeRow("false not run", r.FalseNotRun)
 	for _, service := range slices.Sorted(mapKeys(r.Imbalance)) {
 		writeRow("imbalance "+service, fmt.Sprintf("%.3f", r.Imbalance[service]))
 	}
-	writeRow("packets a second", fmt.Sprintf("%.0f", r.PacketsPerSecond))
+	writeRow("packets per second", fmt.Sprintf("%.0f", r.PacketsPerSecond))
 	writeRow("relayed share", fmt.Sprintf("%.4f", r.RelayedShare))
 }
 
@@ -345,7 +351,7 @@
 	}
 }
 
-// Err returns an error that names the broken promises, or nil.
+// Err returns an error that lists the violated guarantees, or nil.
 func (r Report) Err() error {
 	if broken := r.BrokenGuarantees(); len(broken) > 0 {
 		return fault.New(fault.PromiseBroken, "%s", strings.Join(broken, ", "))
--- a/internal/demo/events.go
+++ b/internal/demo/events.go
@@ -7,52 +7,49 @@
 )
 
 const (
-	// downtime is how long an instance that was killed stays down.
+	// downtime is how long a killed instance stays down.
 	downtime = 3 * time.Second
-	// partitionDuration is how long a failure domain stays cut off: longer than it waits before it
-	// serves by itself.
+	// partitionDuration is how long a failure domain stays cut off: long enough
+	// for it to begin to serve without the others.
 	partitionDuration = 6 * time.Second
 )
 
 type (
-	// restart is an entry that was killed and starts again.
-	restart struct {
+	// delayedRestart restarts a killed entry after downtime.
+	delayedRestart struct {
 		fleet *fleet
 		entry string // name
 	}
 
-	// partition is a failure domain that is cut off and comes back.
-	partition struct {
+	// delayedRejoin reconnects a failure domain after partitionDuration.
+	delayedRejoin struct {
 		fleet  *fleet
 		domain string
 	}
 
-	// callerWait tells when all callers have ended.
+	// callerWait closes done when all callers have ended.
 	callerWait struct {
 		callers *sync.WaitGroup
 		done    chan<- struct{}
 	}
 )
 
-// run starts the entry again after a while.
-func (o restart) run(ctx context.Context) {
+func (d delayedRestart) run(ctx context.Context) {
 	time.Sleep(downtime)
 	if ctx.Err() == nil {
-		_ = o.fleet.start(ctx, o.entry)
+		_ = d.fleet.start(ctx, d.entry)
 	}
 }
 
-// run has the failure domain come back after a while.
-func (c partition) run(ctx context.Context) {
+func (d delayedRejoin) run(ctx context.Context) {
 	select {
 	case <-time.After(partitionDuration):
 	case <-ctx.Done():
 	}
-	c.fleet.ledger.RecordUnplannedEvent()
-	c.fleet.setPartitioned(c.domain, false)
+	d.fleet.recorder.RecordUnplannedEvent()
+	d.fleet.setPartitioned(d.domain, false)
 }
 
-// run waits for the callers.
 func (w callerWait) run() {
 	w.callers.Wait()
 	close(w.done)
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -1,6 +1,6 @@
 // Package demo runs a whole fleet in one process on loopback sockets, with
-// stand-ins of what it serves, and reports what callers and backend servers
-// have seen.
+// simulated callers, backend servers and network fabric, and reports what
+// callers and backend servers have seen.
 package demo
 
 import (
@@ -25,29 +25,30 @@
 )
 
 type (
-	// Config sets up a run.
+	// Config configures a run.
 	Config struct {
-		Example   string // visa or qasr
+		Example   string // folder of package examples: visa or qasr
 		Seed      uint64
-		Duration  time.Duration
-		Events    []string
-		Placement string // empty, or instance.PlacementModulo
-		DataDir   string // data folders go below it
+		Duration  time.Duration // of the traffic
+		Events    []string      // some of EventNames
+		Placement string        // empty, or instance.PlacementModulo
+		DataDir   string        // parent of the instances' data folders
 		Log       io.Writer
 		LogLevel  string
 		Progress  io.Writer
 		Now       func() time.Time
 	}
 
-	// fleet is 8 instances with their stand-ins.
+	// fleet is the 8 instances of an example with the callers, backend servers and
+	// fabric around them.
 	fleet struct {
 		config      Config
 		settings    settings.Settings
-		services    map[string]map[string]any // services as JSON, by name
+		services    map[string]map[string]any // decoded JSON of the services, by name
 		team        map[string]any
 		teamName    string
 		fabric      *standin.Fabric
-		ledger      *standin.Ledger
+		recorder    *standin.Ledger
 		callers     *standin.Callers
 		mu          sync.Mutex
 		instances   map[string]*instance.Instance
@@ -55,21 +56,22 @@
 		group       sync.WaitGroup
 		runErrors   []error
 		changeCount int
-		partitioned atomic.Pointer[string] // the domain that is cut off, or nil
+		partitioned atomic.Pointer[string] // failure domain that is cut off, or nil
 		domainOf    map[netip.AddrPort]string
 		templates   map[string]json.RawMessage
 	}
 )
 
-// newFleet reads the user's example, gives it free ports and starts all of it.
-func newFleet(ctx context.Context, c Config) (*fleet, error) {
-	f := &fleet{config: c, instances: map[string]*instance.Instance{}, backends: map[string]map[string]*standin.Backend{}, services: map[string]map[string]any{}, domainOf: map[netip.AddrPort]string{}}
-	f.ledger = standin.NewLedger(c.Now)
+// newFleet reads the example, gives its instances free ports, starts them, and
+// submits the configuration. On an error, the fleet may be partly started.
+func newFleet(ctx context.Context, config Config) (*fleet, error) {
+	f := &fleet{config: config, instances: map[string]*instance.Instance{}, backends: map[string]map[string]*standin.Backend{}, services: map[string]map[string]any{}, domainOf: map[netip.AddrPort]string{}}
+	f.recorder = standin.NewLedger(config.Now)
 	var err error
-	if f.fabric, err = standin.NewFabric(netip.MustParseAddrPort("127.0.0.1:0"), c.Seed); err != nil {
+	if f.fabric, err = standin.NewFabric(netip.MustParseAddrPort("127.0.0.1:0"), config.Seed); err != nil {
 		return nil, err
 	}
-	f.callers = standin.NewCallers(f.fabric, f.ledger, c.Now)
+	f.callers = standin.NewCallers(f.fabric, f.recorder, config.Now)
 	if err := errors.Join(f.readSettings(), f.readIntent()); err != nil {
 		return f, err
 	}
@@ -84,7 +86,7 @@
 func (f *fleet) readSettings() error {
 	data, err := examples.Files.ReadFile(f.config.Example + "/settings.jsonc")
 	if err != nil {
-		return fmt.Errorf("there is no example %q: visa or qasr", f.config.Example)
+		return fmt.Errorf("no example %q: choose visa or qasr", f.config.Example)
 	}
 	s, faults := settings.Parse(data)
 	if len(faults) > 0 {
@@ -109,8 +111,8 @@
 	return nil
 }
 
-// readIntent starts a backend server for each endpoint of the example and
-// writes its addresses into the document.
+// readIntent reads the example's configuration and starts a backend server for
+// each endpoint, whose addresses it fills in.
 func (f *fleet) readIntent() error {
 	data, err := examples.Files.ReadFile(f.config.Example + "/intent.jsonc")
 	if err != nil {
@@ -136,7 +138,8 @@
 			}
 		}
 	}
-	// Flows in the demo send often, so that transitions end while one watches.
+	// Flows of the demo send often, so a short idle timeout doesn't end them, and it
+	// lets changes of endpoints complete within the run.
 	parameters, _ := f.team["parameters"].(map[string]any)
 	if parameters == nil {
 		parameters = map[string]any{}
@@ -166,7 +169,8 @@
 	return nil
 }
 
-// addBackend starts a backend server and returns its endpoint for the document.
+// addBackend starts a backend server and returns its endpoint as it goes into
+// the configuration.
 func (f *fleet) addBackend(service string, spec intent.Service, endpoint intent.Endpoint, warmup time.Duration) (map[string]any, error) {
 	var addresses []netip.AddrPort
 	for _, class := range spec.Classes {
@@ -176,7 +180,7 @@
 	server, err := standin.NewBackend(standin.BackendConfig{
 		Name: endpoint.Name, Service: service, Addr: netip.MustParseAddrPort("127.0.0.1:0"), HealthAddr: netip.MustParseAddrPort("127.0.0.1:0"),
 		Addresses: addresses, Slots: endpoint.Slots, Connections: endpoint.Connections, ServiceTime: serviceTime, Warmup: warmup, Blocks: blocks,
-		Pick: func() (netip.AddrPort, bool) { return f.pickEntry(endpoint.Domain) }, Ledger: f.ledger, Now: f.config.Now,
+		Pick: func() (netip.AddrPort, bool) { return f.pickEntry(endpoint.Domain) }, Ledger: f.recorder, Now: f.config.Now,
 	})
 	if err != nil {
 		return nil, err
@@ -191,7 +195,7 @@
 	}, nil
 }
 
-// start starts an instance with empty memory.
+// start starts an instance; the fabric uses it as soon as it is ready.
 func (f *fleet) start(ctx context.Context, name string) error {
 	logger, err := telemetry.NewLogger(f.config.Log, f.config.LogLevel, name)
 	if err != nil {
@@ -219,8 +223,8 @@
 	return nil
 }
 
-// announceWhenReady lets the fabric use an instance once it is ready, as a fabric that
-// checks its next hops does.
+// announceWhenReady adds an instance to the fabric once it is ready, like a
+// fabric that checks the health of its next hops.
 func (f *fleet) announceWhenReady(ctx context.Context, inst *instance.Instance, name string, addr netip.AddrPort) {
 	const pollInterval = 20 * time.Millisecond
 	ticker := time.NewTicker(pollInterval)
@@ -235,13 +239,14 @@
 	f.fabric.AddEntry(name, addr)
 }
 
-// separated reports whether the cut runs between two domains.
+// separated reports whether the current partition separates two failure domains.
 func (f *fleet) separated(a, b string) bool {
 	partitioned := f.partitioned.Load()
 	return partitioned != nil && (a == *partitioned) != (b == *partitioned)
 }
 
-// blockFunc tells which addresses an instance cannot reach now.
+// blockFunc returns a function that reports whether an instance currently
+// cannot reach an address.
 func (f *fleet) blockFunc(name string) func(netip.AddrPort) bool {
 	own, err := f.settings.Instance(name)
 	return func(to netip.AddrPort) bool {
@@ -255,7 +260,7 @@
 	}
 }
 
-// pickEntry returns an entry that a backend server can reach.
+// pickEntry returns a random entry that a backend server in domain can reach.
 func (f *fleet) pickEntry(domain string) (netip.AddrPort, bool) {
 	return f.fabric.PickAmong(func(name string) bool {
 		i, err := f.settings.Instance(name)
@@ -263,7 +268,8 @@
 	})
 }
 
-// setPartitioned cuts a domain off from the others and from the callers, or joins it.
+// setPartitioned cuts a failure domain off from the others and from the callers,
+// or reconnects it.
 func (f *fleet) setPartitioned(domain string, on bool) {
 	var names []string
 	for _, i := range f.settings.Instances {
@@ -279,8 +285,7 @@
 	f.fabric.SetHidden(names, on)
 }
 
-// submitAll has the whole example accepted; an operator would run
-// `oxbowsaddle accept`.
+// submitAll submits the whole example, like `oxbowsaddle accept`.
 func (f *fleet) submitAll(ctx context.Context) error {
 	var objects []*wire.Object
 	for name, body := range f.templates {
@@ -307,8 +312,8 @@
 	return &wire.Object{Kind: intent.KindService, Name: name, Body: body}
 }
 
-// submit offers a change to one instance after the other until it is taken;
-// the same id makes it count once.
+// submit sends a change to one instance after the other until it is accepted.
+// All attempts carry the same id, so it is applied once.
 func (f *fleet) submit(ctx context.Context, objects []*wire.Object) error {
 	const maxAttempts, retryInterval = 40, 250 * time.Millisecond
 	f.changeCount++
@@ -328,16 +333,16 @@
 		}
 		time.Sleep(retryInterval)
 	}
-	return fmt.Errorf("the example was not accepted: %s", lastReply)
+	return fmt.Errorf("the configuration was not accepted: %s", lastReply)
 }
 
-func submitOnce(ctx context.Context, addr netip.AddrPort, c *wire.Change) (*wire.SubmitReply, error) {
+func submitOnce(ctx context.Context, addr netip.AddrPort, change *wire.Change) (*wire.SubmitReply, error) {
 	client, done, err := instance.Dial(ctx, addr, settings.TLS{})
 	if err != nil {
 		return nil, err
 	}
 	defer func() { _ = done() }()
-	return client.Submit(ctx, c)
+	return client.Submit(ctx, change)
 }
 
 func (f *fleet) close() error {
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -16,8 +16,9 @@
 	requestDeadline  = 3 * time.Second
 )
 
-// startTraffic starts the callers of every class until the given time: long
-// feeds and short downloads on flow classes, requests on work classes.
+// startTraffic starts callers for every class, which run until the given time:
+// long feeds on the flow classes of the first service, short downloads on those
+// of the others, and requests on work classes.
 func (r *run) startTraffic(ctx context.Context, group *sync.WaitGroup, until time.Time) {
 	for service := range r.fleet.services {
 		var spec intent.Service
@@ -37,7 +38,7 @@
 	}
 }
 
-// startFeeds opens flows that last for the whole run.
+// startFeeds opens n flows that last until the given time.
 func (r *run) startFeeds(ctx context.Context, group *sync.WaitGroup, until time.Time, class intent.Class, n int) {
 	for range n {
 		delay := rand.N(2 * time.Second)
@@ -49,7 +50,7 @@
 	}
 }
 
-// startDownloads opens one short flow after the other.
+// startDownloads starts n callers that open one short flow after the other.
 func (r *run) startDownloads(ctx context.Context, group *sync.WaitGroup, until time.Time, class intent.Class, n int) {
 	for range n {
 		group.Go(func() {
@@ -61,7 +62,8 @@
 	}
 }
 
-// startRequests keeps the slots of a service about two thirds busy.
+// startRequests starts one caller per three slots of the service, at least two;
+// each sends one request after the other.
 func (r *run) startRequests(ctx context.Context, group *sync.WaitGroup, until time.Time, service string, spec intent.Service, class intent.Class) {
 	slots := 0
 	for _, e := range spec.Endpoints {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -1,6 +1,5 @@
-// Package fault holds the closed list of error kinds and the table from each
-// kind to its answer: exit code, what a caller of the service is told, and
-// what the operator can do next.
+// Package fault defines the kinds of errors and, for each kind, its name, the
+// exit code of a command that fails with it, and what the operator can do next.
 package fault
 
 import (
@@ -10,10 +9,10 @@
 	"github.com/ansel1/merry/v2"
 )
 
-// Kind is one of the closed list of error kinds.
+// Kind is a kind of error.
 type Kind int
 
-// The closed list of kinds.
+// The kinds of errors; Internal is also that of errors without a kind.
 const (
 	Internal Kind = iota
 	Usage
@@ -34,7 +33,7 @@
 )
 
 type (
-	// Answer says how one kind is answered.
+	// Answer is how a command reports errors of one kind.
 	Answer struct {
 		name     string
 		exitCode int
@@ -44,29 +43,29 @@
 	kindKey struct{}
 )
 
-// answers is the table from kind to answer; every kind has a row.
+// answers has the answer of every kind.
 var answers = [kindCount]Answer{
 	Internal:           {"internal", 1, "report this with the log line of the same time"},
 	Usage:              {"usage", 2, "run the command with --help"},
-	InvalidSettings:    {"invalid settings", 3, "mend each listed field, then run `oxbowsaddle settings check FILE`"},
-	InvalidChange:      {"invalid", 4, "mend each listed fault and accept again with a new change id"},
-	Conflict:           {"conflict", 5, "read the winner with `oxbowsaddle status --output json`, then accept again on its revision"},
+	InvalidSettings:    {"invalid settings", 3, "correct each listed field, then run `oxbowsaddle settings check FILE`"},
+	InvalidChange:      {"invalid", 4, "correct each listed error and accept again with a new change id"},
+	Conflict:           {"conflict", 5, "read the accepted change with `oxbowsaddle status --output json`, then accept again based on its revision"},
 	NoQuorum:           {"no quorum", 6, "send the same change id again; it is never applied twice"},
-	NotCurrent:         {"not current", 7, "ask another control instance, or wait until this one hears a majority again"},
-	Unreachable:        {"unreachable", 8, "check the control address and that the instance runs"},
-	AddressInUse:       {"address in use", 9, "free the address or name another one in the settings"},
-	DataFolder:         {"data folder", 10, "make the data folder writable and leave it free space; nothing accepted was lost"},
-	DamagedLog:         {"damaged log", 11, "move the data folder away and start the instance empty; it is caught up by the others"},
-	PromiseBroken:      {"promise broken", 12, "the report names the promise; keep the seed and report it"},
+	NotCurrent:         {"not current", 7, "ask another control instance, or wait until this one is connected to a majority again"},
+	Unreachable:        {"unreachable", 8, "check the control address and that the instance is running"},
+	AddressInUse:       {"address in use", 9, "free the address or set another one in the settings"},
+	DataFolder:         {"data folder", 10, "make sure that the data folder is writable and has free space; no accepted change was lost"},
+	DamagedLog:         {"damaged log", 11, "move the data folder away and start the instance with an empty one; it catches up from the others"},
+	PromiseBroken:      {"promise broken", 12, "the report names the broken promise; report it together with the seed"},
 	NotFound:           {"not found", 13, "check the name with `oxbowsaddle status`"},
 	NeedsConfirmation:  {"needs confirmation", 14, "read the warning; repeat with --confirm if it is meant"},
-	HandoverUnfinished: {"handover unfinished", 15, "stop entries one after the other, or raise times.stop_timeout; the second holders serve what was left"},
+	HandoverUnfinished: {"handover unfinished", 15, "stop entries one after the other, or raise times.stop_timeout; the second holders serve the flows that were left"},
 }
 
 // Name returns the short name of the kind.
 func (kind Kind) Name() string { return kind.Answer().name }
 
-// Answer returns the row of the table for the kind.
+// Answer returns the answer of the kind, or that of Internal if it is unknown.
 func (kind Kind) Answer() Answer {
 	if kind < 0 || kind >= kindCount {
 		return answers[Internal]
@@ -74,10 +73,10 @@
 	return answers[kind]
 }
 
-// ExitCode returns the exit code of a command that ends with this answer.
+// ExitCode returns the exit code of a command that fails with this answer.
 func (a Answer) ExitCode() int { return a.exitCode }
 
-// NextStep returns what the operator can do.
+// NextStep returns what the operator can do next.
 func (a Answer) NextStep() string { return a.nextStep }
 
 // New returns an error of the given kind.
@@ -85,7 +84,7 @@
 	return merry.Wrap(fmt.Errorf(format, args...), merry.WithValue(kindKey{}, k))
 }
 
-// Wrap gives an error a kind; nil stays nil.
+// Wrap returns err with a kind attached; nil stays nil.
 func Wrap(k Kind, err error) error {
 	if err == nil {
 		return nil
@@ -93,7 +92,7 @@
 	return merry.Wrap(err, merry.WithValue(kindKey{}, k))
 }
 
-// KindOf returns the kind of an error, or Internal where it has none.
+// KindOf returns the kind of an error, or Internal if it has none.
 func KindOf(err error) Kind {
 	if k, ok := merry.Value(err, kindKey{}).(Kind); ok {
 		return k
@@ -101,12 +100,13 @@
 	return Internal
 }
 
-// FromName returns the kind with this name, as carried between processes.
+// FromName returns the kind with this name; replies between processes carry the
+// name.
 func FromName(name string) (Kind, error) {
 	for k := range kindCount {
 		if answers[k].name == name {
 			return k, nil
 		}
 	}
-	return Internal, errors.New("unknown kind " + name)
+	return Internal, errors.New("unknown error kind " + name)
 }
--- a/internal/standin/addr.go
+++ b/internal/standin/addr.go
@@ -5,8 +5,8 @@
 	"net/netip"
 )
 
-// FreeAddr returns a loopback address that nothing uses now; the network is
-// "udp" or "tcp".
+// FreeAddr returns a loopback address with a free port; network is "udp" or
+// "tcp". Another process may take the port before the caller does.
 func FreeAddr(network string) (netip.AddrPort, error) {
 	if network == "udp" {
 		conn, err := net.ListenPacket("udp", "127.0.0.1:0")
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -20,32 +20,32 @@
 
 const (
 	healthCacheTime = 500 * time.Millisecond
-	warmupSlowdown  = 3
+	warmupSlowdown  = 3 // factor of the service time
 	blockBytes      = 256
 	blockSZX        = 4 // SZX of RFC 7959 for blocks of 256 bytes
 )
 
 type (
-	// BackendConfig is what a Backend is made from.
+	// BackendConfig configures a Backend.
 	BackendConfig struct {
 		Name        string
 		Service     string
 		Addr        netip.AddrPort
 		HealthAddr  netip.AddrPort
-		Addresses   []netip.AddrPort // of the service's classes
+		Addresses   []netip.AddrPort // accepted destinations: those of the service's classes
 		Slots       int
 		Connections int
 		ServiceTime time.Duration
-		Warmup      time.Duration // it is slow so long after its start
-		Blocks      uint32        // of a block-wise answer; 0 is one message
-		Pick        func() (netip.AddrPort, bool)
+		Warmup      time.Duration                 // requests take warmupSlowdown times as long until then
+		Blocks      uint32                        // in the response to a GET; 0 is a single message
+		Pick        func() (netip.AddrPort, bool) // entry to send a packet to
 		Ledger      *Ledger
 		Now         func() time.Time
 	}
 
-	// Backend is one endpoint of a backend server. It takes Geneve, accepts
-	// flows, runs requests in slots, refuses what is above them, obeys
-	// cancellation and deadlines, and tells its health with a lag.
+	// Backend simulates one endpoint of a backend server. It receives Geneve
+	// packets, accepts TCP flows, and runs CoAP requests in a fixed number of
+	// slots, with cancellation and deadlines. Its health reports are delayed.
 	Backend struct {
 		config       BackendConfig
 		conn         *net.UDPConn
@@ -53,14 +53,15 @@
 		encoder      *packet.Encoder
 		started      time.Time
 		mu           sync.Mutex
-		flows        map[packet.Tuple]bool
-		running      map[string]*time.Timer
-		seen         map[string]bool // CoAP message ids, RFC 7252 section 4.5
-		reportDown   bool
+		flows        map[packet.Tuple]bool  // open
+		running      map[string]*time.Timer // by caller and token
+		seen         map[string]bool        // by caller, message id and token, to drop duplicates (RFC 7252 section 4.5)
+		reportDown   bool                   // regardless of its real state
 		cachedHealth healthReport
 		cachedAt     time.Time
 	}
 
+	// healthReport is the JSON response to a health check.
 	healthReport struct {
 		Healthy     bool `json:"healthy"`
 		Leaving     bool `json:"leaving"`
@@ -70,7 +71,7 @@
 	}
 )
 
-// NewBackend opens the sockets of an endpoint.
+// NewBackend opens the sockets of an endpoint and starts to serve.
 func NewBackend(c BackendConfig) (*Backend, error) {
 	conn, err := listenUDP(c.Addr)
 	if err != nil {
@@ -100,37 +101,38 @@
 // serveHealth answers health checks until the server is closed.
 func (b *Backend) serveHealth(listener net.Listener) { _ = b.http.Serve(listener) }
 
-// Name returns the endpoint's name.
+// Name returns the name of the endpoint.
 func (b *Backend) Name() string { return b.config.Name }
 
-// Addr returns where it takes Geneve.
+// Addr returns the UDP address for Geneve packets.
 func (b *Backend) Addr() netip.AddrPort { return localAddr(b.conn) }
 
-// HealthAddr returns where it tells its health.
+// HealthAddr returns the HTTP address for health checks.
 func (b *Backend) HealthAddr() netip.AddrPort { return b.config.HealthAddr }
 
-// Flows returns how many flows it holds.
+// Flows returns the number of open flows.
 func (b *Backend) Flows() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.flows)
 }
 
-// ReportDown makes its health endpoint tell that it is down and idle.
+// ReportDown makes health checks report, falsely, that the endpoint is down and
+// idle.
 func (b *Backend) ReportDown(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.reportDown = on
 }
 
-// Close ends the endpoint.
+// Close closes the sockets.
 func (b *Backend) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	return errors.Join(b.conn.Close(), b.http.Shutdown(ctx))
 }
 
-// health answers with what was true a while ago.
+// health answers a health check; the report is up to healthCacheTime old.
 func (b *Backend) health(w http.ResponseWriter, _ *http.Request) {
 	b.mu.Lock()
 	now := b.config.Now()
@@ -181,8 +183,8 @@
 	return false
 }
 
-// handleTCP answers a TCP packet; data is echoed, so that the caller can check
-// that the whole answer to its own request came.
+// handleTCP answers a TCP packet. Data is echoed, so that callers can check that
+// they get their own.
 func (b *Backend) handleTCP(p *packet.Packet, seq uint32) {
 	b.mu.Lock()
 	held := b.flows[p.Tuple()]
@@ -203,7 +205,7 @@
 		answer = packet.NewFlags(false, true, true, false)
 	case !held:
 		if p.Flags().Ends() {
-			answer = packet.NewFlags(false, true, true, false) // a repeated FIN
+			answer = packet.NewFlags(false, true, true, false) // retransmitted FIN
 		} else {
 			answer = packet.NewFlags(false, true, false, true)
 		}
@@ -221,7 +223,8 @@
 	}
 }
 
-// handleRequest runs a request in a slot, or refuses it before it begins.
+// handleRequest runs a request in a free slot, or refuses it. A reset cancels
+// the caller's request.
 func (b *Backend) handleRequest(p *packet.Packet) {
 	m, err := work.Decode(p.Payload())
 	if err != nil {
@@ -259,8 +262,8 @@
 	b.running[key] = time.AfterFunc(duration, func() { b.completeRequest(p.Tuple(), m, key, block) })
 }
 
-// callerPrefix is the part of a request's key that names its caller; each caller
-// of the stand-ins has one request at a time.
+// callerPrefix returns the part of a key of Backend.running that identifies the
+// caller, which has one request at a time.
 func callerPrefix(caller netip.AddrPort) string { return caller.String() + "/" }
 
 func messageKey(caller netip.AddrPort, id int32) string {
@@ -281,7 +284,7 @@
 	b.sendResponse(t, m, codes.Content, text, block)
 }
 
-// cancelRequests frees the slot of a request; the message id names it.
+// cancelRequests stops the caller's request and frees its slot.
 func (b *Backend) cancelRequests(caller netip.AddrPort, _ int32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -26,38 +26,38 @@
 )
 
 type (
-	// Callers makes traffic of all kinds from addresses of its own.
+	// Callers opens flows and sends requests, each from a new caller address.
 	Callers struct {
 		fabric      *Fabric
-		ledger      *Ledger
+		recorder    *Ledger
 		now         func() time.Time
 		lastAddress atomic.Uint32
 		lastToken   atomic.Uint64
 	}
 
-	// FlowConfig is one flow that a caller opens.
+	// FlowConfig configures a flow.
 	FlowConfig struct {
 		To       netip.AddrPort
-		Interval time.Duration // between its packets
+		Interval time.Duration // mean time between exchanges
 		Lasts    time.Duration
 	}
 
-	// RequestConfig is one request of a class of work.
+	// RequestConfig configures a request.
 	RequestConfig struct {
 		Class     string
 		To        netip.AddrPort
-		Once      bool // it may not be repeated
+		Once      bool // must not run more than once
 		Deadline  time.Duration
-		Blockwise bool // it pulls a block-wise answer
+		Blockwise bool // fetch a block-wise response, RFC 7959
 	}
 )
 
-// NewCallers returns callers that send by a fabric.
+// NewCallers returns callers that send through a fabric.
 func NewCallers(f *Fabric, l *Ledger, now func() time.Time) *Callers {
-	return &Callers{fabric: f, ledger: l, now: now}
+	return &Callers{fabric: f, recorder: l, now: now}
 }
 
-// newAddress returns a caller's newAddress that was not used before.
+// newAddress returns a caller address that has not been used before.
 func (c *Callers) newAddress() netip.AddrPort {
 	const firstPort, ports = 1024, 60000
 	n := c.lastAddress.Add(1)
@@ -66,8 +66,8 @@
 	return netip.AddrPortFrom(ip, uint16(firstPort+n%ports))
 }
 
-// attachCaller takes a new address and returns what comes to it; a caller that is
-// too slow loses packets.
+// attachCaller attaches a new address to the fabric and returns it with a channel
+// of the packets sent to it. Packets are dropped while the channel is full.
 func (c *Callers) attachCaller() (netip.AddrPort, chan *packet.Packet) {
 	src := c.newAddress()
 	inbox := make(chan *packet.Packet, inboxSize)
@@ -80,16 +80,16 @@
 	return src, inbox
 }
 
-// Flow opens one TCP flow, sends on it and checks every answer, and closes it.
+// Flow opens a TCP flow, sends data and checks each echo, and closes the flow.
 func (c *Callers) Flow(ctx context.Context, f FlowConfig) {
 	src, inbox := c.attachCaller()
 	defer c.fabric.Detach(src)
-	c.ledger.recordFlowStart()
+	c.recorder.recordFlowStart()
 	flow := &callerFlow{callers: c, tuple: packet.NewTuple(src, f.To, packet.TCP), inbox: inbox, end: c.now().Add(f.Lasts)}
 	flow.run(ctx, f.Interval)
 }
 
-// callerFlow is one flow of a caller.
+// callerFlow is the caller's end of a flow.
 type callerFlow struct {
 	callers *Callers
 	tuple   packet.Tuple
@@ -107,7 +107,7 @@
 			return
 		}
 		if !sleep(ctx, interval/2+rand.N(interval)) {
-			f.callers.ledger.recordFlowEnd()
+			f.callers.recorder.recordFlowEnd()
 			return
 		}
 	}
@@ -117,7 +117,7 @@
 			break
 		}
 	}
-	f.callers.ledger.recordFlowEnd()
+	f.callers.recorder.recordFlowEnd()
 }
 
 func (f *callerFlow) open(ctx context.Context) bool {
@@ -128,11 +128,12 @@
 			return true
 		}
 	}
-	f.callers.ledger.recordNotOpened()
+	f.callers.recorder.recordNotOpened()
 	return false
 }
 
-// echo sends one piece of data and waits for its echo.
+// echo sends a segment and waits for its echo. It reports whether the flow is
+// still open.
 func (f *callerFlow) echo(ctx context.Context) bool {
 	f.seq++
 	want := fmt.Sprintf("%s %d", f.tuple.Src(), f.seq)
@@ -142,22 +143,23 @@
 		p := f.receive(ctx, segmentResend)
 		switch {
 		case ctx.Err() != nil:
-			f.callers.ledger.recordFlowEnd()
+			f.callers.recorder.recordFlowEnd()
 			return false
 		case p == nil:
 		case p.Flags().Resets():
-			f.callers.ledger.recordBroken("reset")
+			f.callers.recorder.recordBroken("reset")
 			return false
 		case string(p.Payload()) == want:
 			return true
 		case len(p.Payload()) > 0 && !f.isOwnEcho(p.Payload()):
-			f.callers.ledger.recordCrossed()
+			f.callers.recorder.recordCrossed()
 		}
 	}
-	f.callers.ledger.recordBroken("silent")
+	f.callers.recorder.recordBroken("silent")
 	return false
 }
 
+// isOwnEcho reports whether the payload was sent on this flow, now or earlier.
 func (f *callerFlow) isOwnEcho(payload []byte) bool {
 	prefix := f.tuple.Src().String() + " "
 	return len(payload) > len(prefix) && string(payload[:len(prefix)]) == prefix
@@ -169,6 +171,7 @@
 	}
 }
 
+// receive waits for a packet and returns nil after d or at the context's end.
 func (f *callerFlow) receive(ctx context.Context, d time.Duration) *packet.Packet {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
@@ -192,8 +195,8 @@
 	}
 }
 
-// Request sends one request until it has a final answer or its time is over,
-// and returns "answered", "not_run", "unknown" or "silent".
+// Request sends a request, again and again until it is answered or its deadline
+// is over, and returns the outcome: "answered", "not_run", "unknown" or "silent".
 func (c *Callers) Request(ctx context.Context, r RequestConfig) string {
 	src, inbox := c.attachCaller()
 	defer c.fabric.Detach(src)
@@ -218,7 +221,8 @@
 	return c.sendRequest(ctx, r, src, inbox, codes.GET, block, more)
 }
 
-// sendRequest sends one message until it is answered.
+// sendRequest sends one message until it is answered and returns the outcome. If
+// more is not nil, it is set to whether further blocks follow.
 func (c *Callers) sendRequest(ctx context.Context, r RequestConfig, src netip.AddrPort, inbox chan *packet.Packet, code codes.Code, block *uint32, more *bool) string {
 	number := c.lastToken.Add(1)
 	token := binary.BigEndian.AppendUint64(nil, number)
@@ -226,7 +230,7 @@
 	if block != nil {
 		m = m.WithBlock(*block<<4 | blockSZX)
 	}
-	c.ledger.recordRequest(string(token), r.Once)
+	c.recorder.recordRequest(string(token), r.Once)
 	started := c.now()
 	tuple := packet.NewTuple(src, r.To, packet.UDP)
 	for c.now().Sub(started) < r.Deadline+time.Second && ctx.Err() == nil {
@@ -247,18 +251,20 @@
 			number, _ := answer.Block()
 			*more = answer.MoreBlocks()
 			if outcome == "answered" && number != *block {
-				c.ledger.recordIncomplete()
+				c.recorder.recordIncomplete()
 			}
 		}
-		c.ledger.recordOutcome(string(token), r.Class, outcome, c.now().Sub(started))
+		c.recorder.recordOutcome(string(token), r.Class, outcome, c.now().Sub(started))
 		return outcome
 	}
 	if ctx.Err() == nil {
-		c.ledger.recordOutcome(string(token), r.Class, "silent", 0)
+		c.recorder.recordOutcome(string(token), r.Class, "silent", 0)
 	}
 	return "silent"
 }
 
+// awaitResponse waits for the response with this token until the request is to
+// be resent.
 func (c *Callers) awaitResponse(ctx context.Context, inbox chan *packet.Packet, token []byte) (work.Message, bool) {
 	timer := time.NewTimer(requestResend)
 	defer timer.Stop()
@@ -270,7 +276,7 @@
 				continue
 			}
 			if string(m.Token) != string(token) {
-				continue // the answer to an earlier request of this caller, late
+				continue // late response to an earlier request of this caller
 			}
 			return m, true
 		case <-timer.C:
@@ -281,6 +287,8 @@
 	}
 }
 
+// classify returns the outcome that a response means, and records one that
+// belongs to another request.
 func (c *Callers) classify(m work.Message, token []byte) string {
 	switch m.Code {
 	case codes.ServiceUnavailable:
@@ -288,7 +296,7 @@
 	case codes.Content:
 		want := "done " + string(token)
 		if len(m.Payload) < len(want) || string(m.Payload[:len(want)]) != want {
-			c.ledger.recordCrossed()
+			c.recorder.recordCrossed()
 		}
 		return "answered"
 	default:
--- a/internal/standin/fabric.go
+++ b/internal/standin/fabric.go
@@ -1,6 +1,7 @@
-// Package standin holds small stand-ins of what the system serves: a fabric
-// that sprays packets at random, backend servers, and callers of each kind of
-// traffic. They count what they see themselves and decide nothing.
+// Package standin simulates the surroundings of the load balancer in tests and
+// the demo: a network fabric that sprays packets over the entries, backend
+// servers, and callers of flows and requests. Their counts are independent of
+// those of the load balancer.
 package standin
 
 import (
@@ -20,21 +21,21 @@
 )
 
 type (
-	// Fabric hands packets of callers to entries at random, and answers that
-	// entries send it to the callers.
+	// Fabric sends each packet of a caller to a random entry, and delivers the
+	// packets that it gets from entries to the callers.
 	Fabric struct {
 		conn      *net.UDPConn
 		encoder   *packet.Encoder
 		mu        sync.Mutex
 		rng       *rand.Rand
 		entries   map[string]netip.AddrPort
-		hidden    map[string]bool // cut off from the callers
-		reachable []netip.AddrPort
+		hidden    map[string]bool  // cut off from the callers, by name
+		reachable []netip.AddrPort // entries that are not hidden
 		receivers map[netip.AddrPort]func(*packet.Packet)
 	}
 )
 
-// NewFabric opens the fabric's socket on loopback.
+// NewFabric opens the fabric's socket and starts to deliver packets.
 func NewFabric(addr netip.AddrPort, seed uint64) (*Fabric, error) {
 	conn, err := listenUDP(addr)
 	if err != nil {
@@ -63,7 +64,7 @@
 	return conn, nil
 }
 
-// Addr returns the address that entries send answers to.
+// Addr returns the address to which entries send packets for callers.
 func (f *Fabric) Addr() netip.AddrPort { return localAddr(f.conn) }
 
 func localAddr(conn *net.UDPConn) netip.AddrPort {
@@ -78,7 +79,7 @@
 // Close closes the socket.
 func (f *Fabric) Close() error { return f.conn.Close() }
 
-// AddEntry lets the fabric hand packets to an entry.
+// AddEntry adds an entry that packets of callers are sent to.
 func (f *Fabric) AddEntry(name string, addr netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -86,7 +87,7 @@
 	f.updateReachable()
 }
 
-// RemoveEntry ends that.
+// RemoveEntry removes an entry.
 func (f *Fabric) RemoveEntry(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -103,7 +104,7 @@
 	}
 }
 
-// SetHidden cuts entries off from the callers, or joins them again.
+// SetHidden cuts entries off from the callers, or reconnects them.
 func (f *Fabric) SetHidden(names []string, hidden bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -113,7 +114,7 @@
 	f.updateReachable()
 }
 
-// PickAmong returns one of some entries at random, hidden or not.
+// PickAmong returns a random entry among the allowed ones, hidden or not.
 func (f *Fabric) PickAmong(allowed func(name string) bool) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -129,7 +130,7 @@
 	return candidates[f.rng.IntN(len(candidates))], true
 }
 
-// Pick returns an entry at random, as the fabric would.
+// Pick returns a random entry that is not hidden.
 func (f *Fabric) Pick() (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -139,27 +140,27 @@
 	return f.reachable[f.rng.IntN(len(f.reachable))], true
 }
 
-// Attach names the receiver of packets to a caller's address.
+// Attach sets the function that receives packets for a caller's address.
 func (f *Fabric) Attach(caller netip.AddrPort, receive func(*packet.Packet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.receivers[caller] = receive
 }
 
-// Detach ends that.
+// Detach removes the receiver of a caller's address.
 func (f *Fabric) Detach(caller netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.receivers, caller)
 }
 
-// Send hands a caller's packet to an entry at random.
+// Send sends a caller's packet, without encapsulation, to a random entry.
 func (f *Fabric) Send(inner []byte) {
 	to, ok := f.Pick()
 	if !ok {
 		return
 	}
-	// A datagram that cannot be sent is lost, as in any network.
+	// A datagram that cannot be sent is lost, as on a real network.
 	_, _ = f.conn.WriteToUDPAddrPort(f.encoder.AppendPlain(nil, inner), to)
 }
 
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -8,54 +8,54 @@
 )
 
 type (
-	// Ledger counts what callers and backend servers have seen. Nothing in it
-	// comes from the balancer.
+	// Ledger counts what callers and backend servers see, independently of the
+	// load balancer, to detect violated guarantees.
 	Ledger struct {
 		mu              sync.Mutex
 		now             func() time.Time
 		counts          Counts
-		executions      map[string]int  // by token
-		reportedNotRun  map[string]bool // tokens whose callers were told "not run"
-		nonRepeatable   map[string]bool // tokens that may run only once
-		latency         map[string]*hdrhistogram.Histogram
-		accepted        map[string]int       // by endpoint
-		unplannedEvents []time.Time          // of unplanned events
-		drainStarted    map[string]time.Time // endpoints, since when
-		reasons         map[string]int
+		executions      map[string]int                     // of requests, by token
+		reportedNotRun  map[string]bool                    // tokens of requests whose callers were told that they didn't run
+		nonRepeatable   map[string]bool                    // tokens of requests that may run only once
+		latency         map[string]*hdrhistogram.Histogram // in microseconds, by class
+		accepted        map[string]int                     // flows, by endpoint
+		unplannedEvents []time.Time                        // when they happened
+		drainStarted    map[string]time.Time               // by endpoint
+		reasons         map[string]int                     // why flows broke and requests had no response
 	}
 
-	// Counts is the result.
+	// Counts is what a Ledger has counted.
 	Counts struct {
-		Flows           int `json:"flows"`
+		Flows           int `json:"flows"` // that callers tried to open
 		FlowsOpen       int `json:"flows_open"`
-		BrokenPlanned   int `json:"broken_planned"`
-		BrokenUnplanned int `json:"broken_unplanned"`
-		NotOpened       int `json:"not_opened"`
-		Misdelivered    int `json:"misdelivered"`
-		Crossed         int `json:"crossed"`
-		LateNew         int `json:"late_new"`
-		Overfull        int `json:"overfull"`
-		Requests        int `json:"requests"`
+		BrokenPlanned   int `json:"broken_planned"`   // flows, without a recent unplanned event
+		BrokenUnplanned int `json:"broken_unplanned"` // flows, soon after an unplanned event
+		NotOpened       int `json:"not_opened"`       // flows that got no answer or were refused
+		Misdelivered    int `json:"misdelivered"`     // packets at an endpoint of another service
+		Crossed         int `json:"crossed"`          // answers that belong to another flow or request
+		LateNew         int `json:"late_new"`         // flows and requests sent to a leaving endpoint
+		Overfull        int `json:"overfull"`         // flows refused by a full endpoint
+		Requests        int `json:"requests"`         // blocks of a block-wise response count singly
 		Answered        int `json:"answered"`
-		NotRun          int `json:"not_run"`
-		Unknown         int `json:"unknown"`
-		NoAnswer        int `json:"no_answer"`
-		RanTwice        int `json:"ran_twice"`
-		FalseNotRun     int `json:"false_not_run"`
-		RefusedByServer int `json:"refused_by_server"`
-		Cancelled       int `json:"cancelled"`
-		Incomplete      int `json:"incomplete"`
+		NotRun          int `json:"not_run"`           // requests whose callers were told that they didn't run
+		Unknown         int `json:"unknown"`           // requests whose callers can't tell from the response whether they ran
+		NoAnswer        int `json:"no_answer"`         // requests without any response
+		RanTwice        int `json:"ran_twice"`         // requests that may run only once
+		FalseNotRun     int `json:"false_not_run"`     // requests that ran, contrary to what callers were told
+		RefusedByServer int `json:"refused_by_server"` // requests at endpoints without a free slot
+		Cancelled       int `json:"cancelled"`         // requests, while they ran
+		Incomplete      int `json:"incomplete"`        // responses with another block than requested
 	}
 )
 
 const (
-	maxLatency        = 60_000_000 // microseconds
+	maxLatency        = 60_000_000 // in microseconds
 	significantDigits = 3
-	unplannedWindow   = 8 * time.Second
-	drainGrace        = 3 * time.Second
+	unplannedWindow   = 8 * time.Second // in which broken flows are attributed to an unplanned event
+	drainGrace        = 3 * time.Second // until all entries know that an endpoint leaves
 )
 
-// NewLedger returns an empty ledger.
+// NewLedger returns a Ledger that has counted nothing.
 func NewLedger(now func() time.Time) *Ledger {
 	return &Ledger{
 		now: now, executions: map[string]int{}, reportedNotRun: map[string]bool{}, nonRepeatable: map[string]bool{},
@@ -63,14 +63,14 @@
 	}
 }
 
-// Counts returns what was counted so far.
+// Counts returns the counts so far.
 func (l *Ledger) Counts() Counts {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.counts
 }
 
-// Reasons returns why flows broke and requests had no answer.
+// Reasons returns how often flows broke and requests had no response, by reason.
 func (l *Ledger) Reasons() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -81,7 +81,7 @@
 	return all
 }
 
-// Opens returns how many flows each endpoint has accepted.
+// Opens returns the number of flows that each endpoint has accepted.
 func (l *Ledger) Opens() map[string]int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -92,7 +92,8 @@
 	return all
 }
 
-// Latency returns a copy of the latencies of a class in microseconds, or nil.
+// Latency returns a copy of the latencies of a class, in microseconds, or nil if
+// there are none.
 func (l *Ledger) Latency(class string) *hdrhistogram.Histogram {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -102,7 +103,8 @@
 	return nil
 }
 
-// RecordUnplannedEvent notes an unplanned event: what breaks soon after counts as such.
+// RecordUnplannedEvent records a failure. Flows that break within
+// unplannedWindow after it count as BrokenUnplanned.
 func (l *Ledger) RecordUnplannedEvent() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -134,7 +136,8 @@
 	l.countIfDraining(endpoint)
 }
 
-// RecordDrain notes that an endpoint gets no new work a few seconds from now.
+// RecordDrain records that an endpoint begins to leave. Flows and requests that
+// it gets later than drainGrace from now count as LateNew.
 func (l *Ledger) RecordDrain(endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -147,8 +150,8 @@
 	}
 }
 
-// recordBroken counts a flow that ended without its caller or backend server
-// wanting it.
+// recordBroken counts a flow that neither its caller nor its backend server
+// ended.
 func (l *Ledger) recordBroken(reason string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Oxbowsaddle is a layer-4 load balancer; see README.md.
+// Oxbowsaddle is a layer-4 load balancer. See README.md.
 package main
 
 import (
