--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# The one door: `make help` lists what can be done.
+# `make help` lists the targets.
 
 SEED ?= 1
 ROUNDS ?= 25
@@ -13,41 +13,41 @@
 help: ## list the targets
 	@grep -E '^[a-z]+:.*##' $(MAKEFILE_LIST) | sed 's/:.*## /\t/'
 
-build: ## build the one binary
+build: ## build the binary
 	go build -o oxbowsaddle .
 
-demo: ## run the main job on this machine
+demo: ## run a whole fleet with simulated traffic on this host
 	go run . demo
 
-test: ## run every test with fixed seeds
+test: ## run all tests, with fixed seeds
 	go test ./... -count=1
 
 tools: ## install the linter
 	GOBIN=$(GOBIN) go install github.com/golangci/golangci-lint/v2/cmd/golangci-lint@$(GOLANGCI_LINT_VERSION)
 
-gopls: ## install gopls, which renames identifiers by type
+gopls: ## install gopls, for renaming identifiers
 	GOBIN=$(GOBIN) go install golang.org/x/tools/gopls@$(GOPLS_VERSION)
 
-lint: ## run formatter and linter
+lint: ## check the formatting and run the linter
 	test -z "$$(gofmt -l $$(git ls-files '*.go'))"
 	$(GOBIN)/golangci-lint run ./...
 
-bench: ## measure decisions, codecs and sockets
+bench: ## run the benchmarks
 	go test ./... -run '^$$' -bench . -benchmem -skip 'Overload|Scenarios|Loopback'
 	go test ./internal/work ./internal/soak ./internal/instance -run '^$$' -bench 'Overload|Scenarios|Loopback' -benchtime 1x
 
-soak: ## long randomised runs: make soak SEED=n RUNS=n ROUNDS=n
+soak: ## run long randomised tests: make soak SEED=n RUNS=n ROUNDS=n
 	go test ./internal/soak -run TestMix -count=1 -timeout 2h -soak.seed=$(SEED) -soak.runs=$(RUNS) -soak.rounds=$(ROUNDS)
 	go test ./internal/replica -run TestSchedules -count=1 -timeout 2h -replica.seed=$(SEED) -replica.runs=$$(( $(RUNS) * 20 ))
 	go test ./internal/directory -run TestDirectory -count=1 -timeout 2h -directory.seed=$(SEED) -directory.runs=$(RUNS)
 
-slopes: ## measure the slopes that docs/CAPACITY.md stands on
+slopes: ## measure the resource use per unit of load for docs/CAPACITY.md
 	go run ./tools slopes --out docs/slopes
 
-experiment: ## print experiments again from the journal: make experiment ARGS='--why "..."'
+experiment: ## print benchmark results from the journal: make experiment ARGS='--why "..."'
 	@go run ./tools experiment $(ARGS)
 
-fuzz: ## fuzz the decoders, the settings reader, the configuration reader, the log and reports
+fuzz: ## fuzz the packet decoders, the settings and configuration parsers, the log and the reports
 	go test ./internal/packet -run '^$$' -fuzz FuzzDecode -fuzztime $(FUZZTIME)
 	go test ./internal/settings -run '^$$' -fuzz FuzzParse -fuzztime $(FUZZTIME)
 	go test ./internal/intent -run '^$$' -fuzz FuzzParseFile -fuzztime $(FUZZTIME)
@@ -63,14 +63,14 @@
 SITES ?= shifted/drcs-dakar-now-grown further/fcmt-taipei large/drcs-dakar-large
 WHY ?= standard days
 
-bench-platform: ## play the users' standard days, where their kit stands: make bench-platform WHY="..."
+bench-platform: ## run the users' benchmark, if their kit is installed: make bench-platform WHY="..."
 	@if test -x $(BENCH); then \
 		for site in $(SITES); do $(BENCH) score $(KIT)/$$site.toml --why "$(WHY)"; done; \
 	else echo "the users' kit does not stand at $(KIT): nothing was played"; fi
 
-man: ## write the manual pages again
+man: ## regenerate the manual pages
 	go run ./tools man docs/man
 
-generate: ## build the generated code again (needs protoc and its two plugins)
+generate: ## regenerate the code from the .proto files (needs protoc and its two plugins)
 	cd internal/wire && protoc --go_out=. --go_opt=paths=source_relative \
 		--go-drpc_out=. --go-drpc_opt=paths=source_relative wire.proto directory.proto
