--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -74,8 +74,8 @@
 	return root
 }
 
-// connection holds the flags that tell a command how to reach an instance.
-type connection struct {
+// connectionFlags holds the flags that tell a command how to reach an instance.
+type connectionFlags struct {
 	addr        string
 	certificate string
 	key         string
@@ -84,7 +84,7 @@
 	extraTime   time.Duration // added to callTimeout
 }
 
-func (conn *connection) addFlags(c *cobra.Command) {
+func (conn *connectionFlags) addFlags(c *cobra.Command) {
 	c.Flags().StringVar(&conn.addr, "addr", defaultAddr, "control address of an instance; any one will do")
 	c.Flags().StringVar(&conn.certificate, "certificate", "", "certificate file of the operator, for mutual TLS")
 	c.Flags().StringVar(&conn.key, "key", "", "private key file of the operator")
@@ -93,7 +93,7 @@
 }
 
 // call connects to the instance, runs send, and closes the connection.
-func (conn *connection) call(ctx context.Context, send func(context.Context, wire.DRPCControlClient) error) error {
+func (conn *connectionFlags) call(ctx context.Context, send func(context.Context, wire.DRPCControlClient) error) error {
 	addr, err := netip.ParseAddrPort(conn.addr)
 	if err != nil {
 		return UsageError{fmt.Errorf("--addr: %w", err)}
@@ -121,7 +121,7 @@
 // newQueryCommand returns a command that takes argCount arguments, connects to
 // an instance and calls run.
 func newQueryCommand(use, short string, argCount int, run func(ctx context.Context, q query) error) *cobra.Command {
-	var conn connection
+	var conn connectionFlags
 	c := &cobra.Command{
 		Use: use, Short: short, Args: exactArgs(argCount),
 		RunE: func(c *cobra.Command, args []string) error {
--- a/internal/cmd/cmd_accept.go
+++ b/internal/cmd/cmd_accept.go
@@ -17,7 +17,7 @@
 
 // changeFlags holds the flags of the commands that submit a change.
 type changeFlags struct {
-	connection
+	connectionFlags
 	id      string
 	base    uint64
 	confirm bool
@@ -25,7 +25,7 @@
 }
 
 func (f *changeFlags) addFlags(c *cobra.Command) {
-	f.connection.addFlags(c)
+	f.connectionFlags.addFlags(c)
 	c.Flags().StringVar(&f.id, "id", "", "change id; if empty, a random one is generated and printed, so that the change can be sent again under it")
 	c.Flags().Uint64Var(&f.base, "base", 0, "revision that the change is based on; 0 means the current one")
 	c.Flags().BoolVar(&f.confirm, "confirm", false, "accept a change even if it leaves a service without endpoints")
--- a/internal/cmd/cmd_demo.go
+++ b/internal/cmd/cmd_demo.go
@@ -51,7 +51,7 @@
 	c.Flags().StringVar(&config.Example, "template", "visa", "example configuration to run: visa or qasr")
 	c.Flags().Uint64Var(&config.Seed, "seed", 1, "seed of the random choices of the fabric and the events")
 	c.Flags().DurationVar(&config.Duration, "for", 18*time.Second, "how long traffic flows")
-	c.Flags().StringSliceVar(&config.Events, "events", []string{"drain", "join", "kill"}, "events to run, in this order: drain, join, kill, restart, cut; or all")
+	c.Flags().StringSliceVar(&config.Events, "events", []string{"drain", "join", "kill"}, "events to run, in the given order: drain, join, kill, restart, cut; or all")
 	c.Flags().StringVar(&config.Placement, "placement", "", "baseline placement to run instead of the project's own: modulo")
 	c.Flags().BoolVar(&compare, "compare", false, "run the project's own placement and then the modulo baseline")
 	c.Flags().BoolVar(&verbose, "verbose", false, "print the debug logs of the instances to standard error")
--- a/internal/cmd/cmd_evacuate.go
+++ b/internal/cmd/cmd_evacuate.go
@@ -16,7 +16,7 @@
 
 // cmdEvacuate stops new flows to the endpoints of a failure domain, or undoes that.
 func cmdEvacuate() *cobra.Command {
-	var conn connection
+	var conn connectionFlags
 	var undo bool
 	c := &cobra.Command{
 		Use: "evacuate DOMAIN", Short: "stop sending new flows to the endpoints of a failure domain, or resume",
@@ -43,7 +43,7 @@
 
 // evacuate sends the order and follows redirects to the instance that can
 // accept it.
-func (conn *connection) evacuate(ctx context.Context, r *wire.EvacuateRequest) error {
+func (conn *connectionFlags) evacuate(ctx context.Context, r *wire.EvacuateRequest) error {
 	next := *conn
 	var reply *wire.EvacuateReply
 	for range maxRedirects {
--- a/internal/cmd/cmd_stats.go
+++ b/internal/cmd/cmd_stats.go
@@ -13,7 +13,7 @@
 
 // cmdStats prints the counters of an instance.
 func cmdStats() *cobra.Command {
-	var conn connection
+	var conn connectionFlags
 	var all bool
 	c := &cobra.Command{
 		Use: "stats [PREFIX]", Short: "print the counters of an instance, or those whose names begin with PREFIX", Args: cobra.MaximumNArgs(1),
--- a/internal/cmd/cmd_status.go
+++ b/internal/cmd/cmd_status.go
@@ -15,12 +15,12 @@
 
 // cmdStatus shows the state of an instance and which instances lag behind.
 func cmdStatus() *cobra.Command {
-	var conn connection
+	var conn connectionFlags
 	c := &cobra.Command{
 		Use: "status", Short: "show role, revision, leases, draining endpoints, and which instances lag", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
-				s, err := waitInForce(ctx, client, conn.extraTime, time.Now)
+				s, err := waitUntilInUse(ctx, client, conn.extraTime, time.Now)
 				if err != nil {
 					return err
 				}
@@ -37,9 +37,9 @@
 	return c
 }
 
-// waitInForce polls until the last revision is in use: every instance has
+// waitUntilInUse polls until the last revision is in use: every instance has
 // applied it, or its lease has expired. A wait of 0 returns the first status.
-func waitInForce(ctx context.Context, client wire.DRPCControlClient, wait time.Duration, now func() time.Time) (*wire.StatusReply, error) {
+func waitUntilInUse(ctx context.Context, client wire.DRPCControlClient, wait time.Duration, now func() time.Time) (*wire.StatusReply, error) {
 	const pollInterval = 100 * time.Millisecond
 	end := now().Add(wait)
 	for {
--- a/internal/cmd/cmd_why.go
+++ b/internal/cmd/cmd_why.go
@@ -34,7 +34,7 @@
 }
 
 func cmdWhyFlow() *cobra.Command {
-	var conn connection
+	var conn connectionFlags
 	var protocol string
 	c := &cobra.Command{
 		Use: "flow SRC DST", Short: "explain why a flow went to its endpoint; SRC and DST are IP:PORT", Args: exactArgs(2),
@@ -48,7 +48,7 @@
 }
 
 func newExplainCommand(use, short string, argCount int, subject string) *cobra.Command {
-	var conn connection
+	var conn connectionFlags
 	c := &cobra.Command{
 		Use: use, Short: short, Args: exactArgs(argCount),
 		RunE: func(c *cobra.Command, args []string) error {
@@ -63,7 +63,7 @@
 	return c
 }
 
-func (conn *connection) explain(c *cobra.Command, request *wire.WhyRequest) error {
+func (conn *connectionFlags) explain(c *cobra.Command, request *wire.WhyRequest) error {
 	return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
 		reply, err := client.Why(ctx, request)
 		if err != nil {
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	warmUp           = 3 * time.Second
-	coolDown         = 1500 * time.Millisecond
-	fabricDetection  = 300 * time.Millisecond // until the fabric stops using a killed entry
+	warmUp           = 3 * time.Second         // before the first event
+	coolDown         = 1500 * time.Millisecond // between the end of the traffic and that of the run
+	fabricDetection  = 300 * time.Millisecond  // until the fabric stops using a killed entry
 	stopTimeout      = 8 * time.Second
 	feedInterval     = 400 * time.Millisecond
 	feedsPerEndpoint = 60 // long-lived flows per endpoint of the first service
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -95,16 +95,16 @@
 	s.Fabric = f.fabric.Addr()
 	s.Times.Ramp = settings.Duration(3 * time.Second)
 	for n := range s.Instances {
-		i := &s.Instances[n]
-		if i.Packets, err = standin.FreeAddr("udp"); err != nil {
+		inst := &s.Instances[n]
+		if inst.Packets, err = standin.FreeAddr("udp"); err != nil {
 			return err
 		}
-		if i.Control, err = standin.FreeAddr("tcp"); err != nil {
+		if inst.Control, err = standin.FreeAddr("tcp"); err != nil {
 			return err
 		}
-		f.domainOf[i.Packets], f.domainOf[i.Control] = i.Domain, i.Domain
-		if i.Data != "" {
-			i.Data = filepath.Join(f.config.DataDir, i.Name)
+		f.domainOf[inst.Packets], f.domainOf[inst.Control] = inst.Domain, inst.Domain
+		if inst.Data != "" {
+			inst.Data = filepath.Join(f.config.DataDir, inst.Name)
 		}
 	}
 	f.settings = s
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -161,7 +161,7 @@
 		if err != nil || d.Decode(buffer[:n], &p) != packet.Decoded {
 			continue
 		}
-		if !b.servesAddress(p.Tuple().Dst()) {
+		if !b.accepts(p.Tuple().Dst()) {
 			b.config.Ledger.recordMisdelivered()
 			continue
 		}
@@ -174,7 +174,7 @@
 	}
 }
 
-func (b *Backend) servesAddress(addr netip.AddrPort) bool {
+func (b *Backend) accepts(addr netip.AddrPort) bool {
 	for _, a := range b.config.Addresses {
 		if a == addr {
 			return true
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -195,8 +195,9 @@
 	}
 }
 
-// Request sends a request, again and again until it is answered or its deadline
-// is over, and returns the outcome: "answered", "not_run", "unknown" or "silent".
+// Request sends a request, and resends it until it is answered or its deadline
+// has passed. It returns the outcome: "answered", "not_run", "unknown" or
+// "silent", which means that there was no response.
 func (c *Callers) Request(ctx context.Context, r RequestConfig) string {
 	src, inbox := c.attachCaller()
 	defer c.fabric.Detach(src)
@@ -224,9 +225,9 @@
 // sendRequest sends one message until it is answered and returns the outcome. If
 // more is not nil, it is set to whether further blocks follow.
 func (c *Callers) sendRequest(ctx context.Context, r RequestConfig, src netip.AddrPort, inbox chan *packet.Packet, code codes.Code, block *uint32, more *bool) string {
-	number := c.lastToken.Add(1)
-	token := binary.BigEndian.AppendUint64(nil, number)
-	m := work.Message{Message: message.Message{Token: token, Code: code, Type: message.Confirmable, MessageID: int32(number & 0xffff)}}
+	id := c.lastToken.Add(1)
+	token := binary.BigEndian.AppendUint64(nil, id)
+	m := work.Message{Message: message.Message{Token: token, Code: code, Type: message.Confirmable, MessageID: int32(id & 0xffff)}}
 	if block != nil {
 		m = m.WithBlock(*block<<4 | blockSZX)
 	}
@@ -287,8 +288,8 @@
 	}
 }
 
-// classify returns the outcome that a response means, and records one that
-// belongs to another request.
+// classify returns the outcome of a request from its response, and records a
+// response that belongs to another request.
 func (c *Callers) classify(m work.Message, token []byte) string {
 	switch m.Code {
 	case codes.ServiceUnavailable:
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -144,6 +144,8 @@
 	l.drainStarted[endpoint] = l.now()
 }
 
+// countIfDraining counts a flow or request as late if its endpoint has been
+// leaving for longer than drainGrace.
 func (l *Ledger) countIfDraining(endpoint string) {
 	if since, draining := l.drainStarted[endpoint]; draining && l.now().Sub(since) > drainGrace {
 		l.counts.LateNew++
@@ -175,6 +177,7 @@
 	}
 }
 
+// recordExecution records that an endpoint begins to run a request.
 func (l *Ledger) recordExecution(token []byte, endpoint string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -189,6 +192,7 @@
 	}
 }
 
+// recordOutcome records what the caller of a request was told.
 func (l *Ledger) recordOutcome(token, class, outcome string, latency time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
