--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -1,4 +1,5 @@
-// Package cmd holds the commands of the one binary, one file a command.
+// Package cmd implements the oxbowsaddle command line, with one file per
+// command.
 package cmd
 
 import (
@@ -23,18 +24,18 @@
 )
 
 const (
-	callTimeout   = 10 * time.Second
-	defaultTarget = "127.0.0.1:8100"
+	callTimeout = 10 * time.Second
+	defaultAddr = "127.0.0.1:8100"
 )
 
-// UsageError marks an error of the command line itself.
+// UsageError marks an error in the flags or arguments of a command.
 type UsageError struct{ Err error }
 
-// Error returns what is wrong with the line.
+// Error returns the message of the wrapped error.
 func (e UsageError) Error() string { return e.Err.Error() }
 
-// Main runs the command line, with more commands beside its own, and returns
-// the exit code.
+// Main runs the command given by args and returns the exit code. The commands
+// in more are added to the built-in ones.
 func Main(args []string, out, errOut io.Writer, more ...*cobra.Command) int {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -49,21 +50,22 @@
 	}
 	kind := fault.KindOf(err)
 	var usage UsageError
-	if errors.As(err, &usage) || isUsage(err) {
+	if errors.As(err, &usage) || isUsageError(err) {
 		kind = fault.Usage
 	}
 	fmt.Fprintf(errOut, "oxbowsaddle: %s: %s\nnext: %s\n", kind.Name(), err, kind.Answer().NextStep())
 	return kind.Answer().ExitCode()
 }
 
-// isUsage reports whether the command line library itself refused the line.
-func isUsage(err error) bool {
+// isUsageError reports whether err is one of cobra's own usage errors, which
+// have no error type.
+func isUsageError(err error) bool {
 	return strings.HasPrefix(err.Error(), "unknown command") || strings.HasPrefix(err.Error(), "required flag")
 }
 
 func newRoot() *cobra.Command {
 	root := &cobra.Command{
-		Use: "oxbowsaddle", Short: "a layer-4 load balancer that keeps flows up and explains itself",
+		Use: "oxbowsaddle", Short: "a layer-4 load balancer that keeps flows alive and explains its decisions",
 		SilenceUsage: true, SilenceErrors: true,
 	}
 	root.SetFlagErrorFunc(func(_ *cobra.Command, err error) error { return UsageError{err} })
@@ -72,73 +74,75 @@
 	return root
 }
 
-// target is how a command reaches an instance.
-type target struct {
+// connectionFlags holds the flags that tell a command how to reach an instance.
+type connectionFlags struct {
 	addr        string
 	certificate string
 	key         string
 	authority   string
 	output      string
-	wait        time.Duration // how much longer than callTimeout the call may take
+	extraTime   time.Duration // added to callTimeout
 }
 
-func (t *target) flags(c *cobra.Command) {
-	c.Flags().StringVar(&t.addr, "addr", defaultTarget, "control address of any instance")
-	c.Flags().StringVar(&t.certificate, "certificate", "", "operator's certificate, for mutual TLS")
-	c.Flags().StringVar(&t.key, "key", "", "operator's key")
-	c.Flags().StringVar(&t.authority, "authority", "", "certificate of the authority")
-	c.Flags().StringVar(&t.output, "output", "text", "text or json")
+func (conn *connectionFlags) addFlags(c *cobra.Command) {
+	c.Flags().StringVar(&conn.addr, "addr", defaultAddr, "control address of an instance; any one will do")
+	c.Flags().StringVar(&conn.certificate, "certificate", "", "certificate file of the operator, for mutual TLS")
+	c.Flags().StringVar(&conn.key, "key", "", "private key file of the operator")
+	c.Flags().StringVar(&conn.authority, "authority", "", "certificate file of the certificate authority")
+	c.Flags().StringVar(&conn.output, "output", "text", "output format: text or json")
 }
 
-// call connects to the instance and makes one call.
-func (t *target) call(ctx context.Context, f func(context.Context, wire.DRPCControlClient) error) error {
-	addr, err := netip.ParseAddrPort(t.addr)
+// call connects to the instance, runs send, and closes the connection.
+func (conn *connectionFlags) call(ctx context.Context, send func(context.Context, wire.DRPCControlClient) error) error {
+	addr, err := netip.ParseAddrPort(conn.addr)
 	if err != nil {
 		return UsageError{fmt.Errorf("--addr: %w", err)}
 	}
-	if t.output != "text" && t.output != "json" {
-		return UsageError{fmt.Errorf("--output is text or json, not %q", t.output)}
+	if conn.output != "text" && conn.output != "json" {
+		return UsageError{fmt.Errorf("--output is text or json, not %q", conn.output)}
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout+t.wait)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout+conn.extraTime)
 	defer cancel()
-	client, done, err := instance.Dial(ctx, addr, settings.TLS{Certificate: t.certificate, Key: t.key, Authority: t.authority})
+	client, closeConn, err := instance.Dial(ctx, addr, settings.TLS{Certificate: conn.certificate, Key: conn.key, Authority: conn.authority})
 	if err != nil {
 		return err
 	}
-	return errors.Join(f(ctx, client), done())
+	return errors.Join(send(ctx, client), closeConn())
 }
 
-// asking is one use of a command that asks an instance.
-type asking struct {
+// query is what a query command needs to run.
+type query struct {
 	client wire.DRPCControlClient
 	args   []string
 	out    io.Writer
-	json   bool // a script reads the answer
+	json   bool // print JSON instead of text
 }
 
-// cmdAsk returns a command with n arguments that asks an instance.
-func cmdAsk(use, short string, n int, ask func(ctx context.Context, a asking) error) *cobra.Command {
-	var t target
+// newQueryCommand returns a command that takes argCount arguments, connects to
+// an instance and calls run.
+func newQueryCommand(use, short string, argCount int, run func(ctx context.Context, q query) error) *cobra.Command {
+	var conn connectionFlags
 	c := &cobra.Command{
-		Use: use, Short: short, Args: exactArgs(n),
+		Use: use, Short: short, Args: exactArgs(argCount),
 		RunE: func(c *cobra.Command, args []string) error {
-			return t.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
-				return ask(ctx, asking{client: client, args: args, out: c.OutOrStdout(), json: t.output == "json"})
+			return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
+				return run(ctx, query{client: client, args: args, out: c.OutOrStdout(), json: conn.output == "json"})
 			})
 		},
 	}
-	t.flags(c)
+	conn.addFlags(c)
 	return c
 }
 
-// askStatus asks an instance what it holds.
-func askStatus(ctx context.Context, client wire.DRPCControlClient, history bool) (*wire.StatusReply, error) {
+// getStatus fetches the status of an instance, with the accepted changes if
+// history is set.
+func getStatus(ctx context.Context, client wire.DRPCControlClient, history bool) (*wire.StatusReply, error) {
 	s, err := client.Status(ctx, &wire.StatusRequest{History: history})
 	return s, fault.Wrap(fault.Unreachable, err)
 }
 
-// refusal returns the error of an answer that names its kind.
-func refusal(kind, detail string) error {
+// replyError turns the kind and detail of a reply into an error.
+func replyError(kind, detail string) error {
 	k, err := fault.FromName(kind)
 	if err != nil {
 		k = fault.Internal
@@ -146,7 +150,7 @@
 	return fault.New(k, "%s", detail)
 }
 
-// PrintJSON writes a value for a script to read.
+// PrintJSON writes v as indented JSON.
 func PrintJSON(w io.Writer, v any) error {
 	encoder := json.NewEncoder(w)
 	encoder.SetIndent("", "  ")
--- a/internal/cmd/cmd_entry.go
+++ b/internal/cmd/cmd_entry.go
@@ -12,14 +12,15 @@
 	"oxbowsaddle/internal/telemetry"
 )
 
-// cmdEntry runs an instance.
+// cmdEntry runs an entry instance, which is also a control instance if its
+// settings name a data folder.
 func cmdEntry() *cobra.Command {
 	var file, name string
 	c := &cobra.Command{
 		Use:   "entry --settings FILE --name NAME",
-		Short: "run an entry instance; with a data folder it is a control instance too",
-		Long: "Runs the instance that the settings name. SIGTERM or an interrupt begins a planned stop:\n" +
-			"the instance hands over what it holds and then ends.",
+		Short: "run an entry instance; if it has a data folder, it is a control instance too",
+		Long: "Runs the instance of this name from the settings. SIGTERM or an interrupt starts a planned stop:\n" +
+			"the instance hands over its flows and requests, then exits.",
 		Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
 			s, err := settings.Load(file)
@@ -30,11 +31,11 @@
 			if err != nil {
 				return err
 			}
-			i, err := instance.New(instance.Config{Settings: s, Name: name, Log: logger, Now: time.Now})
+			inst, err := instance.New(instance.Config{Settings: s, Name: name, Log: logger, Now: time.Now})
 			if err != nil {
 				return err
 			}
-			return runUntilStopped(c.Context(), i, s.Times.StopTimeout.Std())
+			return runUntilStopped(c.Context(), inst, s.Times.StopTimeout.Std())
 		},
 	}
 	c.Flags().StringVar(&file, "settings", "", "settings file")
@@ -44,25 +45,25 @@
 	return c
 }
 
-// instanceRun runs an instance and tells how that ended.
+// instanceRun runs an instance in a goroutine and sends its result to done.
 type instanceRun struct {
 	instance *instance.Instance
-	ended    chan<- error
+	done     chan<- error
 }
 
-// run runs it until it ends.
-func (r instanceRun) run(ctx context.Context) { r.ended <- r.instance.Run(ctx) }
+func (r instanceRun) run(ctx context.Context) { r.done <- r.instance.Run(ctx) }
 
-// runUntilStopped runs the instance; at a signal it stops as planned.
-func runUntilStopped(signalled context.Context, i *instance.Instance, patience time.Duration) error {
-	ended := make(chan error, 1)
-	go instanceRun{i, ended}.run(context.WithoutCancel(signalled))
+// runUntilStopped runs the instance. When signalCtx ends, it starts a planned
+// stop, which may take stopTimeout.
+func runUntilStopped(signalCtx context.Context, inst *instance.Instance, stopTimeout time.Duration) error {
+	done := make(chan error, 1)
+	go instanceRun{inst, done}.run(context.WithoutCancel(signalCtx))
 	select {
-	case err := <-ended:
+	case err := <-done:
 		return err
-	case <-signalled.Done():
+	case <-signalCtx.Done():
 	}
-	ctx, cancel := context.WithTimeout(context.WithoutCancel(signalled), patience)
+	ctx, cancel := context.WithTimeout(context.WithoutCancel(signalCtx), stopTimeout)
 	defer cancel()
-	return errors.Join(i.Stop(ctx), <-ended)
+	return errors.Join(inst.Stop(ctx), <-done)
 }
--- a/internal/cmd/cmd_history.go
+++ b/internal/cmd/cmd_history.go
@@ -13,8 +13,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// difference is what a change altered in one object.
-type difference struct {
+// objectDiff describes how a change altered one object.
+type objectDiff struct {
 	Kind string `json:"kind"`
 	Name string `json:"name"`
 	What string `json:"what"`
@@ -22,32 +22,32 @@
 
 // cmdHistory lists accepted changes.
 func cmdHistory() *cobra.Command {
-	return cmdAsk("history", "list the accepted changes, the oldest first", 0, func(ctx context.Context, a asking) error {
-		s, err := askStatus(ctx, a.client, true)
+	return newQueryCommand("history", "list the accepted changes, the oldest first", 0, func(ctx context.Context, q query) error {
+		s, err := getStatus(ctx, q.client, true)
 		if err != nil {
 			return err
 		}
-		if a.json {
-			return PrintJSON(a.out, s.History)
+		if q.json {
+			return PrintJSON(q.out, s.History)
 		}
 		for _, h := range s.History {
-			fmt.Fprintf(a.out, "revision %d, %s, by %s, change %s:", h.Revision, time.Unix(0, h.UnixNano).UTC().Format(time.RFC3339), h.Change.Author, h.Change.Id)
+			fmt.Fprintf(q.out, "revision %d, %s, by %s, change %s:", h.Revision, time.Unix(0, h.UnixNano).UTC().Format(time.RFC3339), h.Change.Author, h.Change.Id)
 			for _, o := range h.Change.Objects {
-				fmt.Fprintf(a.out, " %s %s", o.Kind, o.Name)
+				fmt.Fprintf(q.out, " %s %s", o.Kind, o.Name)
 			}
-			fmt.Fprintln(a.out)
+			fmt.Fprintln(q.out)
 		}
 		return nil
 	})
 }
 
-// findChange returns the accepted change of a revision.
+// findChange returns the accepted change that made a revision.
 func findChange(ctx context.Context, client wire.DRPCControlClient, revision string) (*wire.HistoryEntry, error) {
 	number, err := strconv.ParseUint(revision, 10, 64)
 	if err != nil {
 		return nil, UsageError{fmt.Errorf("revision %q is not a number", revision)}
 	}
-	s, err := askStatus(ctx, client, true)
+	s, err := getStatus(ctx, client, true)
 	if err != nil {
 		return nil, err
 	}
@@ -56,64 +56,65 @@
 			return h, nil
 		}
 	}
-	return nil, fault.New(fault.NotFound, "revision %d is no accepted change that is remembered", number)
+	return nil, fault.New(fault.NotFound, "no change of revision %d in the stored history", number)
 }
 
 // cmdDiff shows what a change altered.
 func cmdDiff() *cobra.Command {
-	return cmdAsk("diff REVISION", "show what an accepted change altered", 1, func(ctx context.Context, a asking) error {
-		h, err := findChange(ctx, a.client, a.args[0])
+	return newQueryCommand("diff REVISION", "show what an accepted change altered", 1, func(ctx context.Context, q query) error {
+		h, err := findChange(ctx, q.client, q.args[0])
 		if err != nil {
 			return err
 		}
-		all := differences(h)
-		if a.json {
-			return PrintJSON(a.out, all)
+		all := objectDiffs(h)
+		if q.json {
+			return PrintJSON(q.out, all)
 		}
 		for _, d := range all {
-			fmt.Fprintf(a.out, "%s %s: %s\n", d.Kind, d.Name, d.What)
+			fmt.Fprintf(q.out, "%s %s: %s\n", d.Kind, d.Name, d.What)
 		}
 		return nil
 	})
 }
 
-// differences returns what a change altered, in the order of its objects.
-func differences(h *wire.HistoryEntry) []difference {
-	all := []difference{} // not null for a script
+// objectDiffs describes how a change altered each of its objects, in their order.
+func objectDiffs(h *wire.HistoryEntry) []objectDiff {
+	all := []objectDiff{} // encoded as [] rather than null if empty
 	for n, o := range h.Change.Objects {
 		what := "new"
 		if before := h.Before[n]; !before.Remove {
 			what = intent.Difference(before.Body, o.Body)
 		}
-		all = append(all, difference{o.Kind, o.Name, what})
+		all = append(all, objectDiff{o.Kind, o.Name, what})
 	}
 	return all
 }
 
-// cmdRevert offers what a change altered as it was before, as a new change.
+// cmdRevert submits a new change that restores the objects as they were before
+// an accepted change.
 func cmdRevert() *cobra.Command {
-	var a change
+	var flags changeFlags
 	c := &cobra.Command{
-		Use: "revert REVISION", Short: "undo an accepted change by a new one", Args: exactArgs(1),
+		Use: "revert REVISION", Short: "undo an accepted change by submitting a new one", Args: exactArgs(1),
 		RunE: func(c *cobra.Command, args []string) error {
 			var before []*wire.Object
-			err := a.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
-				h, err := findChange(ctx, client, args[0])
+			err := flags.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
+				change, err := findChange(ctx, client, args[0])
 				if err != nil {
 					return err
 				}
-				before = h.Before
-				if a.base == 0 {
-					a.base = h.Revision // a later change of the same object is not overwritten
+				before = change.Before
+				if flags.base == 0 {
+					flags.base = change.Revision // conflict if a later change has altered one of the objects
 				}
 				return nil
 			})
 			if err != nil {
 				return err
 			}
-			return a.offer(c.Context(), c.OutOrStdout(), before)
+			return flags.submit(c.Context(), c.OutOrStdout(), before)
 		},
 	}
-	a.flags(c)
+	flags.addFlags(c)
 	return c
 }
--- a/internal/cmd/cmd_status.go
+++ b/internal/cmd/cmd_status.go
@@ -13,18 +13,18 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// cmdStatus shows what an instance holds and who lags.
+// cmdStatus shows the state of an instance and which instances lag behind.
 func cmdStatus() *cobra.Command {
-	var t target
+	var conn connectionFlags
 	c := &cobra.Command{
-		Use: "status", Short: "show roles, revision, leases, what drains wait for, and who lags", Args: exactArgs(0),
+		Use: "status", Short: "show role, revision, leases, draining endpoints, and which instances lag", Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
-			return t.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
-				s, err := waitInForce(ctx, client, t.wait, time.Now)
+			return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
+				s, err := waitUntilInUse(ctx, client, conn.extraTime, time.Now)
 				if err != nil {
 					return err
 				}
-				if t.output == "json" {
+				if conn.output == "json" {
 					return PrintJSON(c.OutOrStdout(), s)
 				}
 				printStatus(c.OutOrStdout(), s)
@@ -32,18 +32,18 @@
 			})
 		},
 	}
-	t.flags(c)
-	c.Flags().DurationVar(&t.wait, "wait", 0, "wait so long for the last revision to be in force on every instance")
+	conn.addFlags(c)
+	c.Flags().DurationVar(&conn.extraTime, "wait", 0, "how long to wait for the last revision to be in use on every instance")
 	return c
 }
 
-// waitInForce asks until every live entry has applied the last revision and
-// every lease without it has run out.
-func waitInForce(ctx context.Context, client wire.DRPCControlClient, wait time.Duration, now func() time.Time) (*wire.StatusReply, error) {
-	const pause = 100 * time.Millisecond
+// waitUntilInUse polls until the last revision is in use: every instance has
+// applied it, or its lease has expired. A wait of 0 returns the first status.
+func waitUntilInUse(ctx context.Context, client wire.DRPCControlClient, wait time.Duration, now func() time.Time) (*wire.StatusReply, error) {
+	const pollInterval = 100 * time.Millisecond
 	end := now().Add(wait)
 	for {
-		s, err := askStatus(ctx, client, false)
+		s, err := getStatus(ctx, client, false)
 		if err != nil {
 			return nil, err
 		}
@@ -51,13 +51,14 @@
 			return s, nil
 		}
 		if now().After(end) {
-			return nil, fault.New(fault.NotCurrent, "revision %d is not in force everywhere: %s", s.Revision, laggards(s))
+			return nil, fault.New(fault.NotCurrent, "revision %d is not yet in use everywhere: %s", s.Revision, describeLag(s))
 		}
-		time.Sleep(pause)
+		time.Sleep(pollInterval)
 	}
 }
 
-func laggards(s *wire.StatusReply) string {
+// describeLag lists the members that have not applied the last revision.
+func describeLag(s *wire.StatusReply) string {
 	text := ""
 	for _, m := range s.Members {
 		if m.Applied < s.Revision {
@@ -65,7 +66,7 @@
 		}
 	}
 	if text == "" {
-		return "this instance has not heard that it is"
+		return "all known members have applied it, but this instance has not been told yet"
 	}
 	return text
 }
@@ -75,10 +76,10 @@
 	fmt.Fprintf(w, "revision %d, applied %d, in use %d, lease left %s, confirmed %s ago\n", s.Revision, s.Applied, s.Active,
 		time.Duration(s.LeaseLeftNanos).Round(time.Millisecond), time.Duration(s.ConfirmedAgoNanos).Round(time.Millisecond))
 	if !s.ByLeader {
-		fmt.Fprintln(w, "  the leader cannot be asked: leases and lag are not known")
+		fmt.Fprintln(w, "  the leader is unreachable: leases and lag are unknown")
 	}
 	if s.Evacuations > 0 {
-		fmt.Fprintf(w, "  evacuated: %s, by revision %d\n", evacuatedText(s), s.Evacuations)
+		fmt.Fprintf(w, "  evacuated: %s, by revision %d\n", evacuatedDomains(s), s.Evacuations)
 	}
 	for _, m := range s.Members {
 		fmt.Fprintf(w, "  entry %-16s %-12s applied %d, silent %s, leased %v, leaving %v\n", m.Name, m.Domain, m.Applied,
@@ -86,24 +87,24 @@
 	}
 	for _, d := range s.Drains {
 		fmt.Fprintf(w, "  leaving %s/%s for %s: %s are waited for\n", d.Service, d.Endpoint,
-			time.Duration(d.SinceNanos).Round(time.Second), waitedFor(d))
+			time.Duration(d.SinceNanos).Round(time.Second), remainingWork(d))
 	}
 	for _, o := range s.Objects {
 		fmt.Fprintf(w, "  %s %s, revision %d by %s, change %s\n", o.Object.Kind, o.Object.Name, o.Revision, o.Author, o.ChangeId)
 	}
 }
 
-// evacuatedText names the failure domains that are evacuated.
-func evacuatedText(s *wire.StatusReply) string {
+// evacuatedDomains lists the evacuated failure domains.
+func evacuatedDomains(s *wire.StatusReply) string {
 	if len(s.Evacuated) == 0 {
 		return "none"
 	}
 	return strings.Join(s.Evacuated, ", ")
 }
 
-// waitedFor tells what a leaving endpoint still holds; only the fabric that
-// carries no tags has buckets.
-func waitedFor(d *wire.DrainStatus) string {
+// remainingWork tells what a draining endpoint still holds. Buckets are counted
+// only where packets carry no tag that identifies their endpoint.
+func remainingWork(d *wire.DrainStatus) string {
 	if d.Buckets == 0 {
 		return fmt.Sprintf("%d flows", d.Flows)
 	}
--- a/internal/cmd/platform_http_test.go
+++ b/internal/cmd/platform_http_test.go
@@ -9,20 +9,20 @@
 	"github.com/onsi/gomega"
 )
 
-// TestSilentCallEnds has a call fall silent after its header: the server must
-// end it by itself, since no packet may ever come.
-func TestSilentCallEnds(t *testing.T) {
+// A request that stalls after its header must be ended by the server's own
+// timeout, since the peer may never close the connection.
+func TestServerEndsStalledRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server := newHTTPServer(http.NewServeMux())
-	for _, bound := range []time.Duration{server.ReadHeaderTimeout, server.ReadTimeout, server.WriteTimeout, server.IdleTimeout} {
-		g.Expect(bound).To(gomega.BeNumerically(">", 0))
+	for _, timeout := range []time.Duration{server.ReadHeaderTimeout, server.ReadTimeout, server.WriteTimeout, server.IdleTimeout} {
+		g.Expect(timeout).To(gomega.BeNumerically(">", 0))
 	}
 	ended := make(chan error, 1)
 	server.Handler = http.HandlerFunc(func(_ http.ResponseWriter, r *http.Request) {
 		_, err := r.Body.Read(make([]byte, 1))
 		ended <- err
 	})
-	server.ReadTimeout = 50 * time.Millisecond // the real one is too long for a test
+	server.ReadTimeout = 50 * time.Millisecond // shortened for the test
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	go func() { _ = server.Serve(listener) }()
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -19,49 +19,50 @@
 )
 
 const (
-	healthLag    = 500 * time.Millisecond
-	coldFactor   = 3
-	blockBytes   = 256
-	blockSize256 = 4 // SZX of RFC 7959 for blocks of 256 bytes
+	healthCacheTime = 500 * time.Millisecond
+	warmupSlowdown  = 3 // factor of the service time
+	blockBytes      = 256
+	blockSZX        = 4 // SZX of RFC 7959 for blocks of 256 bytes
 )
 
 type (
-	// BackendConfig is what a Backend is made from.
+	// BackendConfig configures a Backend.
 	BackendConfig struct {
 		Name        string
 		Service     string
 		Addr        netip.AddrPort
 		HealthAddr  netip.AddrPort
-		Addresses   []netip.AddrPort // of the service's classes
+		Addresses   []netip.AddrPort // accepted destinations: those of the service's classes
 		Slots       int
 		Connections int
 		ServiceTime time.Duration
-		Cold        time.Duration // it is slow so long after its start
-		Blocks      uint32        // of a block-wise answer; 0 is one message
-		Pick        func() (netip.AddrPort, bool)
+		Warmup      time.Duration                 // requests take warmupSlowdown times as long until then
+		Blocks      uint32                        // in the response to a GET; 0 is a single message
+		Pick        func() (netip.AddrPort, bool) // entry to send a packet to
 		Ledger      *Ledger
 		Now         func() time.Time
 	}
 
-	// Backend is one endpoint of a backend server. It takes Geneve, accepts
-	// flows, runs requests in slots, refuses what is above them, obeys
-	// cancellation and deadlines, and tells its health with a lag.
+	// Backend simulates one endpoint of a backend server. It receives Geneve
+	// packets, accepts TCP flows, and runs CoAP requests in a fixed number of
+	// slots, with cancellation and deadlines. Its health reports are delayed.
 	Backend struct {
-		config  BackendConfig
-		conn    *net.UDPConn
-		http    *http.Server
-		encoder *packet.Encoder
-		began   time.Time
-		mu      sync.Mutex
-		flows   map[packet.Tuple]bool
-		running map[string]*time.Timer
-		seen    map[string]bool // CoAP message ids, RFC 7252 section 4.5
-		lying   bool
-		told    healthAnswer
-		toldAt  time.Time
+		config       BackendConfig
+		conn         *net.UDPConn
+		http         *http.Server
+		encoder      *packet.Encoder
+		started      time.Time
+		mu           sync.Mutex
+		flows        map[packet.Tuple]bool  // open
+		running      map[string]*time.Timer // by caller and token
+		seen         map[string]bool        // by caller, message id and token, to drop duplicates (RFC 7252 section 4.5)
+		reportDown   bool                   // regardless of its real state
+		cachedHealth healthReport
+		cachedAt     time.Time
 	}
 
-	healthAnswer struct {
+	// healthReport is the JSON response to a health check.
+	healthReport struct {
 		Healthy     bool `json:"healthy"`
 		Leaving     bool `json:"leaving"`
 		Shedding    bool `json:"shedding"`
@@ -70,7 +71,7 @@
 	}
 )
 
-// NewBackend opens the sockets of an endpoint.
+// NewBackend opens the sockets of an endpoint and starts to serve.
 func NewBackend(c BackendConfig) (*Backend, error) {
 	conn, err := listenUDP(c.Addr)
 	if err != nil {
@@ -81,7 +82,7 @@
 		return nil, errors.Join(err, conn.Close())
 	}
 	b := &Backend{
-		config: c, conn: conn, encoder: encoder, began: c.Now(), flows: map[packet.Tuple]bool{},
+		config: c, conn: conn, encoder: encoder, started: c.Now(), flows: map[packet.Tuple]bool{},
 		running: map[string]*time.Timer{}, seen: map[string]bool{},
 	}
 	listener, err := net.Listen("tcp", c.HealthAddr.String())
@@ -92,62 +93,63 @@
 	mux.HandleFunc("/health", b.health)
 	b.config.HealthAddr = netip.MustParseAddrPort(listener.Addr().String())
 	b.http = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
-	go b.runHealth(listener)
-	go b.run()
+	go b.serveHealth(listener)
+	go b.serve()
 	return b, nil
 }
 
-// runHealth answers health checks until the server is closed.
-func (b *Backend) runHealth(listener net.Listener) { _ = b.http.Serve(listener) }
+// serveHealth answers health checks until the server is closed.
+func (b *Backend) serveHealth(listener net.Listener) { _ = b.http.Serve(listener) }
 
-// Name returns the endpoint's name.
+// Name returns the name of the endpoint.
 func (b *Backend) Name() string { return b.config.Name }
 
-// Addr returns where it takes Geneve.
+// Addr returns the UDP address for Geneve packets.
 func (b *Backend) Addr() netip.AddrPort { return localAddr(b.conn) }
 
-// HealthAddr returns where it tells its health.
+// HealthAddr returns the HTTP address for health checks.
 func (b *Backend) HealthAddr() netip.AddrPort { return b.config.HealthAddr }
 
-// Flows returns how many flows it holds.
+// Flows returns the number of open flows.
 func (b *Backend) Flows() int {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return len(b.flows)
 }
 
-// Lie makes its health endpoint tell that it is down and idle.
-func (b *Backend) Lie(on bool) {
+// ReportDown makes health checks report, falsely, that the endpoint is down and
+// idle.
+func (b *Backend) ReportDown(on bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.lying = on
+	b.reportDown = on
 }
 
-// Close ends the endpoint.
+// Close closes the sockets.
 func (b *Backend) Close() error {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	return errors.Join(b.conn.Close(), b.http.Shutdown(ctx))
 }
 
-// health answers with what was true a while ago.
+// health answers a health check; the report is up to healthCacheTime old.
 func (b *Backend) health(w http.ResponseWriter, _ *http.Request) {
 	b.mu.Lock()
 	now := b.config.Now()
-	if now.Sub(b.toldAt) > healthLag {
-		b.toldAt = now
-		b.told = healthAnswer{Healthy: true, Connections: len(b.flows), Running: len(b.running)}
+	if now.Sub(b.cachedAt) > healthCacheTime {
+		b.cachedAt = now
+		b.cachedHealth = healthReport{Healthy: true, Connections: len(b.flows), Running: len(b.running)}
 	}
-	answer := b.told
-	if b.lying {
-		answer = healthAnswer{}
+	answer := b.cachedHealth
+	if b.reportDown {
+		answer = healthReport{}
 	}
 	b.mu.Unlock()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-func (b *Backend) run() {
+func (b *Backend) serve() {
 	var d packet.Decoder
 	var p packet.Packet
 	buffer := make([]byte, packetSize)
@@ -159,20 +161,20 @@
 		if err != nil || d.Decode(buffer[:n], &p) != packet.Decoded {
 			continue
 		}
-		if !b.mine(p.Tuple().Dst()) {
-			b.config.Ledger.misdelivered()
+		if !b.accepts(p.Tuple().Dst()) {
+			b.config.Ledger.recordMisdelivered()
 			continue
 		}
 		if p.Tuple().Transport() == packet.TCP {
 			seq, _ := d.TCPSequence()
-			b.takeFlow(&p, seq)
+			b.handleTCP(&p, seq)
 		} else {
-			b.takeWork(p.Clone())
+			b.handleRequest(p.Clone())
 		}
 	}
 }
 
-func (b *Backend) mine(addr netip.AddrPort) bool {
+func (b *Backend) accepts(addr netip.AddrPort) bool {
 	for _, a := range b.config.Addresses {
 		if a == addr {
 			return true
@@ -181,9 +183,9 @@
 	return false
 }
 
-// takeFlow answers a TCP packet; data is echoed, so that the caller can check
-// that the whole answer to its own request came.
-func (b *Backend) takeFlow(p *packet.Packet, seq uint32) {
+// handleTCP answers a TCP packet. Data is echoed, so that callers can check that
+// they get their own.
+func (b *Backend) handleTCP(p *packet.Packet, seq uint32) {
 	b.mu.Lock()
 	held := b.flows[p.Tuple()]
 	full := len(b.flows) >= b.config.Connections
@@ -191,19 +193,19 @@
 	switch {
 	case p.Flags().Opens() && (held || !full):
 		if !held {
-			b.config.Ledger.opened(b.config.Name)
+			b.config.Ledger.recordAccepted(b.config.Name)
 		}
 		b.flows[p.Tuple()] = true
 		answer = packet.NewFlags(true, true, false, false)
 	case p.Flags().Opens():
-		b.config.Ledger.overfull()
+		b.config.Ledger.recordOverfull()
 		answer = packet.NewFlags(false, true, false, true)
 	case held && p.Flags().Ends():
 		delete(b.flows, p.Tuple())
 		answer = packet.NewFlags(false, true, true, false)
 	case !held:
 		if p.Flags().Ends() {
-			answer = packet.NewFlags(false, true, true, false) // a repeated FIN
+			answer = packet.NewFlags(false, true, true, false) // retransmitted FIN
 		} else {
 			answer = packet.NewFlags(false, true, false, true)
 		}
@@ -221,15 +223,16 @@
 	}
 }
 
-// takeWork runs a request in a slot, or refuses it before it begins.
-func (b *Backend) takeWork(p *packet.Packet) {
+// handleRequest runs a request in a free slot, or refuses it. A reset cancels
+// the caller's request.
+func (b *Backend) handleRequest(p *packet.Packet) {
 	m, err := work.Decode(p.Payload())
 	if err != nil {
 		return
 	}
-	key := callerKey(p.Tuple().Src()) + string(m.Token)
+	key := callerPrefix(p.Tuple().Src()) + string(m.Token)
 	if m.IsReset() {
-		b.cancel(p.Tuple().Src(), m.MessageID)
+		b.cancelRequests(p.Tuple().Src(), m.MessageID)
 		return
 	}
 	if !m.IsRequest() {
@@ -237,37 +240,37 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	id := messageName(p.Tuple().Src(), m.MessageID)
+	id := messageKey(p.Tuple().Src(), m.MessageID)
 	if b.seen[id+string(m.Token)] {
 		return
 	}
 	if len(b.running) >= b.config.Slots {
-		b.config.Ledger.refusedBy(b.config.Name)
-		b.answer(p.Tuple(), m, codes.ServiceUnavailable, "no slot", 0)
+		b.config.Ledger.recordRefusal(b.config.Name)
+		b.sendResponse(p.Tuple(), m, codes.ServiceUnavailable, "no slot", 0)
 		return
 	}
 	b.seen[id+string(m.Token)] = true
-	b.config.Ledger.ran(m.Token, b.config.Name)
-	took := b.config.ServiceTime
-	if b.config.Now().Sub(b.began) < b.config.Cold {
-		took *= coldFactor
+	b.config.Ledger.recordExecution(m.Token, b.config.Name)
+	duration := b.config.ServiceTime
+	if b.config.Now().Sub(b.started) < b.config.Warmup {
+		duration *= warmupSlowdown
 	}
-	if left, said := m.TimeLeft(); said {
-		took = min(took, left)
+	if remaining, said := m.TimeLeft(); said {
+		duration = min(duration, remaining)
 	}
 	block, _ := m.Block()
-	b.running[key] = time.AfterFunc(took, func() { b.finish(p.Tuple(), m, key, block) })
+	b.running[key] = time.AfterFunc(duration, func() { b.completeRequest(p.Tuple(), m, key, block) })
 }
 
-// callerKey is the part of a request's key that names its caller; each caller
-// of the stand-ins has one request at a time.
-func callerKey(caller netip.AddrPort) string { return caller.String() + "/" }
+// callerPrefix returns the part of a key of Backend.running that identifies the
+// caller, which has one request at a time.
+func callerPrefix(caller netip.AddrPort) string { return caller.String() + "/" }
 
-func messageName(caller netip.AddrPort, id int32) string {
+func messageKey(caller netip.AddrPort, id int32) string {
 	return caller.String() + string([]byte{byte(id >> 8), byte(id)})
 }
 
-func (b *Backend) finish(t packet.Tuple, m work.Message, key string, block uint32) {
+func (b *Backend) completeRequest(t packet.Tuple, m work.Message, key string, block uint32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.running[key] == nil {
@@ -278,23 +281,23 @@
 	if b.config.Blocks > 0 && m.Code == codes.GET {
 		text += string(make([]byte, blockBytes-len(text)))
 	}
-	b.answer(t, m, codes.Content, text, block)
+	b.sendResponse(t, m, codes.Content, text, block)
 }
 
-// cancel frees the slot of a request; the message id names it.
-func (b *Backend) cancel(caller netip.AddrPort, _ int32) {
+// cancelRequests stops the caller's request and frees its slot.
+func (b *Backend) cancelRequests(caller netip.AddrPort, _ int32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for key, timer := range b.running {
-		if strings.HasPrefix(key, callerKey(caller)) {
+		if strings.HasPrefix(key, callerPrefix(caller)) {
 			timer.Stop()
 			delete(b.running, key)
-			b.config.Ledger.cancelled()
+			b.config.Ledger.recordCancelled()
 		}
 	}
 }
 
-func (b *Backend) answer(t packet.Tuple, m work.Message, code codes.Code, text string, block uint32) {
+func (b *Backend) sendResponse(t packet.Tuple, m work.Message, code codes.Code, text string, block uint32) {
 	answer := work.Message{Message: message.Message{
 		Token: m.Token, Code: code, Type: message.NonConfirmable, MessageID: m.MessageID, Payload: []byte(text),
 	}}
@@ -303,7 +306,7 @@
 		if block+1 < b.config.Blocks {
 			more = 1 << 3
 		}
-		answer = answer.WithBlock(block<<4 | more | blockSize256)
+		answer = answer.WithBlock(block<<4 | more | blockSZX)
 	}
 	data, err := answer.Encode()
 	if err != nil {
--- a/internal/standin/fabric.go
+++ b/internal/standin/fabric.go
@@ -1,6 +1,7 @@
-// Package standin holds small stand-ins of what the system serves: a fabric
-// that sprays packets at random, backend servers, and callers of each kind of
-// traffic. They count what they see themselves and decide nothing.
+// Package standin simulates the surroundings of the load balancer in tests and
+// the demo: a network fabric that sprays packets over the entries, backend
+// servers, and callers of flows and requests. Their counts are independent of
+// those of the load balancer.
 package standin
 
 import (
@@ -20,21 +21,21 @@
 )
 
 type (
-	// Fabric hands packets of callers to entries at random, and answers that
-	// entries send it to the callers.
+	// Fabric sends each packet of a caller to a random entry, and delivers the
+	// packets that it gets from entries to the callers.
 	Fabric struct {
-		conn    *net.UDPConn
-		encoder *packet.Encoder
-		mu      sync.Mutex
-		rng     *rand.Rand
-		entries map[string]netip.AddrPort
-		hidden  map[string]bool // cut off from the callers
-		order   []netip.AddrPort
-		callers map[netip.AddrPort]func(*packet.Packet)
+		conn      *net.UDPConn
+		encoder   *packet.Encoder
+		mu        sync.Mutex
+		rng       *rand.Rand
+		entries   map[string]netip.AddrPort
+		hidden    map[string]bool  // cut off from the callers, by name
+		reachable []netip.AddrPort // entries that are not hidden
+		receivers map[netip.AddrPort]func(*packet.Packet)
 	}
 )
 
-// NewFabric opens the fabric's socket on loopback.
+// NewFabric opens the fabric's socket and starts to deliver packets.
 func NewFabric(addr netip.AddrPort, seed uint64) (*Fabric, error) {
 	conn, err := listenUDP(addr)
 	if err != nil {
@@ -46,9 +47,9 @@
 	}
 	f := &Fabric{
 		conn: conn, encoder: encoder, rng: rand.New(rand.NewPCG(seed, 5)),
-		entries: map[string]netip.AddrPort{}, hidden: map[string]bool{}, callers: map[netip.AddrPort]func(*packet.Packet){},
+		entries: map[string]netip.AddrPort{}, hidden: map[string]bool{}, receivers: map[netip.AddrPort]func(*packet.Packet){},
 	}
-	go f.run()
+	go f.serve()
 	return f, nil
 }
 
@@ -63,7 +64,7 @@
 	return conn, nil
 }
 
-// Addr returns the address that entries send answers to.
+// Addr returns the address to which entries send packets for callers.
 func (f *Fabric) Addr() netip.AddrPort { return localAddr(f.conn) }
 
 func localAddr(conn *net.UDPConn) netip.AddrPort {
@@ -78,92 +79,92 @@
 // Close closes the socket.
 func (f *Fabric) Close() error { return f.conn.Close() }
 
-// AddEntry lets the fabric hand packets to an entry.
+// AddEntry adds an entry that packets of callers are sent to.
 func (f *Fabric) AddEntry(name string, addr netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.entries[name] = addr
-	f.reorder()
+	f.updateReachable()
 }
 
-// RemoveEntry ends that.
+// RemoveEntry removes an entry.
 func (f *Fabric) RemoveEntry(name string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	delete(f.entries, name)
-	f.reorder()
+	f.updateReachable()
 }
 
-func (f *Fabric) reorder() {
-	f.order = f.order[:0]
+func (f *Fabric) updateReachable() {
+	f.reachable = f.reachable[:0]
 	for name, addr := range f.entries {
 		if !f.hidden[name] {
-			f.order = append(f.order, addr)
+			f.reachable = append(f.reachable, addr)
 		}
 	}
 }
 
-// Hide cuts entries off from the callers, or joins them again.
-func (f *Fabric) Hide(names []string, hidden bool) {
+// SetHidden cuts entries off from the callers, or reconnects them.
+func (f *Fabric) SetHidden(names []string, hidden bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for _, name := range names {
 		f.hidden[name] = hidden
 	}
-	f.reorder()
+	f.updateReachable()
 }
 
-// PickAmong returns one of some entries at random, hidden or not.
-func (f *Fabric) PickAmong(may func(name string) bool) (netip.AddrPort, bool) {
+// PickAmong returns a random entry among the allowed ones, hidden or not.
+func (f *Fabric) PickAmong(allowed func(name string) bool) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	var found []netip.AddrPort
+	var candidates []netip.AddrPort
 	for name, addr := range f.entries {
-		if may(name) {
-			found = append(found, addr)
+		if allowed(name) {
+			candidates = append(candidates, addr)
 		}
 	}
-	if len(found) == 0 {
+	if len(candidates) == 0 {
 		return netip.AddrPort{}, false
 	}
-	return found[f.rng.IntN(len(found))], true
+	return candidates[f.rng.IntN(len(candidates))], true
 }
 
-// Pick returns an entry at random, as the fabric would.
+// Pick returns a random entry that is not hidden.
 func (f *Fabric) Pick() (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if len(f.order) == 0 {
+	if len(f.reachable) == 0 {
 		return netip.AddrPort{}, false
 	}
-	return f.order[f.rng.IntN(len(f.order))], true
+	return f.reachable[f.rng.IntN(len(f.reachable))], true
 }
 
-// Attach names the receiver of packets to a caller's address.
-func (f *Fabric) Attach(caller netip.AddrPort, take func(*packet.Packet)) {
+// Attach sets the function that receives packets for a caller's address.
+func (f *Fabric) Attach(caller netip.AddrPort, receive func(*packet.Packet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.callers[caller] = take
+	f.receivers[caller] = receive
 }
 
-// Detach ends that.
+// Detach removes the receiver of a caller's address.
 func (f *Fabric) Detach(caller netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.callers, caller)
+	delete(f.receivers, caller)
 }
 
-// Send hands a caller's packet to an entry at random.
+// Send sends a caller's packet, without encapsulation, to a random entry.
 func (f *Fabric) Send(inner []byte) {
 	to, ok := f.Pick()
 	if !ok {
 		return
 	}
-	// A datagram that cannot be sent is lost, as in any network.
+	// A datagram that cannot be sent is lost, as on a real network.
 	_, _ = f.conn.WriteToUDPAddrPort(f.encoder.AppendPlain(nil, inner), to)
 }
 
-func (f *Fabric) run() {
+func (f *Fabric) serve() {
 	var d packet.Decoder
 	var p packet.Packet
 	buffer := make([]byte, packetSize)
@@ -176,10 +177,10 @@
 			continue
 		}
 		f.mu.Lock()
-		take := f.callers[p.Tuple().Dst()]
+		receive := f.receivers[p.Tuple().Dst()]
 		f.mu.Unlock()
-		if take != nil {
-			take(p.Clone())
+		if receive != nil {
+			receive(p.Clone())
 		}
 	}
 }
