--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -48,7 +48,7 @@
 		team        map[string]any
 		teamName    string
 		fabric      *standin.Fabric
-		recorder    *standin.Ledger
+		recorder    *standin.Recorder
 		callers     *standin.Callers
 		mu          sync.Mutex
 		instances   map[string]*instance.Instance
@@ -66,7 +66,7 @@
 // submits the configuration. On an error, the fleet may be partly started.
 func newFleet(ctx context.Context, config Config) (*fleet, error) {
 	f := &fleet{config: config, instances: map[string]*instance.Instance{}, backends: map[string]map[string]*standin.Backend{}, services: map[string]map[string]any{}, domainOf: map[netip.AddrPort]string{}}
-	f.recorder = standin.NewLedger(config.Now)
+	f.recorder = standin.NewRecorder(config.Now)
 	var err error
 	if f.fabric, err = standin.NewFabric(netip.MustParseAddrPort("127.0.0.1:0"), config.Seed); err != nil {
 		return nil, err
@@ -180,7 +180,7 @@
 	server, err := standin.NewBackend(standin.BackendConfig{
 		Name: endpoint.Name, Service: service, Addr: netip.MustParseAddrPort("127.0.0.1:0"), HealthAddr: netip.MustParseAddrPort("127.0.0.1:0"),
 		Addresses: addresses, Slots: endpoint.Slots, Connections: endpoint.Connections, ServiceTime: serviceTime, Warmup: warmup, Blocks: blocks,
-		Pick: func() (netip.AddrPort, bool) { return f.pickEntry(endpoint.Domain) }, Ledger: f.recorder, Now: f.config.Now,
+		Pick: func() (netip.AddrPort, bool) { return f.pickEntry(endpoint.Domain) }, Recorder: f.recorder, Now: f.config.Now,
 	})
 	if err != nil {
 		return nil, err
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -45,7 +45,7 @@
 		group.Go(func() {
 			time.Sleep(delay)
 			remaining := until.Sub(r.fleet.config.Now())
-			r.fleet.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: feedInterval, Lasts: remaining})
+			r.fleet.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: feedInterval, Duration: remaining})
 		})
 	}
 }
@@ -56,7 +56,7 @@
 		group.Go(func() {
 			for r.fleet.config.Now().Before(until) && ctx.Err() == nil {
 				duration := downloadDuration/2 + rand.N(downloadDuration)
-				r.fleet.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: downloadDuration / 10, Lasts: duration})
+				r.fleet.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: downloadDuration / 10, Duration: duration})
 			}
 		})
 	}
@@ -75,7 +75,7 @@
 		group.Go(func() {
 			for r.fleet.config.Now().Before(until) && ctx.Err() == nil {
 				r.fleet.callers.Request(ctx, standin.RequestConfig{
-					Class: class.Name, To: class.Address, Once: !class.Repeatable, Deadline: requestDeadline, Blockwise: blockwise,
+					Class: class.Name, To: class.Address, NonRepeatable: !class.Repeatable, Deadline: requestDeadline, Blockwise: blockwise,
 				})
 				time.Sleep(rand.N(10 * time.Millisecond))
 			}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -72,7 +72,7 @@
 
 	generator struct {
 		config   Config
-		ledger   *standin.Ledger
+		ledger   *standin.Recorder
 		fabric   *standin.Fabric
 		callers  *standin.Callers
 		backends map[string][]*standin.Backend
@@ -95,7 +95,7 @@
 }
 
 func newGenerator(c Config) (*generator, error) {
-	g := &generator{config: c, ledger: standin.NewLedger(c.Now), backends: map[string][]*standin.Backend{}}
+	g := &generator{config: c, ledger: standin.NewRecorder(c.Now), backends: map[string][]*standin.Backend{}}
 	var err error
 	if g.fabric, err = standin.NewFabric(c.Settings.Fabric, c.Seed); err != nil {
 		return nil, err
@@ -128,7 +128,7 @@
 	for _, e := range s.Endpoints {
 		b, err := standin.NewBackend(standin.BackendConfig{
 			Name: e.Name, Service: o.Name, Addr: e.Address, HealthAddr: e.Health, Addresses: addresses, Slots: e.Slots,
-			Connections: e.Connections, ServiceTime: g.config.ServiceTime, Pick: g.fabric.Pick, Ledger: g.ledger, Now: g.config.Now,
+			Connections: e.Connections, ServiceTime: g.config.ServiceTime, Pick: g.fabric.Pick, Recorder: g.ledger, Now: g.config.Now,
 		})
 		if err != nil {
 			return err
@@ -219,11 +219,11 @@
 }
 
 func (g *generator) startFlow(ctx context.Context, class intent.Class) {
-	g.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: g.config.PacketInterval, Lasts: g.config.FlowDuration})
+	g.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: g.config.PacketInterval, Duration: g.config.FlowDuration})
 }
 
 func (g *generator) sendRequest(ctx context.Context, class intent.Class) {
-	g.callers.Request(ctx, standin.RequestConfig{Class: class.Name, To: class.Address, Once: !class.Repeatable, Deadline: g.config.Deadline})
+	g.callers.Request(ctx, standin.RequestConfig{Class: class.Name, To: class.Address, NonRepeatable: !class.Repeatable, Deadline: g.config.Deadline})
 }
 
 // imbalance returns, by service, the highest number of flows of an endpoint divided by
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -39,7 +39,7 @@
 		Warmup      time.Duration                 // requests take warmupSlowdown times as long until then
 		Blocks      uint32                        // in the response to a GET; 0 is a single message
 		Pick        func() (netip.AddrPort, bool) // entry to send a packet to
-		Ledger      *Ledger
+		Recorder    *Recorder
 		Now         func() time.Time
 	}
 
@@ -162,7 +162,7 @@
 			continue
 		}
 		if !b.accepts(p.Tuple().Dst()) {
-			b.config.Ledger.recordMisdelivered()
+			b.config.Recorder.recordMisdelivered()
 			continue
 		}
 		if p.Tuple().Transport() == packet.TCP {
@@ -193,12 +193,12 @@
 	switch {
 	case p.Flags().Opens() && (held || !full):
 		if !held {
-			b.config.Ledger.recordAccepted(b.config.Name)
+			b.config.Recorder.recordAccepted(b.config.Name)
 		}
 		b.flows[p.Tuple()] = true
 		answer = packet.NewFlags(true, true, false, false)
 	case p.Flags().Opens():
-		b.config.Ledger.recordOverfull()
+		b.config.Recorder.recordOverfull()
 		answer = packet.NewFlags(false, true, false, true)
 	case held && p.Flags().Ends():
 		delete(b.flows, p.Tuple())
@@ -245,12 +245,12 @@
 		return
 	}
 	if len(b.running) >= b.config.Slots {
-		b.config.Ledger.recordRefusal(b.config.Name)
+		b.config.Recorder.recordRefusal(b.config.Name)
 		b.sendResponse(p.Tuple(), m, codes.ServiceUnavailable, "no slot", 0)
 		return
 	}
 	b.seen[id+string(m.Token)] = true
-	b.config.Ledger.recordExecution(m.Token, b.config.Name)
+	b.config.Recorder.recordExecution(m.Token, b.config.Name)
 	duration := b.config.ServiceTime
 	if b.config.Now().Sub(b.started) < b.config.Warmup {
 		duration *= warmupSlowdown
@@ -292,7 +292,7 @@
 		if strings.HasPrefix(key, callerPrefix(caller)) {
 			timer.Stop()
 			delete(b.running, key)
-			b.config.Ledger.recordCancelled()
+			b.config.Recorder.recordCancelled()
 		}
 	}
 }
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -29,7 +29,7 @@
 	// Callers opens flows and sends requests, each from a new caller address.
 	Callers struct {
 		fabric      *Fabric
-		recorder    *Ledger
+		recorder    *Recorder
 		now         func() time.Time
 		lastAddress atomic.Uint32
 		lastToken   atomic.Uint64
@@ -39,22 +39,22 @@
 	FlowConfig struct {
 		To       netip.AddrPort
 		Interval time.Duration // mean time between exchanges
-		Lasts    time.Duration
+		Duration time.Duration
 	}
 
 	// RequestConfig configures a request.
 	RequestConfig struct {
-		Class     string
-		To        netip.AddrPort
-		Once      bool // must not run more than once
-		Deadline  time.Duration
-		Blockwise bool // fetch a block-wise response, RFC 7959
+		Class         string
+		To            netip.AddrPort
+		NonRepeatable bool // must not run more than once
+		Deadline      time.Duration
+		Blockwise     bool // fetch a block-wise response, RFC 7959
 	}
 )
 
 // NewCallers returns callers that send through a fabric.
-func NewCallers(f *Fabric, l *Ledger, now func() time.Time) *Callers {
-	return &Callers{fabric: f, recorder: l, now: now}
+func NewCallers(f *Fabric, r *Recorder, now func() time.Time) *Callers {
+	return &Callers{fabric: f, recorder: r, now: now}
 }
 
 // newAddress returns a caller address that has not been used before.
@@ -85,7 +85,7 @@
 	src, inbox := c.attachCaller()
 	defer c.fabric.Detach(src)
 	c.recorder.recordFlowStart()
-	flow := &callerFlow{callers: c, tuple: packet.NewTuple(src, f.To, packet.TCP), inbox: inbox, end: c.now().Add(f.Lasts)}
+	flow := &callerFlow{callers: c, tuple: packet.NewTuple(src, f.To, packet.TCP), inbox: inbox, end: c.now().Add(f.Duration)}
 	flow.run(ctx, f.Interval)
 }
 
@@ -231,7 +231,7 @@
 	if block != nil {
 		m = m.WithBlock(*block<<4 | blockSZX)
 	}
-	c.recorder.recordRequest(string(token), r.Once)
+	c.recorder.recordRequest(string(token), r.NonRepeatable)
 	started := c.now()
 	tuple := packet.NewTuple(src, r.To, packet.UDP)
 	for c.now().Sub(started) < r.Deadline+time.Second && ctx.Err() == nil {
--- a/internal/standin/recorder.go
+++ b/internal/standin/recorder.go
@@ -8,9 +8,9 @@
 )
 
 type (
-	// Ledger counts what callers and backend servers see, independently of the
+	// Recorder counts what callers and backend servers see, independently of the
 	// load balancer, to detect violated guarantees.
-	Ledger struct {
+	Recorder struct {
 		mu              sync.Mutex
 		now             func() time.Time
 		counts          Counts
@@ -55,38 +55,38 @@
 	drainGrace        = 3 * time.Second // until all entries know that an endpoint leaves
 )
 
-// NewLedger returns a Ledger that has counted nothing.
-func NewLedger(now func() time.Time) *Ledger {
-	return &Ledger{
+// NewRecorder returns a Ledger that has counted nothing.
+func NewRecorder(now func() time.Time) *Recorder {
+	return &Recorder{
 		now: now, executions: map[string]int{}, reportedNotRun: map[string]bool{}, nonRepeatable: map[string]bool{},
 		latency: map[string]*hdrhistogram.Histogram{}, accepted: map[string]int{}, reasons: map[string]int{}, drainStarted: map[string]time.Time{},
 	}
 }
 
 // Counts returns the counts so far.
-func (l *Ledger) Counts() Counts {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	return l.counts
+func (r *Recorder) Counts() Counts {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.counts
 }
 
 // Reasons returns how often flows broke and requests had no response, by reason.
-func (l *Ledger) Reasons() map[string]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *Recorder) Reasons() map[string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	all := map[string]int{}
-	for reason, n := range l.reasons {
+	for reason, n := range r.reasons {
 		all[reason] = n
 	}
 	return all
 }
 
 // Opens returns the number of flows that each endpoint has accepted.
-func (l *Ledger) Opens() map[string]int {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *Recorder) Opens() map[string]int {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	all := map[string]int{}
-	for name, n := range l.accepted {
+	for name, n := range r.accepted {
 		all[name] = n
 	}
 	return all
@@ -94,10 +94,10 @@
 
 // Latency returns a copy of the latencies of a class, in microseconds, or nil if
 // there are none.
-func (l *Ledger) Latency(class string) *hdrhistogram.Histogram {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	if histogram := l.latency[class]; histogram != nil {
+func (r *Recorder) Latency(class string) *hdrhistogram.Histogram {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if histogram := r.latency[class]; histogram != nil {
 		return hdrhistogram.Import(histogram.Export())
 	}
 	return nil
@@ -105,116 +105,116 @@
 
 // RecordUnplannedEvent records a failure. Flows that break within
 // unplannedWindow after it count as BrokenUnplanned.
-func (l *Ledger) RecordUnplannedEvent() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.unplannedEvents = append(l.unplannedEvents, l.now())
+func (r *Recorder) RecordUnplannedEvent() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.unplannedEvents = append(r.unplannedEvents, r.now())
 }
 
-func (l *Ledger) update(f func(*Counts)) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	f(&l.counts)
+func (r *Recorder) update(f func(*Counts)) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	f(&r.counts)
 }
 
-func (l *Ledger) recordMisdelivered() { l.update(func(c *Counts) { c.Misdelivered++ }) }
-func (l *Ledger) recordOverfull()     { l.update(func(c *Counts) { c.Overfull++ }) }
-func (l *Ledger) recordCancelled()    { l.update(func(c *Counts) { c.Cancelled++ }) }
-func (l *Ledger) recordCrossed()      { l.update(func(c *Counts) { c.Crossed++ }) }
-func (l *Ledger) recordIncomplete()   { l.update(func(c *Counts) { c.Incomplete++ }) }
-func (l *Ledger) recordFlowStart()    { l.update(func(c *Counts) { c.Flows++; c.FlowsOpen++ }) }
-func (l *Ledger) recordFlowEnd()      { l.update(func(c *Counts) { c.FlowsOpen-- }) }
-func (l *Ledger) recordNotOpened()    { l.update(func(c *Counts) { c.NotOpened++; c.FlowsOpen-- }) }
-func (l *Ledger) recordRefusal(string) {
-	l.update(func(c *Counts) { c.RefusedByServer++ })
+func (r *Recorder) recordMisdelivered() { r.update(func(c *Counts) { c.Misdelivered++ }) }
+func (r *Recorder) recordOverfull()     { r.update(func(c *Counts) { c.Overfull++ }) }
+func (r *Recorder) recordCancelled()    { r.update(func(c *Counts) { c.Cancelled++ }) }
+func (r *Recorder) recordCrossed()      { r.update(func(c *Counts) { c.Crossed++ }) }
+func (r *Recorder) recordIncomplete()   { r.update(func(c *Counts) { c.Incomplete++ }) }
+func (r *Recorder) recordFlowStart()    { r.update(func(c *Counts) { c.Flows++; c.FlowsOpen++ }) }
+func (r *Recorder) recordFlowEnd()      { r.update(func(c *Counts) { c.FlowsOpen-- }) }
+func (r *Recorder) recordNotOpened()    { r.update(func(c *Counts) { c.NotOpened++; c.FlowsOpen-- }) }
+func (r *Recorder) recordRefusal(string) {
+	r.update(func(c *Counts) { c.RefusedByServer++ })
 }
 
-func (l *Ledger) recordAccepted(endpoint string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.accepted[endpoint]++
-	l.countIfDraining(endpoint)
+func (r *Recorder) recordAccepted(endpoint string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.accepted[endpoint]++
+	r.countIfDraining(endpoint)
 }
 
 // RecordDrain records that an endpoint begins to leave. Flows and requests that
 // it gets later than drainGrace from now count as LateNew.
-func (l *Ledger) RecordDrain(endpoint string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.drainStarted[endpoint] = l.now()
+func (r *Recorder) RecordDrain(endpoint string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.drainStarted[endpoint] = r.now()
 }
 
 // countIfDraining counts a flow or request as late if its endpoint has been
 // leaving for longer than drainGrace.
-func (l *Ledger) countIfDraining(endpoint string) {
-	if since, draining := l.drainStarted[endpoint]; draining && l.now().Sub(since) > drainGrace {
-		l.counts.LateNew++
+func (r *Recorder) countIfDraining(endpoint string) {
+	if since, draining := r.drainStarted[endpoint]; draining && r.now().Sub(since) > drainGrace {
+		r.counts.LateNew++
 	}
 }
 
 // recordBroken counts a flow that neither its caller nor its backend server
 // ended.
-func (l *Ledger) recordBroken(reason string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.counts.FlowsOpen--
-	l.reasons[reason]++
-	for _, at := range l.unplannedEvents {
-		if l.now().Sub(at) < unplannedWindow {
-			l.counts.BrokenUnplanned++
+func (r *Recorder) recordBroken(reason string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.counts.FlowsOpen--
+	r.reasons[reason]++
+	for _, at := range r.unplannedEvents {
+		if r.now().Sub(at) < unplannedWindow {
+			r.counts.BrokenUnplanned++
 			return
 		}
 	}
-	l.counts.BrokenPlanned++
+	r.counts.BrokenPlanned++
 }
 
-func (l *Ledger) recordRequest(token string, nonRepeatable bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.counts.Requests++
+func (r *Recorder) recordRequest(token string, nonRepeatable bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.counts.Requests++
 	if nonRepeatable {
-		l.nonRepeatable[token] = true
+		r.nonRepeatable[token] = true
 	}
 }
 
 // recordExecution records that an endpoint begins to run a request.
-func (l *Ledger) recordExecution(token []byte, endpoint string) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *Recorder) recordExecution(token []byte, endpoint string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	key := string(token)
-	l.executions[key]++
-	l.countIfDraining(endpoint)
-	if l.nonRepeatable[key] && l.executions[key] == 2 {
-		l.counts.RanTwice++
+	r.executions[key]++
+	r.countIfDraining(endpoint)
+	if r.nonRepeatable[key] && r.executions[key] == 2 {
+		r.counts.RanTwice++
 	}
-	if l.reportedNotRun[key] {
-		l.counts.FalseNotRun++
+	if r.reportedNotRun[key] {
+		r.counts.FalseNotRun++
 	}
 }
 
 // recordOutcome records what the caller of a request was told.
-func (l *Ledger) recordOutcome(token, class, outcome string, latency time.Duration) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
+func (r *Recorder) recordOutcome(token, class, outcome string, latency time.Duration) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	switch outcome {
 	case "answered":
-		l.counts.Answered++
-		histogram := l.latency[class]
+		r.counts.Answered++
+		histogram := r.latency[class]
 		if histogram == nil {
 			histogram = hdrhistogram.New(1, maxLatency, significantDigits)
-			l.latency[class] = histogram
+			r.latency[class] = histogram
 		}
 		_ = histogram.RecordValue(min(max(latency.Microseconds(), 1), maxLatency))
 	case "not_run":
-		l.counts.NotRun++
-		l.reportedNotRun[token] = true
-		if l.executions[token] > 0 {
-			l.counts.FalseNotRun++
+		r.counts.NotRun++
+		r.reportedNotRun[token] = true
+		if r.executions[token] > 0 {
+			r.counts.FalseNotRun++
 		}
 	case "unknown":
-		l.counts.Unknown++
+		r.counts.Unknown++
 	default:
-		l.counts.NoAnswer++
-		l.reasons["request_"+outcome]++
+		r.counts.NoAnswer++
+		r.reasons["request_"+outcome]++
 	}
 }
--- a/tools/experiment.go
+++ b/tools/experiment.go
@@ -58,7 +58,7 @@
 	fmt.Fprintln(out, "|---|---|---|---|---|---|---|---|---|---|")
 	for _, d := range rows {
 		fmt.Fprintf(out, "| %s | %s | %d | %.4f | %.4f | %+.4f ± %.4f | %d / %d | %+.4f | %+.3f | %d |\n",
-			d.Site, d.Day, d.Pairs, d.Before, d.After, d.Mean, d.Error, d.Better, d.Worse, d.Failed, d.Windows, d.Broken)
+			d.Site, d.Day, d.Pairs, d.Before, d.After, d.MeanChange, d.StandardError, d.Better, d.Worse, d.FailedChange, d.WorstWindowsChange, d.PairsWithViolations)
 	}
 	return nil
 }
@@ -74,7 +74,7 @@
 	for _, e := range entries {
 		for _, d := range e.Days {
 			fmt.Fprintf(out, "| %s (%.3f) | %s | %.3f | %.3f | %.3f | %.3f | %.3f | %.4f |\n",
-				e.Site, *e.Score, d.Name, d.Worth, d.Served, d.Refused, d.Failed, d.Part("worst windows"), d.Priced())
+				e.Site, *e.Score, d.Name, d.Score, d.Served, d.Refused, d.Failed, d.Part("worst windows"), d.TotalPenalty())
 		}
 	}
 	return nil
@@ -95,9 +95,9 @@
 			if d.Day != journal.AllDays {
 				continue
 			}
-			cell := fmt.Sprintf("%+.4f ± %.4f (%d)", d.Mean, d.Error, d.Pairs)
-			if d.Broken > 0 {
-				cell += fmt.Sprintf(", %d broken", d.Broken)
+			cell := fmt.Sprintf("%+.4f ± %.4f (%d)", d.MeanChange, d.StandardError, d.Pairs)
+			if d.PairsWithViolations > 0 {
+				cell += fmt.Sprintf(", %d broken", d.PairsWithViolations)
 			}
 			cells[[2]string{e.Why, d.Site}] = cell
 			if !slices.Contains(sites, d.Site) {
