--- a/internal/standin/recorder.go
+++ b/internal/standin/recorder.go
@@ -24,7 +24,7 @@
 		reasons         map[string]int                     // why flows broke and requests had no response
 	}
 
-	// Counts is what a Ledger has counted.
+	// Counts is what a Recorder has counted.
 	Counts struct {
 		Flows           int `json:"flows"` // that callers tried to open
 		FlowsOpen       int `json:"flows_open"`
@@ -55,7 +55,7 @@
 	drainGrace        = 3 * time.Second // until all entries know that an endpoint leaves
 )
 
-// NewRecorder returns a Ledger that has counted nothing.
+// NewRecorder returns a Recorder that has counted nothing.
 func NewRecorder(now func() time.Time) *Recorder {
 	return &Recorder{
 		now: now, executions: map[string]int{}, reportedNotRun: map[string]bool{}, nonRepeatable: map[string]bool{},
