--- a/internal/cmd/platform_process.go
+++ b/internal/cmd/platform_process.go
@@ -21,8 +21,8 @@
 )
 
 const (
-	// settingsPollInterval is how often the settings file is checked for changes;
-	// SIGHUP is optional.
+	// settingsPollInterval is how often the settings file is checked for changes
+	// that no SIGHUP has announced.
 	settingsPollInterval = time.Second
 	// heapShare is the share of the memory limit given to the Go runtime; the rest
 	// is for memory that the runtime does not count.
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -22,7 +22,7 @@
 	healthCacheTime = 500 * time.Millisecond
 	warmupSlowdown  = 3 // factor of the service time
 	blockBytes      = 256
-	blockSZX        = 4 // SZX of RFC 7959 for blocks of 256 bytes
+	blockSZX        = 4 // block size exponent of RFC 7959 for 256 bytes
 )
 
 type (
