--- a/internal/announce/cache.go
+++ b/internal/announce/cache.go
@@ -9,7 +9,7 @@
 
 const (
 	// announcementTTL is how long an announcement stays valid; a running control
-	// instance repeats it until the entry has linked to it.
+	// instance resends it until the entry links to that instance.
 	announcementTTL = 5 * time.Second
 	// maxRecent bounds the valid announcements, so that forged datagrams cannot
 	// crowd out the configured seeds. A further one replaces the oldest.
@@ -23,30 +23,30 @@
 }
 
 // Add adds an announcement. Addresses that are invalid or have no port are ignored.
-func (h *Cache) Add(now time.Time, addr netip.AddrPort) {
+func (c *Cache) Add(now time.Time, addr netip.AddrPort) {
 	if !addr.IsValid() || addr.Port() == 0 {
 		return
 	}
-	if h.seenAt == nil {
-		h.seenAt = map[netip.AddrPort]time.Time{}
+	if c.seenAt == nil {
+		c.seenAt = map[netip.AddrPort]time.Time{}
 	}
-	h.expire(now)
-	if _, known := h.seenAt[addr]; !known && len(h.seenAt) >= maxRecent {
-		oldest := slices.MinFunc(slices.Collect(maps.Keys(h.seenAt)), func(a, b netip.AddrPort) int {
-			return h.seenAt[a].Compare(h.seenAt[b])
+	c.expire(now)
+	if _, known := c.seenAt[addr]; !known && len(c.seenAt) >= maxRecent {
+		oldest := slices.MinFunc(slices.Collect(maps.Keys(c.seenAt)), func(a, b netip.AddrPort) int {
+			return c.seenAt[a].Compare(c.seenAt[b])
 		})
-		delete(h.seenAt, oldest)
+		delete(c.seenAt, oldest)
 	}
-	h.seenAt[addr] = now
+	c.seenAt[addr] = now
 }
 
 // Recent returns the addresses of the valid announcements, sorted.
-func (h *Cache) Recent(now time.Time) []netip.AddrPort {
-	h.expire(now)
-	return slices.SortedFunc(maps.Keys(h.seenAt), netip.AddrPort.Compare)
+func (c *Cache) Recent(now time.Time) []netip.AddrPort {
+	c.expire(now)
+	return slices.SortedFunc(maps.Keys(c.seenAt), netip.AddrPort.Compare)
 }
 
 // expire drops announcements that are older than announcementTTL.
-func (h *Cache) expire(now time.Time) {
-	maps.DeleteFunc(h.seenAt, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > announcementTTL })
+func (c *Cache) expire(now time.Time) {
+	maps.DeleteFunc(c.seenAt, func(_ netip.AddrPort, at time.Time) bool { return now.Sub(at) > announcementTTL })
 }
--- a/internal/announce/schedule.go
+++ b/internal/announce/schedule.go
@@ -14,8 +14,8 @@
 const (
 	// TickInterval is the time between two calls of Due.
 	TickInterval = 20 * time.Millisecond
-	// MaxPerTick bounds the datagrams sent in one tick, which limits them to 7,500 a
-	// second.
+	// MaxPerTick bounds the datagrams sent in one tick, so that announcing to a whole
+	// fleet is spread over several ticks.
 	MaxPerTick = 150
 	// resendInterval is the minimum time between two datagrams to the same entry.
 	// It is short because datagrams that arrive before the entry listens are lost.
@@ -23,10 +23,11 @@
 	// announceDuration is how long announcements are sent to an entry after its last
 	// link ended or the control instance started. It covers a restart of the entry.
 	announceDuration = 10 * time.Second
-	// retention is how long an unlinked entry is remembered, so that a second power
-	// loss soon after the first still finds all entries.
+	// retention is how long an unlinked entry is remembered, so that all entries are
+	// still known after a second power loss soon after the first.
 	retention = time.Hour
-	// maxEntries bounds the remembered entries. Entries beyond it depend on their seeds.
+	// maxEntries bounds the remembered entries. Entries beyond it must rely on
+	// the control instances in their settings.
 	maxEntries = 10_000
 	// pruneInterval is the time between two searches for expired entries.
 	pruneInterval = time.Minute
--- a/internal/announce/schedule_test.go
+++ b/internal/announce/schedule_test.go
@@ -36,7 +36,7 @@
 	It("announces to entries restored after a restart until they are linked", func() {
 		s.Restore(start, addrs(2))
 		Expect(s.Due(start)).To(ConsistOf(addr(0), addr(1)))
-		Expect(s.Due(start.Add(TickInterval))).To(BeEmpty(), "it was announced to within resendInterval")
+		Expect(s.Due(start.Add(TickInterval))).To(BeEmpty(), "both were sent an announcement within resendInterval")
 		s.Linked(start.Add(TickInterval), addr(0))
 		Expect(s.Due(start.Add(resendInterval))).To(ConsistOf(addr(1)))
 		Expect(s.Due(start.Add(announceDuration+time.Second))).To(BeEmpty(), "announceDuration has passed")
@@ -45,15 +45,15 @@
 
 	It("announces to a fleet within 60 ms and to at most MaxPerTick entries at once", func() {
 		s.Restore(start, addrs(352))
-		told := map[netip.AddrPort]int{}
+		announced := map[netip.AddrPort]int{}
 		for now := start; now.Sub(start) < 60*time.Millisecond; now = now.Add(TickInterval) {
 			due := s.Due(now)
 			Expect(len(due)).To(BeNumerically("<=", MaxPerTick))
 			for _, a := range due {
-				told[a]++
+				announced[a]++
 			}
 		}
-		Expect(told).To(HaveLen(352))
+		Expect(announced).To(HaveLen(352))
 	})
 
 	It("announces to an entry whose last link has ended", func() {
@@ -135,20 +135,20 @@
 
 var _ = Describe("a Cache", func() {
 	It("keeps the latest few announcements until they expire", func() {
-		var h Cache
-		Expect(h.Recent(start)).To(BeEmpty())
+		var c Cache
+		Expect(c.Recent(start)).To(BeEmpty())
 		for n := range 5 {
-			h.Add(start.Add(time.Duration(n)), addr(n))
+			c.Add(start.Add(time.Duration(n)), addr(n))
 		}
-		Expect(h.Recent(start)).To(Equal([]netip.AddrPort{addr(2), addr(3), addr(4)}))
-		h.Add(start.Add(announcementTTL), addr(3))
-		Expect(h.Recent(start.Add(announcementTTL + time.Second))).To(Equal([]netip.AddrPort{addr(3)}))
+		Expect(c.Recent(start)).To(Equal([]netip.AddrPort{addr(2), addr(3), addr(4)}))
+		c.Add(start.Add(announcementTTL), addr(3))
+		Expect(c.Recent(start.Add(announcementTTL + time.Second))).To(Equal([]netip.AddrPort{addr(3)}))
 	})
 
 	It("ignores invalid addresses and port 0", func() {
-		var h Cache
-		h.Add(start, netip.AddrPort{})
-		h.Add(start, netip.AddrPortFrom(addr(0).Addr(), 0))
-		Expect(h.Recent(start)).To(BeEmpty())
+		var c Cache
+		c.Add(start, netip.AddrPort{})
+		c.Add(start, netip.AddrPortFrom(addr(0).Addr(), 0))
+		Expect(c.Recent(start)).To(BeEmpty())
 	})
 })
--- a/internal/attachment/attachment.go
+++ b/internal/attachment/attachment.go
@@ -54,7 +54,7 @@
 // instance keeps its place, so that it is used again once it is back, and a usable
 // one is chosen in addition.
 func (c Config) Choose(candidates []Candidate, usable func(address string) bool) []string {
-	local, remote, unknown := c.partition(candidates)
+	local, remote, unknown := c.groupByDomain(candidates)
 	s := selection{usable: usable}
 	local = s.takeUntil(local, c.Links-1)
 	s.takeUntil(remote, c.Links)
@@ -63,8 +63,9 @@
 	return s.chosen
 }
 
-// partition groups the candidates by location, each group sorted by rank.
-func (c Config) partition(candidates []Candidate) (local, remote, unknown []string) {
+// groupByDomain returns the addresses of the candidates in the entry's failure
+// domain, in others and in unknown ones, each group sorted by rank.
+func (c Config) groupByDomain(candidates []Candidate) (local, remote, unknown []string) {
 	for _, candidate := range candidates {
 		switch candidate.Domain {
 		case c.Domain:
--- a/internal/attachment/attachment_test.go
+++ b/internal/attachment/attachment_test.go
@@ -84,9 +84,9 @@
 				}
 				for i, e := range f.entries {
 					Expect(before[i]).To(HaveLen(3))
-					isNear := func(address string) bool { return domains[address] == e.Domain }
-					Expect(isNear(before[i][0])).To(BeTrue())
-					Expect(slices.ContainsFunc(before[i], func(a string) bool { return !isNear(a) })).To(BeTrue())
+					isLocal := func(address string) bool { return domains[address] == e.Domain }
+					Expect(isLocal(before[i][0])).To(BeTrue())
+					Expect(slices.ContainsFunc(before[i], func(a string) bool { return !isLocal(a) })).To(BeTrue())
 				}
 			})
 
@@ -106,12 +106,12 @@
 
 			ginkgo.It("move only from lost or to new instances", func() {
 				check := func(lost func(n int, c Candidate) bool) {
-					left, gone := f.without(lost)
-					after := left.links(always)
+					remaining, lostAddresses := f.without(lost)
+					after := remaining.links(always)
 					onLost := 0
 					for _, links := range before {
 						for _, address := range links {
-							if gone[address] {
+							if lostAddresses[address] {
 								onLost++
 							}
 						}
--- a/internal/control/compile.go
+++ b/internal/control/compile.go
@@ -26,7 +26,7 @@
 }
 
 // needsUpdate reports whether a service or its team's policy may differ from
-// the table. It avoids copying the buckets of unchanged services.
+// the table. Unchanged services are not updated, since this copies their buckets.
 func (s *State) needsUpdate(b *route.Builder, name string) bool {
 	id, known := s.services[name]
 	if !known {
@@ -37,15 +37,15 @@
 		return true
 	}
 	service, _ := s.document.Service(name)
-	held := 0
+	matched := 0
 	for _, e := range service.Endpoints {
 		have := b.Table().EndpointAt(e.Address)
 		if have == nil || !sameEndpoint(have, e) {
 			return true
 		}
-		held++
+		matched++
 	}
-	return held != s.countListed(have)
+	return matched != s.countListed(have)
 }
 
 func sameEndpoint(have *route.Endpoint, want intent.Endpoint) bool {
@@ -74,12 +74,12 @@
 		s.services[name] = id
 	}
 	b.PutService(id, name, s.document.Classes(name), s.document.Policy(name), route.BucketsFor(len(service.Endpoints)))
-	named := map[uint32]bool{}
+	listed := map[uint32]bool{}
 	for _, e := range service.Endpoints {
-		named[s.putEndpoint(b, now, id, e)] = true
+		listed[s.putEndpoint(b, now, id, e)] = true
 	}
 	for _, old := range b.Table().EndpointsOf(id) {
-		if !named[old.ID()] {
+		if !listed[old.ID()] {
 			s.markRemoved(b, now, old)
 		}
 	}
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -37,7 +37,7 @@
 )
 
 type (
-	// Outcome tells how a change was answered; it is one of the constants above.
+	// Outcome is the result of a change; it is one of the constants above.
 	Outcome string
 
 	// Answer is the outcome of a change with its details.
@@ -71,7 +71,7 @@
 		outcomeOrder     []string // change ids, oldest first
 		history          []*wire.HistoryEntry
 		leavingEndpoints map[uint32]leavingEndpoint
-		services         map[string]uint32
+		services         map[string]uint32 // ids by name
 		nextEndpointID   uint32
 		nextServiceID    uint32
 	}
@@ -171,7 +171,7 @@
 	case *wire.Command_Members:
 		s.applyMembers(b, body.Members)
 	case *wire.Command_Suspect:
-		markSuspect(b, body.Suspect)
+		applySuspect(b, body.Suspect)
 	}
 }
 
@@ -191,7 +191,8 @@
 	}
 }
 
-func markSuspect(b *route.Builder, m *wire.Suspect) {
+// applySuspect sets or clears the partition mark of a failure domain.
+func applySuspect(b *route.Builder, m *wire.Suspect) {
 	switch {
 	case m.Cleared:
 		b.ClearMarks(m.Domain)
@@ -246,14 +247,14 @@
 // revision.
 func (s *State) conflict(change *wire.Change) (Answer, bool) {
 	for _, o := range change.Objects {
-		held, ok := s.objects[objectKey{o.Kind, o.Name}]
-		if !ok || held.Revision <= change.Base {
+		stored, ok := s.objects[objectKey{o.Kind, o.Name}]
+		if !ok || stored.Revision <= change.Base {
 			continue
 		}
 		detail := fmt.Sprintf("%s %s is at revision %d by %s (change %s), your base is %d; %s",
-			o.Kind, o.Name, held.Revision, held.Author, held.ChangeId, change.Base,
-			intent.Difference(held.Object.Body, o.Body))
-		return Answer{Outcome: Conflict, Revision: held.Revision, Detail: detail}, true
+			o.Kind, o.Name, stored.Revision, stored.Author, stored.ChangeId, change.Base,
+			intent.Difference(stored.Object.Body, o.Body))
+		return Answer{Outcome: Conflict, Revision: stored.Revision, Detail: detail}, true
 	}
 	return Answer{}, false
 }
@@ -320,8 +321,8 @@
 	for _, o := range change.Objects {
 		key := objectKey{o.Kind, o.Name}
 		before := &wire.Object{Kind: o.Kind, Name: o.Name, Remove: true}
-		if held := s.objects[key]; held != nil {
-			before = held.Object
+		if previous := s.objects[key]; previous != nil {
+			before = previous.Object
 		}
 		entry.Before = append(entry.Before, before)
 		if o.Remove {
--- a/internal/control/state_test.go
+++ b/internal/control/state_test.go
@@ -68,10 +68,10 @@
 	s := newStateWithService(t, 3)
 	base := s.Revision()
 	g.Expect(apply(t, s, change("a", base, object("service", "booking", serviceBody(4, "")))).Outcome).To(gomega.Equal(Accepted))
-	lost := apply(t, s, change("b", base, object("service", "booking", serviceBody(5, ""))))
-	g.Expect(lost.Outcome).To(gomega.Equal(Conflict))
-	g.Expect(lost.Detail).To(gomega.ContainSubstring("amina"))
-	g.Expect(lost.Detail).To(gomega.ContainSubstring("endpoints[4]"))
+	rejected := apply(t, s, change("b", base, object("service", "booking", serviceBody(5, ""))))
+	g.Expect(rejected.Outcome).To(gomega.Equal(Conflict))
+	g.Expect(rejected.Detail).To(gomega.ContainSubstring("amina"))
+	g.Expect(rejected.Detail).To(gomega.ContainSubstring("endpoints[4]"))
 	g.Expect(apply(t, s, change("a", base, object("service", "booking", serviceBody(4, "")))).Outcome).To(gomega.Equal(AlreadyAccepted))
 }
 
@@ -122,24 +122,24 @@
 // all commands.
 func TestSnapshotEqualsReplay(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		whole := newStateWithService(rt, 4)
-		other := newStateWithService(rt, 4)
+		replayed := newStateWithService(rt, 4)
+		restored := newStateWithService(rt, 4)
 		for i := range rapid.IntRange(1, 25).Draw(rt, "commands") {
-			c := drawCommand(rt, i, whole)
-			apply(rt, whole, c)
-			apply(rt, other, c)
+			c := drawCommand(rt, i, replayed)
+			apply(rt, replayed, c)
+			apply(rt, restored, c)
 			if rapid.Bool().Draw(rt, "restore") {
-				data, err := other.Snapshot()
+				data, err := restored.Snapshot()
 				if err != nil {
 					rt.Fatal(err)
 				}
-				if other, err = Restore(data); err != nil {
+				if restored, err = Restore(data); err != nil {
 					rt.Fatal(err)
 				}
 			}
 		}
-		a, errA := whole.Snapshot()
-		b, errB := other.Snapshot()
+		a, errA := replayed.Snapshot()
+		b, errB := restored.Snapshot()
 		if errA != nil || errB != nil || string(a) != string(b) {
 			rt.Fatalf("snapshots differ: %v %v", errA, errB)
 		}
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -1,9 +1,9 @@
-// Package directory is the state of a control instance in a fleet whose
-// network fabric carries tags. The replicated log holds the routing document,
-// of which the highest version wins, the evacuated failure domains, for which
-// the last order wins, and the voting control instances. The package does no
-// I/O: the caller passes in messages, orders and the time, and gets back what
-// to persist, send and answer, in that order.
+// Package directory keeps the state of a control instance in a fleet whose
+// network fabric carries a tag with each flow. The replicated log holds the
+// routing document, of which the highest version wins, the evacuated failure
+// domains, for which the last order wins, and the voting control instances. The
+// package does no I/O: the caller passes in messages, orders and the time, and
+// gets back what to persist, send and answer, in that order.
 package directory
 
 import (
@@ -19,19 +19,18 @@
 )
 
 // Timing of the replicated log. A follower starts an election between one and
-// two leases after its leader's last append, so a failed leader is replaced
-// within about a second. Six heartbeats per lease tolerate single lost messages
-// and syncs of 200 ms.
+// two leases, plus one heartbeat, after its leader's last append. A lease spans
+// several heartbeats, to tolerate lost messages and slow syncs.
 const (
 	Heartbeat = 75 * time.Millisecond
 	Lease     = 450 * time.Millisecond
-	Drift     = 30 * time.Millisecond
+	Drift     = 30 * time.Millisecond // maximum clock drift over one lease
 )
 
 type (
 	// Config identifies a control instance.
 	Config struct {
-		Self    string // id, stored on its disk
+		Self    string // instance id, stored on its disk
 		Address string // for other control instances, IP:port
 		Front   string // for operators and endpoints, IP:port
 		Domain  string // failure domain
@@ -56,7 +55,8 @@
 		Done, Lost []uint64
 	}
 
-	// Status is an instance's own view of the fleet.
+	// Status is an instance's own view of the fleet. Current and Confirmed are
+	// the results of the methods of replica.Replica with these names.
 	Status struct {
 		Self, Role, Leader    string
 		Term, Commit, Version uint64
--- a/internal/directory/evacuation_test.go
+++ b/internal/directory/evacuation_test.go
@@ -66,12 +66,12 @@
 	f.domainsByRevision[set.Revision()] = domains
 }
 
-// checkAcknowledgedOrders asserts that an instance with a current state holds
-// the acknowledged orders.
+// checkAcknowledgedOrders asserts that the evacuations of an instance, whose
+// state must be current, reflect the acknowledged orders.
 func (f *fleet) checkAcknowledgedOrders(inst *instance) {
-	for _, e := range f.operators {
-		if e.pending == nil && e.acknowledged != nil {
-			Expect(inst.d.Evacuations().Reflects(*e.acknowledged)).To(BeTrue(), "seed %d: %s does not hold %s", f.seed, inst.id, e.acknowledged)
+	for _, op := range f.operators {
+		if op.pending == nil && op.acknowledged != nil {
+			Expect(inst.d.Evacuations().Reflects(*op.acknowledged)).To(BeTrue(), "seed %d: the evacuations of %s do not reflect: %s", f.seed, inst.id, op.acknowledged)
 		}
 	}
 }
@@ -148,7 +148,7 @@
 		Expect(again.Document().Version()).To(Equal(uint64(7)))
 	})
 
-	It("do not prevent reading a log written before they were introduced", func() {
+	It("do not prevent reading a log written before they were supported", func() {
 		doc, faults := document.New(document.Config{Version: 9, Source: []byte("{}")})
 		Expect(faults).To(BeEmpty())
 		unwrapped, err := proto.Marshal(doc.Message())
@@ -182,15 +182,15 @@
 		}
 		for _, inst := range f.instances {
 			if inst.domain != leader.domain {
-				for _, cut := range []*instance{leader, follower} {
-					f.blockedLinks[[2]string{inst.address, cut.address}], f.blockedLinks[[2]string{cut.address, inst.address}] = true, true
+				for _, isolated := range []*instance{leader, follower} {
+					f.blockedLinks[[2]string{inst.address, isolated.address}], f.blockedLinks[[2]string{isolated.address, inst.address}] = true, true
 				}
 			}
 		}
 		for range (Lease + time.Second) / testStep {
 			f.step()
 		}
-		Expect(follower.d.Leader()).To(Equal(leader.id), "the follower still hears it")
+		Expect(follower.d.Leader()).To(Equal(leader.id), "the follower still receives its appends")
 		for _, inst := range []*instance{leader, follower} {
 			Expect(inst.d.Roster(f.now).Leads).To(BeFalse(), inst.id)
 		}
--- a/internal/directory/fleet_test.go
+++ b/internal/directory/fleet_test.go
@@ -278,10 +278,10 @@
 			continue
 		}
 		roster := inst.d.Roster(f.now)
-		called := map[string]bool{inst.address: true}
+		contacted := map[string]bool{inst.address: true}
 		for _, address := range append(inst.d.Addresses(), f.instances[0].address, f.instances[1].address, f.instances[2].address) {
-			if !called[address] {
-				called[address] = true
+			if !contacted[address] {
+				contacted[address] = true
 				f.send(delivery{from: inst.address, to: address, roster: roster})
 			}
 		}
--- a/internal/directory/state.go
+++ b/internal/directory/state.go
@@ -50,8 +50,8 @@
 	}
 }
 
-// applyBareDocument applies a document without the enclosing message, as logs
-// and snapshots held it before evacuations were introduced.
+// applyBareDocument applies a document without the enclosing message, which is
+// the format of logs and snapshots written before evacuations were supported.
 func (d *Directory) applyBareDocument(encoded []byte) error {
 	m := &wire.Document{}
 	if err := proto.Unmarshal(encoded, m); err != nil {
--- a/internal/document/delta.go
+++ b/internal/document/delta.go
@@ -9,9 +9,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Frame returns the document as it is sent to an entry: the difference from the
-// base that the entry holds, or all of it if base is nil. The source is left out,
-// since entries do not use it.
+// Frame returns the message that sends the document to an entry: the difference
+// from base, which the entry already has, or the whole document if base is nil. The
+// source is left out, since entries do not use it.
 func (d *Document) Frame(base *Document, confirmed bool) *wire.DocumentFrame {
 	whole := d.message
 	m := &wire.Document{Version: whole.Version, Services: whole.Services, IdleNanos: whole.IdleNanos}
@@ -45,8 +45,9 @@
 	return routes
 }
 
-// FromFrame applies a frame to base, the document that the entry holds, which may
-// be nil. A frame made for another base returns an error of kind Conflict.
+// FromFrame returns the document that a frame describes, given the entry's current
+// one, which may be nil. It returns an error of kind Conflict if the frame was made
+// for another base.
 func FromFrame(base *Document, f *wire.DocumentFrame) (*Document, error) {
 	if f.Base == 0 {
 		return FromMessage(f.Document)
--- a/internal/document/delta_test.go
+++ b/internal/document/delta_test.go
@@ -41,14 +41,14 @@
 		}
 	})
 
-	It("contains the whole document for an entry that holds none", func() {
+	It("contains the whole document for an entry that has none", func() {
 		next := random(rand.New(rand.NewPCG(1, 1)), 5)
 		got, err := FromFrame(nil, next.Frame(nil, true))
 		Expect(err).NotTo(HaveOccurred())
 		Expect(got.Routes()).To(Equal(next.Routes()))
 	})
 
-	It("is rejected by an entry that holds another base", func() {
+	It("is rejected by an entry that has another base", func() {
 		rng := rand.New(rand.NewPCG(1, 1))
 		base, next, other := random(rng, 5), random(rng, 7), random(rng, 6)
 		frame := next.Frame(base, true)
@@ -59,7 +59,7 @@
 	})
 
 	It("costs linear work in the number of routes, even if all differ", func() {
-		of := func(routes int, timeout time.Duration) *Document {
+		withRoutes := func(routes int, timeout time.Duration) *Document {
 			c := Config{Version: uint64(timeout), Services: []Service{{Name: "booking"}}}
 			for n := range routes {
 				c.Routes = append(c.Routes, Route{
@@ -70,7 +70,7 @@
 			Expect(faults).To(BeEmpty())
 			return d
 		}
-		base, next := of(2000, time.Second), of(2000, 2*time.Second)
+		base, next := withRoutes(2000, time.Second), withRoutes(2000, 2*time.Second)
 		Expect(testing.AllocsPerRun(1, func() { next.Frame(base, true) })).To(BeNumerically("<", 10*2000))
 	})
 
--- a/internal/document/document.go
+++ b/internal/document/document.go
@@ -1,6 +1,5 @@
-// Package document holds a versioned configuration: routes, the services they
-// lead to, and limits. The document with the highest version is in force. A
-// Document is immutable.
+// Package document defines a versioned configuration: routes, their services and
+// limits. The document with the highest version is in force. A Document is immutable.
 package document
 
 import (
@@ -20,7 +19,7 @@
 		Weight  uint32
 	}
 
-	// Route maps one address to the services that new flows to it go to.
+	// Route maps one address to the services that receive its new flows.
 	Route struct {
 		Name          string
 		Addr          netip.AddrPort
@@ -47,7 +46,7 @@
 		Routes      []Route
 		Services    []Service
 		IdleTimeout time.Duration // idle time after which a flow may be dropped
-		Source      []byte        // the text that the operator sent, returned when it is read back
+		Source      []byte        // the text that the operator sent, returned to readers of the document
 	}
 
 	// Document is a validated configuration.
@@ -82,7 +81,7 @@
 // Source returns the text that the operator sent.
 func (d *Document) Source() []byte { return d.config.Source }
 
-// check describes every fault of a configuration with its location.
+// check describes every fault of a configuration, with its location.
 func check(c Config) []string {
 	var faults []string
 	services := map[string]bool{}
--- a/internal/evacuation/evacuation.go
+++ b/internal/evacuation/evacuation.go
@@ -1,5 +1,5 @@
-// Package evacuation tracks which failure domains are evacuated: nothing further is
-// sent to their endpoints until an operator ends the evacuation. A Set is immutable,
+// Package evacuation tracks which failure domains are evacuated: their endpoints
+// receive no further traffic until an operator ends the evacuation. A Set is immutable,
 // and the set with the higher revision is in force.
 package evacuation
 
--- a/internal/evacuation/evacuation_test.go
+++ b/internal/evacuation/evacuation_test.go
@@ -28,10 +28,10 @@
 
 // orders draws random orders about three failure domains.
 func orders(t *rapid.T) []Order {
-	one := rapid.Custom(func(t *rapid.T) Order {
+	order := rapid.Custom(func(t *rapid.T) Order {
 		return Order{Domain: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "domain"), Undo: rapid.Bool().Draw(t, "undo")}
 	})
-	return rapid.SliceOfN(one, 0, 12).Draw(t, "orders")
+	return rapid.SliceOfN(order, 0, 12).Draw(t, "orders")
 }
 
 var _ = Describe("the set of evacuated failure domains", func() {
--- a/internal/health/health.go
+++ b/internal/health/health.go
@@ -40,8 +40,8 @@
 	checker struct {
 		at     time.Time
 		last   Report
-		streak int // consecutive reports that contradict down
-		down   bool
+		streak int  // latest consecutive reports that contradict down
+		down   bool // whether the checker considers the endpoint down
 	}
 
 	endpoint struct {
@@ -75,7 +75,8 @@
 	return &Assessor{config: c, endpoints: map[uint32]*endpoint{}, started: now, panicking: map[uint32]bool{}}
 }
 
-// AddReport records a report and updates the checker's verdict on the endpoint.
+// AddReport records a report of the checker named source, and updates the checker's
+// verdict on the endpoint.
 func (a *Assessor) AddReport(now time.Time, source string, r Report) {
 	e := a.endpoint(now, r.Endpoint)
 	c := e.checkers[source]
@@ -98,13 +99,14 @@
 	}
 }
 
-// RemoveChecker drops the reports of a checker that no longer exists.
+// RemoveChecker drops the reports of the checker named source.
 func (a *Assessor) RemoveChecker(source string) {
 	for _, e := range a.endpoints {
 		delete(e.checkers, source)
 	}
 }
 
+// endpoint returns the state of an endpoint, adding it if it is new.
 func (a *Assessor) endpoint(now time.Time, id uint32) *endpoint {
 	e := a.endpoints[id]
 	if e == nil {
@@ -203,6 +205,8 @@
 	return median(loads)
 }
 
+// share returns the share of an endpoint before health is taken into account.
+// Changes within the hysteresis are ignored.
 func (a *Assessor) share(now time.Time, s *route.Service, e *route.Endpoint, medianLoad float64) float64 {
 	state := a.endpoint(now, e.ID())
 	load, known := a.load(now, e.ID())
--- a/internal/health/health_test.go
+++ b/internal/health/health_test.go
@@ -22,7 +22,7 @@
 	return t.Service(1), t.EndpointsOf(1)
 }
 
-func takeFromBoth(a *Assessor, now time.Time, count int, r Report) {
+func reportFromBoth(a *Assessor, now time.Time, count int, r Report) {
 	for range count {
 		a.AddReport(now, "one", r)
 		a.AddReport(now, "two", r)
@@ -41,13 +41,13 @@
 	g := gomega.NewWithT(t)
 	s, endpoints := newService(4, 0)
 	a := New(DefaultConfig(), start)
-	takeFromBoth(a, start, 1, Report{Endpoint: 1})
+	reportFromBoth(a, start, 1, Report{Endpoint: 1})
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeNumerically(">", 0))
-	takeFromBoth(a, start, 3, Report{Endpoint: 1})
+	reportFromBoth(a, start, 3, Report{Endpoint: 1})
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeZero())
-	takeFromBoth(a, start, 1, Report{Endpoint: 1, Healthy: true})
+	reportFromBoth(a, start, 1, Report{Endpoint: 1, Healthy: true})
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeZero(), "a single good report does not mark it up")
-	takeFromBoth(a, start, 2, Report{Endpoint: 1, Healthy: true})
+	reportFromBoth(a, start, 2, Report{Endpoint: 1, Healthy: true})
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeNumerically(">", 0))
 }
 
@@ -60,7 +60,7 @@
 		a.AddReport(start, "two", Report{Endpoint: 1, Healthy: true})
 	}
 	g.Expect(shares(a.Weights(start, s, endpoints))[0]).To(gomega.BeNumerically(">", 0), "half of the checkers is no majority")
-	takeFromBoth(a, start, 5, Report{Endpoint: 2})
+	reportFromBoth(a, start, 5, Report{Endpoint: 2})
 	later := start.Add(time.Minute)
 	g.Expect(shares(a.Weights(later, s, endpoints))[1]).To(gomega.BeNumerically(">", 0), "stale reports are ignored")
 }
@@ -70,7 +70,7 @@
 	s, endpoints := newService(4, 0)
 	a := New(DefaultConfig(), start)
 	for id := range uint32(3) {
-		takeFromBoth(a, start, 5, Report{Endpoint: id + 1})
+		reportFromBoth(a, start, 5, Report{Endpoint: id + 1})
 	}
 	for _, share := range shares(a.Weights(start, s, endpoints)) {
 		g.Expect(share).To(gomega.BeNumerically(">", 0))
@@ -91,7 +91,7 @@
 			if id == 0 {
 				connections = 0 // falsely reports that it is idle
 			}
-			takeFromBoth(a, now, 1, Report{Endpoint: id + 1, Healthy: true, Connections: connections})
+			reportFromBoth(a, now, 1, Report{Endpoint: id + 1, Healthy: true, Connections: connections})
 		}
 		last = shares(a.Weights(now, s, endpoints))
 	}
@@ -108,6 +108,6 @@
 	g.Expect(first[1]).To(gomega.BeNumerically("<", 0.3*first[0]))
 	ramped := shares(a.Weights(later.Add(time.Minute), s, endpoints))
 	g.Expect(ramped[1]).To(gomega.Equal(ramped[0]))
-	takeFromBoth(a, later.Add(time.Minute), 1, Report{Endpoint: 2, Healthy: true, Connections: 1000})
+	reportFromBoth(a, later.Add(time.Minute), 1, Report{Endpoint: 2, Healthy: true, Connections: 1000})
 	g.Expect(shares(a.Weights(later.Add(time.Minute), s, endpoints))[1]).To(gomega.BeZero())
 }
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -17,8 +17,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// maxSteps limits the tables kept for a reader that skipped some of them.
-const maxSteps = 32
+// maxMembershipTables limits the tables kept for a reader that skipped some.
+const maxMembershipTables = 32
 
 type (
 	// Config identifies the entry.
@@ -31,21 +31,21 @@
 
 	// Core is the control state of an entry. It is not safe for concurrent use.
 	Core struct {
-		config      Config
-		state       *control.State
-		peers       *peer.Tracker
-		term        uint64
-		leader      string
-		active      uint64
-		leaseUntil  time.Time
-		confirmed   time.Time
-		stopping    bool
-		leavingAt   uint64 // index at which the entry was first seen as leaving
-		download    download
-		steps       []*route.Table
-		stopped     bool
-		firstViewAt time.Time
-		view        *flow.View
+		config           Config
+		state            *control.State
+		peers            *peer.Tracker
+		term             uint64
+		leader           string
+		active           uint64
+		leaseUntil       time.Time
+		confirmed        time.Time
+		stopping         bool
+		leavingAt        uint64 // index at which the entry was first seen as leaving
+		download         download
+		membershipTables []*route.Table
+		stopped          bool
+		firstViewAt      time.Time
+		view             *flow.View
 	}
 
 	// download is a partially received snapshot.
@@ -91,9 +91,9 @@
 // HasStopped reports whether the handover was marked as complete.
 func (c *Core) HasStopped() bool { return c.stopped }
 
-// Steps returns the latest tables with a changed list of entry instances,
-// oldest first.
-func (c *Core) Steps() []*route.Table { return c.steps }
+// MembershipTables returns the latest tables with a changed list of entry
+// instances, oldest first.
+func (c *Core) MembershipTables() []*route.Table { return c.membershipTables }
 
 // Leaving reports whether the state lists this entry as leaving.
 func (c *Core) Leaving() bool {
@@ -102,16 +102,16 @@
 }
 
 // MayStop reports whether the process may exit in a planned stop: since the
-// entry was listed as leaving, it has counted all its flows once and no push
-// to the holders is unconfirmed.
-func (c *Core) MayStop(count flow.SweepResult, backlog uint64) bool {
+// entry was listed as leaving, a sweep has covered all its flows, and no push of
+// flow records to other entries is pending.
+func (c *Core) MayStop(sweep flow.SweepResult, backlog uint64) bool {
 	if !c.stopping || !c.Leaving() {
 		return false
 	}
 	if c.leavingAt == 0 {
 		c.leavingAt = c.state.Index()
 	}
-	return count.Index >= c.leavingAt && backlog == 0
+	return sweep.Index >= c.leavingAt && backlog == 0
 }
 
 // Listed reports whether the state lists this incarnation of the entry.
@@ -121,13 +121,13 @@
 }
 
 // NextHeartbeat builds the next heartbeat request.
-func (c *Core) NextHeartbeat(count flow.SweepResult, loads []*wire.EndpointLoad) *wire.BeatRequest {
+func (c *Core) NextHeartbeat(sweep flow.SweepResult, loads []*wire.EndpointLoad) *wire.BeatRequest {
 	r := &wire.BeatRequest{
 		Name: c.config.Name, Domain: c.config.Domain, Incarnation: c.config.Incarnation,
 		Applied: c.state.Index(), Checksum: c.state.Checksum(), Active: c.active, Stopping: c.stopping, Stopped: c.stopped,
-		CountedIndex: count.Index, Loads: loads, ChunkIndex: c.download.index, ChunkOffset: uint64(len(c.download.data)),
+		CountedIndex: sweep.Index, Loads: loads, ChunkIndex: c.download.index, ChunkOffset: uint64(len(c.download.data)),
 	}
-	for _, row := range count.Buckets {
+	for _, row := range sweep.Buckets {
 		r.Counts = append(r.Counts, &wire.BucketCount{Service: row.Service, Bucket: row.Bucket, Flows: row.Flows, Pending: row.Pending})
 	}
 	return r
@@ -184,8 +184,8 @@
 	if slices.Equal(before, c.state.Table().Members()) {
 		return
 	}
-	steps := c.steps[max(0, len(c.steps)-maxSteps+1):]
-	c.steps = append(slices.Clone(steps), c.state.Table())
+	kept := c.membershipTables[max(0, len(c.membershipTables)-maxMembershipTables+1):]
+	c.membershipTables = append(slices.Clone(kept), c.state.Table())
 }
 
 func (c *Core) addSnapshotChunk(s *wire.Snapshot) error {
@@ -225,10 +225,10 @@
 	lease := c.leaseUntil
 	reachable := c.peers.Reachable(now, table)
 	if now.Sub(c.firstViewAt) < c.config.Peers.HeardFor && len(reachable)+1 < len(table.Members()) {
-		lease = time.Time{} // without known peers its flow records would not be replicated
+		lease = time.Time{} // peers that are not known yet cannot receive flow records
 	}
 	next := &flow.View{
-		Table: table, MembershipTables: c.steps, Active: c.active, LeaseUntil: lease,
+		Table: table, MembershipTables: c.membershipTables, Active: c.active, LeaseUntil: lease,
 		Isolated:         c.peers.Island(now, c.leaseUntil, table),
 		Reachable:        reachable,
 		Leased:           c.peers.Leased(now, table),
--- a/internal/outlier/outlier.go
+++ b/internal/outlier/outlier.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// Window is how long a report counts. It is three times the longest wait of a
-	// request of a busy service.
+	// Window is how long a report counts. It exceeds the longest wait of a request to a
+	// busy service, so that the reports of several entries fall into one window.
 	Window = 3 * time.Second
 	// minReporters is how many entries must report an endpoint within the window. A
-	// single report may stem from a lost packet, a long request or a faulty entry. With
-	// fewer entries in a failure domain no endpoint is ejected.
+	// single report may stem from a lost packet, a long request or a faulty entry. A
+	// failure domain with fewer entries ejects no endpoint.
 	minReporters = 3
-	// maxTracked bounds the endpoints with recent reports: a tenth of the largest fleet.
-	// Further ones are ignored until others expire.
+	// maxTracked bounds the endpoints with recent reports. Further ones are ignored until
+	// others expire.
 	maxTracked = 5500
 )
 
@@ -42,8 +42,8 @@
 func New() *Tracker { return &Tracker{reports: map[string][]report{}} }
 
 // Report records that an endpoint failed a request of an entry, and reports whether
-// new flows should now avoid the endpoint. Its reports are then cleared, so the next
-// verdict needs as many again.
+// the endpoint is to be ejected, so that new flows avoid it. Its reports are then
+// cleared, so the next ejection needs as many again.
 func (t *Tracker) Report(now time.Time, endpoint, entry string) bool {
 	t.prune(now)
 	if _, known := t.reports[endpoint]; !known && len(t.reports) >= maxTracked {
--- a/internal/outlier/outlier_test.go
+++ b/internal/outlier/outlier_test.go
@@ -35,7 +35,7 @@
 		Expect(t.reports["i-1"]).To(HaveLen(1))
 	})
 
-	It("never ejects an endpoint for isolated reports, as lost packets and long requests cause", func() {
+	It("never ejects an endpoint for isolated reports, such as lost packets and long requests cause", func() {
 		for n := range 100 {
 			Expect(t.Report(start.Add(time.Duration(n)*2*time.Second), "i-1", fmt.Sprint("e", n))).To(BeFalse())
 		}
--- a/internal/registry/address.go
+++ b/internal/registry/address.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// pauseThreshold is the longest interval between two sweeps that is not taken for a
-// pause of this process, in which heartbeats may have been missed.
+// pauseThreshold is the interval between two sweeps above which this process counts
+// as paused, and may have missed heartbeats.
 const pauseThreshold = time.Second
 
 // An address is reused only after its endpoint has ended, so at most one of the
@@ -57,8 +57,8 @@
 }
 
 // losesConflict reports whether new flows avoid a record because of an address
-// conflict: the incumbent until it is heard again, and a newcomer that has not been
-// heard again once a rival has.
+// conflict: the incumbent until its next heartbeat, and a newcomer if a rival has sent
+// a heartbeat since the conflict began and it has not.
 func (r *Registry) losesConflict(rec *record) bool {
 	if rec.conflictSince.IsZero() || rec.heardSinceConflict {
 		return false
--- a/internal/registry/address_test.go
+++ b/internal/registry/address_test.go
@@ -23,9 +23,9 @@
 
 // peers is two control instances that exchange their reports.
 type peers struct {
-	now        time.Time
-	registries [2]*Registry
-	exchanged  [2]uint64
+	now          time.Time
+	registries   [2]*Registry
+	exchangedRev [2]uint64 // revision up to which each has sent its reports
 }
 
 func newPeers() *peers {
@@ -42,8 +42,8 @@
 			}
 		}
 		for i, r := range p.registries {
-			reports := r.PeerChanges(p.now, p.exchanged[i])
-			p.exchanged[i] = reports.Number
+			reports := r.PeerChanges(p.now, p.exchangedRev[i])
+			p.exchangedRev[i] = reports.Number
 			p.registries[1-i].Merge(p.now, reports)
 		}
 		for _, r := range p.registries {
@@ -79,7 +79,7 @@
 	return all
 }
 
-var _ = Describe("two incarnations at one address", func() {
+var _ = Describe("a Registry with two incarnations at one address", func() {
 	yes, no := []bool{true, true}, []bool{false, false}
 
 	It("keeps the live one despite a delayed heartbeat of the other", func() {
@@ -105,7 +105,7 @@
 		Expect(p.silent("new")).To(Equal(no))
 	})
 
-	It("diverts new flows to the one that goes on, without marking either as gone", func() {
+	It("diverts new flows to the one that still sends heartbeats, without marking either as gone", func() {
 		p := newPeers()
 		due := append(heartbeats("old", start, start.Add(4*heartbeatPeriod), nil), heartbeats("new", start.Add(7*heartbeatPeriod), start.Add(time.Minute), nil)...)
 		p.runUntil(start.Add(14*heartbeatPeriod), due, func() {})
--- a/internal/registry/incarnation.go
+++ b/internal/registry/incarnation.go
@@ -25,9 +25,9 @@
 }
 
 // parseIncarnation splits the id of an incarnation into the shared id and the start
-// time, which is 0 if there is none.
-func parseIncarnation(id string) (name string, born int64) {
-	name, text, found := strings.Cut(id, incarnationSeparator)
+// time, which is 0 if the id has none.
+func parseIncarnation(id string) (sharedID string, born int64) {
+	sharedID, text, found := strings.Cut(id, incarnationSeparator)
 	if !found {
 		return id, 0
 	}
@@ -35,38 +35,38 @@
 	if err != nil {
 		return id, 0
 	}
-	return name, born
+	return sharedID, born
 }
 
 // supersede handles the first message of an incarnation. It marks an older
-// incarnation with the same shared id as gone. If a newer one is known it returns
-// that one, and the incarnation with the given id is the one that has ended.
+// incarnation with the same shared id as gone. If a newer one is known, the given
+// incarnation has already ended, and supersede only returns the newer one.
 func (r *Registry) supersede(now time.Time, id string) (later *record) {
-	name, born := parseIncarnation(id)
-	newest := r.newestByName[name]
+	sharedID, born := parseIncarnation(id)
+	newest := r.newestBySharedID[sharedID]
 	if born == 0 || newest == nil {
 		return nil
 	}
-	if _, other := parseIncarnation(newest.endpoint.ID); other > born {
+	if _, newestBorn := parseIncarnation(newest.endpoint.ID); newestBorn > born {
 		return newest
 	}
 	if !newest.endpoint.Gone {
 		r.markGone(now, newest)
-		newest.relayPending = true // peers derive it from the new incarnation
+		newest.relayPending = true // peers derive this from the new incarnation
 	}
 	return nil
 }
 
 // indexNewest updates the index of the newest incarnation of each shared id.
 func (r *Registry) indexNewest(id string, rec *record) {
-	name, born := parseIncarnation(id)
+	sharedID, born := parseIncarnation(id)
 	if born == 0 {
 		return
 	}
-	if newest := r.newestByName[name]; newest != nil {
-		if _, other := parseIncarnation(newest.endpoint.ID); other >= born {
+	if newest := r.newestBySharedID[sharedID]; newest != nil {
+		if _, newestBorn := parseIncarnation(newest.endpoint.ID); newestBorn >= born {
 			return
 		}
 	}
-	r.newestByName[name] = rec
+	r.newestBySharedID[sharedID] = rec
 }
--- a/internal/registry/merge.go
+++ b/internal/registry/merge.go
@@ -33,6 +33,6 @@
 	}
 	e, age := rec.endpoint, time.Duration(b.AgeNanos)
 	e.Sequence = b.Sequence
-	e.Warmup = max(0, e.Warmup-now.Add(-age).Sub(rec.heard))
+	e.Warmup = max(0, e.Warmup-now.Add(-age).Sub(rec.lastHeard))
 	r.apply(now, e, age)
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -43,36 +43,36 @@
 	Config struct {
 		HeartbeatPeriod time.Duration // heartbeat period of endpoints
 		// OnChange is called with each change that entries must learn of, and the time
-		// since the endpoint was last heard; it may be nil.
+		// since the endpoint's last message; it may be nil.
 		OnChange func(e Endpoint, silent bool, age time.Duration)
 	}
 
 	// Registry holds the endpoint records of one control instance. It is not safe
 	// for concurrent use.
 	Registry struct {
-		config       Config
-		started      time.Time
-		records      map[string]*record
-		liveByAddr   map[netip.AddrPort][]*record // records that are not gone
-		changeOrder  *list.List                   // records in order of their last change for entries
-		heardOrder   *list.List                   // records in order of their last heartbeat or change for peers
-		revision     uint64                       // rises with each heartbeat or change
-		lastSweep    time.Time
-		stalled      time.Duration      // total time for which this process was stalled
-		digest       Digest             // of all records
-		relays       bool               // whether changes learned from peers are relayed to other peers
-		newestByName map[string]*record // newest incarnation by shared id
+		config           Config
+		started          time.Time
+		records          map[string]*record
+		liveByAddr       map[netip.AddrPort][]*record // records that are not gone
+		changeOrder      *list.List                   // records in order of their last change for entries
+		heardOrder       *list.List                   // records in order of their last heartbeat or change for peers
+		revision         uint64                       // rises with each heartbeat or change
+		lastSweep        time.Time
+		stalled          time.Duration      // total time for which this process was stalled
+		digest           Digest             // of all records
+		relays           bool               // whether changes learned from peers are relayed to other peers
+		newestBySharedID map[string]*record // newest incarnation by shared id
 	}
 
 	// record is the state of one incarnation. The fields ending in Rev hold the
 	// Registry.revision of the last change of a kind, 0 for none.
 	record struct {
 		endpoint           Endpoint
-		heard              time.Time
-		stalledWhenHeard   time.Duration // Registry.stalled when it was last heard
+		lastHeard          time.Time     // when its last message arrived, here or at a peer
+		stalledWhenHeard   time.Duration // Registry.stalled at lastHeard
 		silent             bool
 		conflictSince      time.Time     // start of the current address conflict, zero for none
-		incumbent          bool          // it held the address before the conflict
+		incumbent          bool          // it had the address before the conflict
 		heardSinceConflict bool          // a newer heartbeat arrived since conflictSince
 		sum                uint64        // its checksum in Registry.digest, 0 if not yet included
 		changeRev          uint64        // any change that entries must learn of
@@ -90,14 +90,14 @@
 func New(c Config, now time.Time) *Registry {
 	return &Registry{
 		config: c, started: now, lastSweep: now, records: map[string]*record{}, liveByAddr: map[netip.AddrPort][]*record{},
-		changeOrder: list.New(), heardOrder: list.New(), relays: true, newestByName: map[string]*record{},
+		changeOrder: list.New(), heardOrder: list.New(), relays: true, newestBySharedID: map[string]*record{},
 	}
 }
 
 // SetRelay sets whether this registry relays changes learned from peers to other
 // peers. Relaying among all instances would cost traffic quadratic in their number.
 // It suffices that voters relay: a change is acknowledged only once a majority of
-// them holds it, and the leader hears from at least one of these.
+// them has it, and the leader receives reports from at least one of these.
 func (r *Registry) SetRelay(relays bool) {
 	if r.relays = relays; !relays {
 		return
@@ -118,7 +118,7 @@
 	switch {
 	case applied:
 		r.markForPeers(rec, false)
-	case rec != nil && rec.relayPending: // the peer that reported it may have told nobody else
+	case rec != nil && rec.relayPending: // the peer that reported it may not have reached the others
 		revision = r.resendFull(rec)
 	}
 	return revision, applied
@@ -154,8 +154,8 @@
 		rec.viewRev = r.revision
 	}
 	rec.endpoint = e
-	if heard := now.Add(-age); heard.After(rec.heard) {
-		rec.heard, rec.stalledWhenHeard = heard, r.stalled
+	if heard := now.Add(-age); heard.After(rec.lastHeard) {
+		rec.lastHeard, rec.stalledWhenHeard = heard, r.stalled
 	}
 	r.claimAddr(now, rec)
 	if changed {
@@ -179,7 +179,7 @@
 
 // isCold reports whether the announced warm-up is still under way.
 func (rec *record) isCold(now time.Time) bool {
-	return rec.endpoint.Warmup > 0 && now.Sub(rec.heard) < rec.endpoint.Warmup
+	return rec.endpoint.Warmup > 0 && now.Sub(rec.lastHeard) < rec.endpoint.Warmup
 }
 
 // differsForEntries reports whether two states differ in fields that entries must
@@ -243,7 +243,7 @@
 	}
 	r.digest.Toggle(rec.endpoint.ID, rec.sum)
 	if r.config.OnChange != nil {
-		r.config.OnChange(rec.endpoint, rec.silent, now.Sub(rec.heard))
+		r.config.OnChange(rec.endpoint, rec.silent, now.Sub(rec.lastHeard))
 	}
 }
 
@@ -251,9 +251,10 @@
 // change. If incarnations share the id, the message does not name one of them, and
 // is taken for the newest one's only if that announced that it is leaving. Otherwise
 // it may be a delayed message of an earlier incarnation and must not reset the newest
-// one's flows; an incarnation whose leaving was never heard becomes silent instead.
+// one's flows; an incarnation whose leaving heartbeat never arrived becomes silent
+// instead.
 func (r *Registry) Leave(now time.Time, id string) uint64 {
-	if newest := r.newestByName[id]; newest != nil {
+	if newest := r.newestBySharedID[id]; newest != nil {
 		if !newest.endpoint.Leaving {
 			return max(newest.changeRev, newest.peerRev)
 		}
@@ -274,12 +275,12 @@
 		e.Gone = false
 		r.supersede(now, e.ID)
 		r.revision++
-		rec = &record{endpoint: e, heard: now}
+		rec = &record{endpoint: e, lastHeard: now}
 		r.records[e.ID] = rec
 		r.indexNewest(e.ID, rec)
 	}
 	if !rec.endpoint.Gone {
-		rec.heard = now
+		rec.lastHeard = now
 		r.markGone(now, rec)
 		r.relayToPeers(rec)
 	}
@@ -290,7 +291,7 @@
 func (r *Registry) Sweep(now time.Time) {
 	r.restartConflictsAfterPause(now)
 	for id, rec := range r.records {
-		if now.Sub(rec.heard) > forgetAfterPeriods*r.config.HeartbeatPeriod {
+		if now.Sub(rec.lastHeard) > forgetAfterPeriods*r.config.HeartbeatPeriod {
 			r.remove(id, rec)
 			continue
 		}
@@ -305,7 +306,7 @@
 // avoided reports whether new flows avoid an endpoint because its heartbeats are
 // missing or it loses an address conflict.
 func (r *Registry) avoided(now time.Time, rec *record) bool {
-	missing := now.Sub(rec.heard) - (r.stalled - rec.stalledWhenHeard)
+	missing := now.Sub(rec.lastHeard) - (r.stalled - rec.stalledWhenHeard)
 	return !rec.endpoint.Gone && (missing > r.periods(silentAfterPeriods) || r.losesConflict(rec))
 }
 
@@ -323,8 +324,8 @@
 	if rec.heardElem != nil {
 		r.heardOrder.Remove(rec.heardElem)
 	}
-	if name, _ := parseIncarnation(id); r.newestByName[name] == rec {
-		delete(r.newestByName, name)
+	if sharedID, _ := parseIncarnation(id); r.newestBySharedID[sharedID] == rec {
+		delete(r.newestBySharedID, sharedID)
 	}
 }
 
@@ -332,8 +333,8 @@
 func (r *Registry) Digest() Digest { return r.digest }
 
 // AddStall records that this process was stalled for a time. The time does not count
-// towards the silence of endpoints, because heartbeats were queued or went elsewhere
-// meanwhile.
+// towards the silence of endpoints, because their heartbeats were queued or sent to
+// other control instances meanwhile.
 func (r *Registry) AddStall(span time.Duration) { r.stalled += span }
 
 // Complete reports whether every endpoint has had time to send a heartbeat since the
--- a/internal/registry/registry_test.go
+++ b/internal/registry/registry_test.go
@@ -100,7 +100,7 @@
 		Expect(again.Endpoints).To(BeEmpty(), "nothing else has changed")
 	})
 
-	It("removes records not heard of for the longest life of a flow", func() {
+	It("removes records without a heartbeat for longer than any flow lives", func() {
 		r.Heartbeat(start, endpoint("a", 1, nil))
 		r.Leave(start, "a")
 		r.Sweep(start.Add((forgetAfterPeriods + 1) * heartbeatPeriod))
--- a/internal/registry/reports.go
+++ b/internal/registry/reports.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		out.Beats = append(out.Beats, &wire.Beat{
-			Id: rec.endpoint.ID, Sequence: rec.endpoint.Sequence, AgeNanos: int64(now.Sub(rec.heard)),
+			Id: rec.endpoint.ID, Sequence: rec.endpoint.Sequence, AgeNanos: int64(now.Sub(rec.lastHeard)),
 		})
 	}
 	return out
@@ -154,7 +154,7 @@
 
 // toMessage returns the wire form of a record, with durations relative to now.
 func toMessage(now time.Time, rec *record) *wire.EndpointReport {
-	e, age := rec.endpoint, now.Sub(rec.heard)
+	e, age := rec.endpoint, now.Sub(rec.lastHeard)
 	return &wire.EndpointReport{
 		Id: e.ID, Number: e.Number, Service: e.Service, Address: e.Addr.String(), Domain: e.Domain, Slots: uint32(e.Slots),
 		Leaving: e.Leaving, Gone: e.Gone, WarmNanos: int64(max(0, e.Warmup-age)), Sequence: e.Sequence,
--- a/internal/replica/append.go
+++ b/internal/replica/append.go
@@ -27,8 +27,8 @@
 	}
 }
 
-// sendAppend sends a follower its next batch of entries, or a snapshot where
-// these entries have been compacted.
+// sendAppend sends a follower its next batch of entries, or a snapshot if these
+// entries have been compacted.
 func (r *Replica) sendAppend(now time.Time, name string) {
 	f := r.followers[name]
 	if f.next <= r.log.snapIndex {
--- a/internal/replica/election.go
+++ b/internal/replica/election.go
@@ -61,8 +61,8 @@
 	r.hardStateChanged = true
 }
 
-// becomeFollower follows a leader, "" where it is unknown, and adopts the term
-// if it is higher.
+// becomeFollower follows a leader, which is "" if unknown, and adopts the term if
+// it is higher.
 func (r *Replica) becomeFollower(now time.Time, term uint64, leader string) {
 	if term > r.hardState.Term {
 		r.setHardState(term, "")
--- a/internal/storage/storage_test.go
+++ b/internal/storage/storage_test.go
@@ -21,7 +21,7 @@
 	return r
 }
 
-func TestTornLastRecordIsCut(t *testing.T) {
+func TestTornLastRecordIsTruncated(t *testing.T) {
 	g := gomega.NewWithT(t)
 	m := storagetest.NewMemory()
 	s, _, err := storage.Open(m.Files())
@@ -80,7 +80,7 @@
 			rt.Fatal(err)
 		}
 		var acked, written, snapshot uint64
-		for range rapid.IntRange(1, 12).Draw(rt, "lives") {
+		for range rapid.IntRange(1, 12).Draw(rt, "restarts") {
 			m.CrashAfter(rapid.IntRange(0, 12).Draw(rt, "steps"))
 			for !m.Crashed() {
 				if rapid.IntRange(0, 4).Draw(rt, "snapshot") == 0 && acked > snapshot {
--- a/internal/storage/storagetest/failing.go
+++ b/internal/storage/storagetest/failing.go
@@ -66,7 +66,6 @@
 	return files, nil
 }
 
-// wrap makes an open wrap fail as the disk does.
 // wrap applies the faults of the disk to an open file.
 func (f *Failing) wrap(file *storage.File, err error) (*storage.File, error) {
 	if err != nil {
