--- a/internal/attachment/attachment.go
+++ b/internal/attachment/attachment.go
@@ -44,9 +44,9 @@
 	return siphash.Hash(rankKey0, rankKey1, []byte(entry+" "+address))
 }
 
-// Links returns how many links an entry needs so that one remains after the
+// RequiredLinks returns how many links an entry needs so that one remains after the
 // given number of instances is lost at once.
-func Links(losses int) int { return max(MinLinks, losses+1) }
+func RequiredLinks(losses int) int { return max(MinLinks, losses+1) }
 
 // Choose returns the addresses to keep links to, in order of preference. It takes
 // instances of the entry's own failure domain, except for at least one link to
--- a/internal/attachment/attachment_test.go
+++ b/internal/attachment/attachment_test.go
@@ -23,7 +23,7 @@
 func newFleet(entries, instances, domains, losses int) fleet {
 	var f fleet
 	for n := range entries {
-		f.entries = append(f.entries, Config{Entry: fmt.Sprint("entry-", n), Domain: fmt.Sprint("d", n%domains), Links: Links(losses)})
+		f.entries = append(f.entries, Config{Entry: fmt.Sprint("entry-", n), Domain: fmt.Sprint("d", n%domains), Links: RequiredLinks(losses)})
 	}
 	for n := range instances {
 		f.candidates = append(f.candidates, Candidate{Address: fmt.Sprintf("10.0.%d.1:7720", n), Domain: fmt.Sprint("d", n%domains)})
@@ -75,7 +75,7 @@
 		ginkgo.Context(fmt.Sprintf("of %d entries to %d instances", size.entries, size.instances), func() {
 			f := newFleet(size.entries, size.instances, size.domains, size.losses)
 			before := f.links(always)
-			total := size.entries * Links(size.losses)
+			total := size.entries * RequiredLinks(size.losses)
 
 			ginkgo.It("survive the configured losses and span two failure domains", func() {
 				domains := map[string]string{}
--- a/internal/node/linkmanager.go
+++ b/internal/node/linkmanager.go
@@ -55,7 +55,7 @@
 
 func newLinkManager(e *Entry) *linkManager {
 	return &linkManager{
-		entry: e, plan: attachment.Config{Entry: e.config.Name, Domain: e.config.Domain, Links: attachment.Links(e.config.ToleratedLosses)},
+		entry: e, plan: attachment.Config{Entry: e.config.Name, Domain: e.config.Domain, Links: attachment.RequiredLinks(e.config.ToleratedLosses)},
 		links: map[string]*managedLink{}, rosters: map[string][]attachment.Candidate{}, failedAt: map[string]time.Time{},
 		loadSlot: make(chan struct{}, 1),
 	}
