--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -10,8 +10,8 @@
 	"oxbowsaddle/internal/work"
 )
 
-// KeepsAlways reports whether a verdict is always recorded. Forwarded packets are
-// only sampled.
+// KeepsAlways reports whether a verdict must always be recorded. Verdicts that forward
+// a packet may be sampled.
 func KeepsAlways(v flow.Verdict) bool {
 	return v.Action() != flow.Forward
 }
