--- a/internal/intent/check.go
+++ b/internal/intent/check.go
@@ -100,10 +100,10 @@
 	names := map[string]bool{}
 	keys := map[route.ServiceKey]bool{}
 	for i, class := range s.Classes {
-		at := fmt.Sprintf("%s class %d %q", place, i+1, class.Name)
-		c.class(at, class, names)
+		path := fmt.Sprintf("%s class %d %q", place, i+1, class.Name)
+		c.class(path, class, names)
 		if other := c.document.serviceByClass[class.key()]; other != name || keys[class.key()] {
-			c.add(at, "address %s is already used by service %s", class.Address, other)
+			c.add(path, "address %s is already used by service %s", class.Address, other)
 		}
 		keys[class.key()] = true
 	}
