--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,4 +1,4 @@
-// Package wire holds the generated messages and services that the processes
-// of the system exchange: drpc calls for control and protobuf datagrams
-// between entries. The source is wire.proto; `make generate` builds the rest.
+// Package wire holds the generated code of the protocols between instances: drpc calls
+// for control, and protobuf datagrams between entries. The sources are wire.proto and
+// directory.proto; `make generate` builds the rest.
 package wire
