--- a/internal/intent/check.go
+++ b/internal/intent/check.go
@@ -48,36 +48,36 @@
 	return c.faults
 }
 
-func (c *checker) add(place, format string, args ...any) {
-	c.faults = append(c.faults, Fault{place, fmt.Sprintf(format, args...)})
+func (c *checker) add(location, format string, args ...any) {
+	c.faults = append(c.faults, Fault{location, fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) template(place string, t Template) {
+func (c *checker) template(location string, t Template) {
 	for _, name := range slices.Sorted(maps.Keys(t.Parameters)) {
 		spec, ok := findSpec(name)
 		if !ok {
-			c.add(place, "unknown parameter %q", name)
+			c.add(location, "unknown parameter %q", name)
 			continue
 		}
 		p := t.Parameters[name]
 		low, high := effectiveBounds(spec, p)
 		if low > high {
-			c.add(place, "%s has min above max", name)
+			c.add(location, "%s has min above max", name)
 		}
 		for _, v := range []*Value{p.Min, p.Max} {
 			if v != nil {
-				c.addIfNotEmpty(place, spec.check(*v, spec.Min, spec.Max))
+				c.addIfNotEmpty(location, spec.check(*v, spec.Min, spec.Max))
 			}
 		}
 		if p.Default != nil {
-			c.addIfNotEmpty(place, spec.check(*p.Default, low, high))
+			c.addIfNotEmpty(location, spec.check(*p.Default, low, high))
 		}
 	}
 }
 
-func (c *checker) addIfNotEmpty(place, text string) {
+func (c *checker) addIfNotEmpty(location, text string) {
 	if text != "" {
-		c.add(place, "%s", text)
+		c.add(location, "%s", text)
 	}
 }
 
@@ -93,14 +93,14 @@
 	return low, high
 }
 
-func (c *checker) service(place, name string, s Service) {
+func (c *checker) service(location, name string, s Service) {
 	if len(s.Classes) == 0 {
-		c.add(place, "has no class")
+		c.add(location, "has no class")
 	}
 	names := map[string]bool{}
 	keys := map[route.ServiceKey]bool{}
 	for i, class := range s.Classes {
-		path := fmt.Sprintf("%s class %d %q", place, i+1, class.Name)
+		path := fmt.Sprintf("%s class %d %q", location, i+1, class.Name)
 		c.class(path, class, names)
 		if other := c.document.serviceByClass[class.key()]; other != name || keys[class.key()] {
 			c.add(path, "address %s is already used by service %s", class.Address, other)
@@ -108,12 +108,12 @@
 		keys[class.key()] = true
 	}
 	if len(s.Endpoints) > maxEndpoints {
-		c.add(place, "has %d endpoints, at most %d are allowed", len(s.Endpoints), maxEndpoints)
+		c.add(location, "has %d endpoints, at most %d are allowed", len(s.Endpoints), maxEndpoints)
 	}
 	names = map[string]bool{}
 	addresses := map[netip.AddrPort]bool{}
 	for i, e := range s.Endpoints {
-		at := fmt.Sprintf("%s endpoint %d %q", place, i+1, e.Name)
+		at := fmt.Sprintf("%s endpoint %d %q", location, i+1, e.Name)
 		c.endpoint(at, e, names)
 		if other := c.document.serviceByEndpoint[e.Address]; other != name || addresses[e.Address] {
 			c.add(at, "address %s is already used by service %s", e.Address, other)
@@ -122,54 +122,54 @@
 	}
 }
 
-func (c *checker) class(place string, class Class, names map[string]bool) {
+func (c *checker) class(location string, class Class, names map[string]bool) {
 	if class.Name == "" || names[class.Name] {
-		c.add(place, "needs a unique name")
+		c.add(location, "needs a unique name")
 	}
 	names[class.Name] = true
 	if !class.Address.IsValid() || class.Address.Port() == 0 {
-		c.add(place, "needs an address with a port")
+		c.add(location, "needs an address with a port")
 	}
 	if class.Protocol != "tcp" && class.Protocol != "udp" {
-		c.add(place, "protocol must be tcp or udp, not %q", class.Protocol)
+		c.add(location, "protocol must be tcp or udp, not %q", class.Protocol)
 	}
 	if class.Kind != ClassFlow && class.Kind != ClassWork {
-		c.add(place, "kind must be flow or work, not %q", class.Kind)
+		c.add(location, "kind must be flow or work, not %q", class.Kind)
 	}
 	if class.Kind == ClassWork && class.Protocol != "udp" {
-		c.add(place, "a class of kind work needs protocol udp")
+		c.add(location, "a class of kind work needs protocol udp")
 	}
 }
 
-func (c *checker) endpoint(place string, e Endpoint, names map[string]bool) {
+func (c *checker) endpoint(location string, e Endpoint, names map[string]bool) {
 	if e.Name == "" || names[e.Name] {
-		c.add(place, "needs a unique name")
+		c.add(location, "needs a unique name")
 	}
 	names[e.Name] = true
 	if !e.Address.IsValid() || e.Address.Port() == 0 {
-		c.add(place, "needs an address with a port")
+		c.add(location, "needs an address with a port")
 	}
 	if e.Domain == "" {
-		c.add(place, "needs a failure domain")
+		c.add(location, "needs a failure domain")
 	}
 	if e.Slots < 1 || e.Connections < 1 {
-		c.add(place, "slots and connections must be at least 1")
+		c.add(location, "slots and connections must be at least 1")
 	}
 }
 
-func (c *checker) team(place, name string, t Team) {
+func (c *checker) team(location, name string, t Team) {
 	template, ok := c.document.templates[t.Template]
 	if !ok {
-		c.add(place, "there is no template %q", t.Template)
+		c.add(location, "there is no template %q", t.Template)
 	}
 	classes := map[string]bool{}
 	for _, s := range t.Services {
 		service, ok := c.document.services[s]
 		if !ok {
-			c.add(place, "there is no service %q", s)
+			c.add(location, "there is no service %q", s)
 		}
 		if other := c.document.teamByService[s]; other != name {
-			c.add(place, "service %q is already claimed by team %s", s, other)
+			c.add(location, "service %q is already claimed by team %s", s, other)
 		}
 		for _, class := range service.Classes {
 			classes[class.Name] = true
@@ -177,17 +177,17 @@
 	}
 	for _, f := range t.First {
 		if !classes[f] {
-			c.add(place, "first lists %q, which is not a class of its services", f)
+			c.add(location, "first lists %q, which is not a class of its services", f)
 		}
 	}
 	for _, p := range slices.Sorted(maps.Keys(t.Parameters)) {
 		spec, ok := findSpec(p)
 		if !ok {
-			c.add(place, "unknown parameter %q", p)
+			c.add(location, "unknown parameter %q", p)
 			continue
 		}
 		low, high := effectiveBounds(spec, template.Parameters[p])
-		c.addIfNotEmpty(place, spec.check(t.Parameters[p], low, high))
+		c.addIfNotEmpty(location, spec.check(t.Parameters[p], low, high))
 	}
 }
 
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -92,7 +92,7 @@
 	}
 )
 
-// String returns place and text.
+// String returns the location and the text.
 func (f Fault) String() string { return f.Place + ": " + f.Text }
 
 // NewDocument returns an empty document.
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -48,7 +48,7 @@
 		field := fmt.Sprintf("instances[%d]", i)
 		if instance.Name == "" {
 			p.addFault(field+".name", "must not be empty")
-		} else if first, twice := names[instance.Name]; twice {
+		} else if first, duplicate := names[instance.Name]; duplicate {
 			p.addFault(field+".name", "%q is also the name of instances[%d]", instance.Name, first)
 		}
 		names[instance.Name] = i
@@ -57,7 +57,7 @@
 		}
 		checkAddress(p, field+".packets", instance.Packets, "udp", addresses)
 		checkAddress(p, field+".control", instance.Control, "tcp", addresses)
-		if first, twice := folders[instance.Data]; twice && instance.Data != "" {
+		if first, duplicate := folders[instance.Data]; duplicate && instance.Data != "" {
 			p.addFault(field+".data", "is also the data folder of instances[%d]", first)
 		}
 		folders[instance.Data] = i
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -44,7 +44,7 @@
 		MovesAtOnce     int `json:"moves_at_once"`    // buckets moved at a time to balance load
 		OperatorCalls   int `json:"operator_calls"`   // concurrent calls
 		QueueBytes      int `json:"queue_bytes"`      // size of a socket buffer
-		RequestBytes    int `json:"request_bytes"`    // size of a request
+		RequestBytes    int `json:"request_bytes"`    // maximum size of a request
 		HeldAtPeer      int `json:"held_at_peer"`     // request keys held as second holder
 		RetryFloor      int `json:"retry_floor"`      // retries per second that are always allowed
 	}
@@ -62,7 +62,7 @@
 		PlaceEvery   Duration `json:"place_every"`    // interval of placement decisions
 		SweepEvery   Duration `json:"sweep_every"`    // interval of sweeps of the flow table
 		AskTimeout   Duration `json:"ask_timeout"`    // timeout of a question to peers
-		PushRetry    Duration `json:"push_retry"`     // after which an unacknowledged push of records is repeated
+		PushRetry    Duration `json:"push_retry"`     // time after which an unacknowledged push of records is repeated
 		HalfOpenLife Duration `json:"half_open_life"` // how long a flow without an answer is kept
 		LogHeartbeat Duration `json:"log_heartbeat"`  // heartbeat interval of the replicated log
 		LogLease     Duration `json:"log_lease"`      // lease of the replicated log's leader
@@ -71,7 +71,7 @@
 		CheckTimeout Duration `json:"check_timeout"`  // timeout of health checks and of calls to the platform
 		PlatformPoll Duration `json:"platform_poll"`  // interval of reading the platform's list of instances
 		Ramp         Duration `json:"ramp"`           // how long a new endpoint's share of new flows rises
-		StopTimeout  Duration `json:"stop_timeout"`   // limit of a planned stop
+		StopTimeout  Duration `json:"stop_timeout"`   // time limit of a planned stop
 	}
 
 	// TLS names the PEM files for mutual TLS on the control addresses. All are set, or
