--- a/internal/explain/ring.go
+++ b/internal/explain/ring.go
@@ -5,38 +5,37 @@
 	"sync"
 )
 
-// Ring holds the last decisions, in whatever form their fabric keeps them.
+// Ring is a buffer of the most recent decisions. It is safe for concurrent use.
 type Ring[T any] struct {
 	mu        sync.Mutex
 	decisions []T
-	next      int // where the next one goes
-	kept      int // how many there are
+	next      int // position of the next decision
+	count     int // number of decisions held
 }
 
-// NewRing returns a ring of a size.
+// NewRing returns an empty ring that holds up to size decisions.
 func NewRing[T any](size int) *Ring[T] { return &Ring[T]{decisions: make([]T, size)} }
 
-// Add keeps a decision and lets the oldest go.
+// Add adds a decision, replacing the oldest one if the ring is full.
 func (r *Ring[T]) Add(d T) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.decisions[r.next] = d
 	r.next = (r.next + 1) % len(r.decisions)
-	r.kept = min(r.kept+1, len(r.decisions))
+	r.count = min(r.count+1, len(r.decisions))
 }
 
-// Find returns the newest decisions that match, at most so many, in the order
-// in which they were taken.
-func (r *Ring[T]) Find(most int, match func(T) bool) []T {
+// Find returns the newest matching decisions, at most limit of them, oldest first.
+func (r *Ring[T]) Find(limit int, match func(T) bool) []T {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var found []T
-	for i := 0; i < r.kept && len(found) < most; i++ {
+	var matches []T
+	for i := 0; i < r.count && len(matches) < limit; i++ {
 		d := r.decisions[(r.next-1-i+len(r.decisions))%len(r.decisions)]
 		if match(d) {
-			found = append(found, d)
+			matches = append(matches, d)
 		}
 	}
-	slices.Reverse(found)
-	return found
+	slices.Reverse(matches)
+	return matches
 }
--- a/internal/intent/check.go
+++ b/internal/intent/check.go
@@ -9,23 +9,23 @@
 	"oxbowsaddle/internal/route"
 )
 
-// maxEndpoints bounds one service, so that its bucket table stays bounded.
+// maxEndpoints bounds the endpoints of a service and thus the size of its bucket table.
 const maxEndpoints = 4096
 
-// checker collects faults.
+// checker collects the faults of a document.
 type checker struct {
 	document Document
 	faults   []Fault
 }
 
-// Check returns every fault of the document, in a stable order.
+// Check returns every fault of the document, ordered by kind and name of the object.
 func (d Document) Check() []Fault {
 	return d.CheckOnly(d.Templates(), d.Services(), d.Teams())
 }
 
-// CheckOnly returns the faults of some objects. Where the others were checked
-// before, this finds every fault of the document: an address or a service that
-// two objects claim is a fault of the one that came later.
+// CheckOnly returns the faults of the named objects. If all other objects are known
+// to be valid, these are all faults of the document: of two objects that claim the
+// same address or service, the one added later is at fault.
 func (d Document) CheckOnly(templates, services, teams []string) []Fault {
 	c := &checker{document: d}
 	for _, name := range templates {
@@ -35,7 +35,7 @@
 	}
 	for _, name := range services {
 		if s, ok := d.services[name]; ok {
-			d.claim(name) // what another service has given up in the same change
+			d.claimAddresses(name) // takes addresses that another service released in the same change
 			c.service("service "+name, name, s)
 		}
 	}
@@ -48,40 +48,41 @@
 	return c.faults
 }
 
-func (c *checker) add(place, format string, args ...any) {
-	c.faults = append(c.faults, Fault{place, fmt.Sprintf(format, args...)})
+func (c *checker) add(location, format string, args ...any) {
+	c.faults = append(c.faults, Fault{location, fmt.Sprintf(format, args...)})
 }
 
-func (c *checker) template(place string, t Template) {
+func (c *checker) template(location string, t Template) {
 	for _, name := range slices.Sorted(maps.Keys(t.Parameters)) {
-		spec, ok := specOf(name)
+		spec, ok := findSpec(name)
 		if !ok {
-			c.add(place, "unknown parameter %q", name)
+			c.add(location, "unknown parameter %q", name)
 			continue
 		}
 		p := t.Parameters[name]
-		low, high := bounds(spec, p)
+		low, high := effectiveBounds(spec, p)
 		if low > high {
-			c.add(place, "%s has min above max", name)
+			c.add(location, "%s has min above max", name)
 		}
 		for _, v := range []*Value{p.Min, p.Max} {
 			if v != nil {
-				c.addText(place, spec.fault(*v, spec.Min, spec.Max))
+				c.addIfNotEmpty(location, spec.check(*v, spec.Min, spec.Max))
 			}
 		}
 		if p.Default != nil {
-			c.addText(place, spec.fault(*p.Default, low, high))
+			c.addIfNotEmpty(location, spec.check(*p.Default, low, high))
 		}
 	}
 }
 
-func (c *checker) addText(place, text string) {
+func (c *checker) addIfNotEmpty(location, text string) {
 	if text != "" {
-		c.add(place, "%s", text)
+		c.add(location, "%s", text)
 	}
 }
 
-func bounds(spec ParameterSpec, p Parameter) (low, high float64) {
+// effectiveBounds returns the bounds of a parameter as narrowed by a template.
+func effectiveBounds(spec ParameterSpec, p Parameter) (low, high float64) {
 	low, high = spec.Min, spec.Max
 	if p.Min != nil {
 		low = p.Min.number
@@ -92,83 +93,83 @@
 	return low, high
 }
 
-func (c *checker) service(place, name string, s Service) {
+func (c *checker) service(location, name string, s Service) {
 	if len(s.Classes) == 0 {
-		c.add(place, "has no class")
+		c.add(location, "has no class")
 	}
 	names := map[string]bool{}
 	keys := map[route.ServiceKey]bool{}
 	for i, class := range s.Classes {
-		at := fmt.Sprintf("%s class %d %q", place, i+1, class.Name)
-		c.class(at, class, names)
-		if other := c.document.classAt[class.key()]; other != name || keys[class.key()] {
-			c.add(at, "address %s is already used by service %s", class.Address, other)
+		path := fmt.Sprintf("%s class %d %q", location, i+1, class.Name)
+		c.class(path, class, names)
+		if other := c.document.serviceByClass[class.key()]; other != name || keys[class.key()] {
+			c.add(path, "address %s is already used by service %s", class.Address, other)
 		}
 		keys[class.key()] = true
 	}
 	if len(s.Endpoints) > maxEndpoints {
-		c.add(place, "has %d endpoints, %d are allowed", len(s.Endpoints), maxEndpoints)
+		c.add(location, "has %d endpoints, at most %d are allowed", len(s.Endpoints), maxEndpoints)
 	}
 	names = map[string]bool{}
 	addresses := map[netip.AddrPort]bool{}
 	for i, e := range s.Endpoints {
-		at := fmt.Sprintf("%s endpoint %d %q", place, i+1, e.Name)
+		at := fmt.Sprintf("%s endpoint %d %q", location, i+1, e.Name)
 		c.endpoint(at, e, names)
-		if other := c.document.placeAt[e.Address]; other != name || addresses[e.Address] {
+		if other := c.document.serviceByEndpoint[e.Address]; other != name || addresses[e.Address] {
 			c.add(at, "address %s is already used by service %s", e.Address, other)
 		}
 		addresses[e.Address] = true
 	}
 }
 
-func (c *checker) class(place string, class Class, names map[string]bool) {
+func (c *checker) class(location string, class Class, names map[string]bool) {
 	if class.Name == "" || names[class.Name] {
-		c.add(place, "needs a name of its own")
+		c.add(location, "needs a unique name")
 	}
 	names[class.Name] = true
 	if !class.Address.IsValid() || class.Address.Port() == 0 {
-		c.add(place, "needs an address with a port")
+		c.add(location, "needs an address with a port")
 	}
 	if class.Protocol != "tcp" && class.Protocol != "udp" {
-		c.add(place, "protocol is tcp or udp, not %q", class.Protocol)
+		c.add(location, "protocol must be tcp or udp, not %q", class.Protocol)
 	}
 	if class.Kind != ClassFlow && class.Kind != ClassWork {
-		c.add(place, "kind is flow or work, not %q", class.Kind)
+		c.add(location, "kind must be flow or work, not %q", class.Kind)
 	}
 	if class.Kind == ClassWork && class.Protocol != "udp" {
-		c.add(place, "work travels over udp")
+		c.add(location, "a class of kind work needs protocol udp")
 	}
 }
 
-func (c *checker) endpoint(place string, e Endpoint, names map[string]bool) {
+func (c *checker) endpoint(location string, e Endpoint, names map[string]bool) {
 	if e.Name == "" || names[e.Name] {
-		c.add(place, "needs a name of its own")
+		c.add(location, "needs a unique name")
 	}
 	names[e.Name] = true
 	if !e.Address.IsValid() || e.Address.Port() == 0 {
-		c.add(place, "needs an address with a port")
+		c.add(location, "needs an address with a port")
 	}
 	if e.Domain == "" {
-		c.add(place, "needs a failure domain")
+		c.add(location, "needs a failure domain")
 	}
 	if e.Slots < 1 || e.Connections < 1 {
-		c.add(place, "slots and connections are at least 1")
+		c.add(location, "slots and connections must be at least 1")
 	}
 }
 
-func (c *checker) team(place, name string, t Team) {
+func (c *checker) team(location, name string, t Team) {
 	template, ok := c.document.templates[t.Template]
 	if !ok {
-		c.add(place, "there is no template %q", t.Template)
+		c.add(location, "there is no template %q", t.Template)
 	}
 	classes := map[string]bool{}
 	for _, s := range t.Services {
 		service, ok := c.document.services[s]
 		if !ok {
-			c.add(place, "there is no service %q", s)
+			c.add(location, "there is no service %q", s)
 		}
-		if other := c.document.reach[s]; other != name {
-			c.add(place, "service %q is already claimed by team %s", s, other)
+		if other := c.document.teamByService[s]; other != name {
+			c.add(location, "service %q is already claimed by team %s", s, other)
 		}
 		for _, class := range service.Classes {
 			classes[class.Name] = true
@@ -176,33 +177,34 @@
 	}
 	for _, f := range t.First {
 		if !classes[f] {
-			c.add(place, "first names %q, which is no class of its services", f)
+			c.add(location, "first lists %q, which is not a class of its services", f)
 		}
 	}
 	for _, p := range slices.Sorted(maps.Keys(t.Parameters)) {
-		spec, ok := specOf(p)
+		spec, ok := findSpec(p)
 		if !ok {
-			c.add(place, "unknown parameter %q", p)
+			c.add(location, "unknown parameter %q", p)
 			continue
 		}
-		low, high := bounds(spec, template.Parameters[p])
-		c.addText(place, spec.fault(t.Parameters[p], low, high))
+		low, high := effectiveBounds(spec, template.Parameters[p])
+		c.addIfNotEmpty(location, spec.check(t.Parameters[p], low, high))
 	}
 }
 
-// Warnings returns what is allowed but asks for a confirmation: a service
-// that had endpoints taking new work and is left without.
+// Warnings returns a fault for each service that would lose its last endpoint taking
+// new work. Such a change is valid but must be confirmed by the operator.
 func Warnings(before, after Document, services []string) []Fault {
-	var found []Fault
+	var warnings []Fault
 	for _, name := range services {
-		if usable(before.services[name]) > 0 && usable(after.services[name]) == 0 {
-			found = append(found, Fault{"service " + name, "would be left without an endpoint that takes new work"})
+		if countAccepting(before.services[name]) > 0 && countAccepting(after.services[name]) == 0 {
+			warnings = append(warnings, Fault{"service " + name, "would be left without an endpoint that takes new work"})
 		}
 	}
-	return found
+	return warnings
 }
 
-func usable(s Service) int {
+// countAccepting returns the number of endpoints that take new work.
+func countAccepting(s Service) int {
 	n := 0
 	for _, e := range s.Endpoints {
 		if !e.Leaving {
--- a/internal/telemetry/lines_test.go
+++ b/internal/telemetry/lines_test.go
@@ -17,31 +17,31 @@
 	RunSpecs(t, "telemetry")
 }
 
-// text is a writer that several goroutines may look at.
-type text struct {
+// syncBuffer is a text buffer that is safe for concurrent use.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  strings.Builder
 }
 
-func (t *text) Write(p []byte) (int, error) {
+func (t *syncBuffer) Write(p []byte) (int, error) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.b.Write(p)
 }
 
-func (t *text) String() string {
+func (t *syncBuffer) String() string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.b.String()
 }
 
-// written returns how many lines of the test came through.
-func (t *text) written() uint64 {
+// writtenLines returns how many lines of the test were written.
+func (t *syncBuffer) writtenLines() uint64 {
 	return uint64(strings.Count(t.String(), "line "))
 }
 
-// leftOut returns how many lines the log says were left out.
-func (t *text) leftOut() uint64 {
+// droppedLines returns how many dropped lines the log reports.
+func (t *syncBuffer) droppedLines() uint64 {
 	sum := uint64(0)
 	for _, line := range strings.Split(t.String(), "\n") {
 		var n uint64
@@ -53,29 +53,29 @@
 }
 
 var _ = Describe("a LineWriter", func() {
-	It("does not wait for a reader that stands still, and says how many lines were left out", func() {
-		reader, out := io.Pipe() // a write to it waits until somebody reads
+	It("does not block on a reader that stalls, and reports how many lines were dropped", func() {
+		reader, out := io.Pipe() // a write blocks until it is read
 		w := NewLineWriter(out)
 		ctx, cancel := context.WithCancel(context.Background())
 		defer cancel()
 		go w.Run(ctx)
-		const total = 3 * linesQueued
+		const total = 3 * maxQueuedLines
 		for i := range total {
 			_, err := fmt.Fprintf(w, "line %d\n", i)
 			Expect(err).NotTo(HaveOccurred())
 		}
 
-		var got text
+		var got syncBuffer
 		go func() { _, _ = io.Copy(&got, reader) }()
-		Eventually(func() uint64 { return got.written() + got.leftOut() + w.LeftOut() }).Should(BeEquivalentTo(total))
-		// Taken are the queue, what the writer drew from it at once, and the
-		// line that it waited with.
-		Expect(got.leftOut() + w.LeftOut()).To(BeNumerically(">=", total-2*linesQueued-1))
+		Eventually(func() uint64 { return got.writtenLines() + got.droppedLines() + w.Dropped() }).Should(BeEquivalentTo(total))
+		// Not dropped are a full queue, the batch taken from the queue before, and the
+		// line whose write blocked.
+		Expect(got.droppedLines() + w.Dropped()).To(BeNumerically(">=", total-2*maxQueuedLines-1))
 		Expect(got.String()).To(HavePrefix("line 0\n"))
 	})
 
-	It("writes what is queued before the process ends", func() {
-		var got text
+	It("writes queued lines before the process ends", func() {
+		var got syncBuffer
 		w := NewLineWriter(&got)
 		ctx, cancel := context.WithCancel(context.Background())
 		cancel()
