--- a/internal/cmd/cmd_platform.go
+++ b/internal/cmd/cmd_platform.go
@@ -40,13 +40,13 @@
 			if err != nil {
 				return err
 			}
-			setMemoryLimit(settings.Memory)
+			setMemoryLimit(settings.MemoryLimit)
 			logger, stopLogging, err := startLogger(c.Context(), c.OutOrStdout(), settings.Name)
 			if err != nil {
 				return err
 			}
 			defer stopLogging()
-			logger.Info("start", "role", use, "domain", settings.Domain, "seeds", settings.Seeds, "first", settings.First)
+			logger.Info("start", "role", use, "domain", settings.Domain, "seeds", settings.Seeds, "first", settings.FirstStart)
 			return run(c.Context(), platformProcess{settings: settings, path: path, log: logger})
 		},
 	}
@@ -69,12 +69,12 @@
 // runEntry runs an entry until ctx ends and its planned stop is complete.
 func runEntry(ctx context.Context, p platformProcess) error {
 	s := p.settings
-	if !s.Packets.IsValid() {
+	if !s.PacketAddr.IsValid() {
 		return fault.New(fault.InvalidSettings, "settings: serves: no address for packets, which an entry needs")
 	}
 	entry := node.NewEntry(node.EntryConfig{
-		Name: s.Name, Domain: s.Domain, PacketAddr: s.Packets, OperatorAddr: s.Operators, Seeds: s.Seeds,
-		ToleratedLosses: s.Losses, MaxFlowAge: s.MaxFlow, GracePeriod: s.Grace, HeartbeatInterval: s.Beat,
+		Name: s.Name, Domain: s.Domain, PacketAddr: s.PacketAddr, OperatorAddr: s.OperatorAddr, Seeds: s.Seeds,
+		ToleratedLosses: s.ToleratedLosses, MaxFlowAge: s.MaxFlowAge, GracePeriod: s.GracePeriod, HeartbeatInterval: s.HeartbeatInterval,
 		Codec: node.Codec{Decode: platform.DecodePacket, Forward: platform.ForwardPacket, Reset: platform.ResetPacket},
 		Dial:  node.DialTCP, Probe: node.ProbeTCP, Log: p.log, Now: node.MonotonicClock(),
 	})
@@ -82,7 +82,7 @@
 	runCtx, cancel := context.WithCancel(runCtx)
 	defer cancel()
 	group.Go(func() error { return entry.Run(runCtx) })
-	group.Go(func() error { return serveHTTP(runCtx, s.Readiness, platform.ReadinessHandler(entry.Ready)) })
+	group.Go(func() error { return serveHTTP(runCtx, s.ReadinessAddr, platform.ReadinessHandler(entry.Ready)) })
 	group.Go(func() error { return serveMetrics(runCtx, p, entry.WriteMetrics) })
 	group.Go(func() error {
 		return p.watchSettings(runCtx, func(seeds []netip.AddrPort) { entry.SetSeeds(runCtx, seeds) })
@@ -109,18 +109,18 @@
 // runControl runs a control instance until ctx ends.
 func runControl(ctx context.Context, p platformProcess) error {
 	s := p.settings
-	if !s.Control.IsValid() {
+	if !s.ControlAddr.IsValid() {
 		return fault.New(fault.InvalidSettings, "settings: serves: no address for operators and endpoints, which a control instance needs")
 	}
 	const votersPerLoss = 2 // a majority must remain: 2n+1 voters tolerate n losses
 	control := node.NewControl(node.ControlConfig{
-		Domain: s.Domain, Domains: s.Domains, PeerAddr: s.Peer, Front: s.Control.String(), Seeds: s.Seeds, FirstStart: s.First,
-		OpenFiles: func() (storage.Files, error) { return storage.Folder(s.Data) },
-		Voters:    votersPerLoss*s.Losses + 1, HeartbeatInterval: s.Beat, Dial: node.DialTCP, Log: p.log, Now: node.MonotonicClock(),
+		Domain: s.Domain, Domains: s.Domains, PeerAddr: s.PeerAddr, Front: s.ControlAddr.String(), Seeds: s.Seeds, FirstStart: s.FirstStart,
+		OpenFiles: func() (storage.Files, error) { return storage.Folder(s.DataFolder) },
+		Voters:    votersPerLoss*s.ToleratedLosses + 1, HeartbeatInterval: s.HeartbeatInterval, Dial: node.DialTCP, Log: p.log, Now: node.MonotonicClock(),
 	})
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return control.Run(ctx) })
-	group.Go(func() error { return serveHTTP(ctx, s.Control, platform.ControlHandler(control)) })
+	group.Go(func() error { return serveHTTP(ctx, s.ControlAddr, platform.ControlHandler(control)) })
 	group.Go(func() error { return serveMetrics(ctx, p, control.WriteMetrics) })
 	group.Go(func() error {
 		return p.watchSettings(ctx, func(seeds []netip.AddrPort) { control.SetSeeds(ctx, seeds) })
--- a/internal/cmd/platform_http.go
+++ b/internal/cmd/platform_http.go
@@ -26,8 +26,8 @@
 // serveMetrics serves metrics. A failure, such as a port in use, is only logged:
 // the process goes on without metrics.
 func serveMetrics(ctx context.Context, p platformProcess, write func(io.Writer)) error {
-	if err := serveHTTP(ctx, p.settings.Metrics, platform.MetricsHandler(write)); ctx.Err() == nil {
-		p.log.Error("metrics server failed", "address", p.settings.Metrics, "error", err)
+	if err := serveHTTP(ctx, p.settings.MetricsAddr, platform.MetricsHandler(write)); ctx.Err() == nil {
+		p.log.Error("metrics server failed", "address", p.settings.MetricsAddr, "error", err)
 	}
 	return nil
 }
--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -302,7 +302,7 @@
 		}
 	}
 	sorted := func(names map[string]bool) []string { return slices.Sorted(maps.Keys(names)) }
-	return next.CheckOnly(sorted(templates), sorted(services), sorted(teams))
+	return next.CheckObjects(sorted(templates), sorted(services), sorted(teams))
 }
 
 func faultTexts(faults []intent.Fault) []string {
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -96,15 +96,15 @@
 	s.Times.Ramp = settings.Duration(3 * time.Second)
 	for n := range s.Instances {
 		inst := &s.Instances[n]
-		if inst.Packets, err = standin.FreeAddr("udp"); err != nil {
+		if inst.PacketAddr, err = standin.FreeAddr("udp"); err != nil {
 			return err
 		}
-		if inst.Control, err = standin.FreeAddr("tcp"); err != nil {
+		if inst.ControlAddr, err = standin.FreeAddr("tcp"); err != nil {
 			return err
 		}
-		f.domainOf[inst.Packets], f.domainOf[inst.Control] = inst.Domain, inst.Domain
-		if inst.Data != "" {
-			inst.Data = filepath.Join(f.config.DataDir, inst.Name)
+		f.domainOf[inst.PacketAddr], f.domainOf[inst.ControlAddr] = inst.Domain, inst.Domain
+		if inst.DataFolder != "" {
+			inst.DataFolder = filepath.Join(f.config.DataDir, inst.Name)
 		}
 	}
 	f.settings = s
@@ -219,7 +219,7 @@
 	if err != nil {
 		return err
 	}
-	f.group.Go(func() { f.announceWhenReady(ctx, inst, name, own.Packets) })
+	f.group.Go(func() { f.announceWhenReady(ctx, inst, name, own.PacketAddr) })
 	return nil
 }
 
@@ -321,7 +321,7 @@
 	var lastReply string
 	for try := range maxAttempts {
 		target := f.settings.Instances[try%len(f.settings.Instances)]
-		reply, err := submitOnce(ctx, target.Control, change)
+		reply, err := submitOnce(ctx, target.ControlAddr, change)
 		if err == nil && (reply.Kind == "accepted" || reply.Kind == "already accepted") {
 			return nil
 		}
--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -10,15 +10,15 @@
 	"oxbowsaddle/internal/work"
 )
 
-// KeepsAlways reports whether a verdict must always be recorded. Verdicts that forward
+// MustRecord reports whether a verdict must always be recorded. Verdicts that forward
 // a packet may be sampled.
-func KeepsAlways(v flow.Verdict) bool {
+func MustRecord(v flow.Verdict) bool {
 	return v.Action() != flow.Forward
 }
 
-// Flow returns the record of a verdict on a packet of a flow. Index and active are
+// FlowDecision returns the record of a verdict on a packet of a flow. Index and active are
 // the log indexes that the entry had applied and that were active everywhere.
-func Flow(now time.Time, entry, subject string, v flow.Verdict, index, active uint64) *wire.Decision {
+func FlowDecision(now time.Time, entry, subject string, v flow.Verdict, index, active uint64) *wire.Decision {
 	d := &wire.Decision{
 		UnixNano: now.UnixNano(), Entry: entry, Subject: subject, Action: v.Action().String(),
 		Reason: v.Reason().String(), Index: index, Active: active, NextStep: FlowNextStep(v.Reason()),
@@ -92,20 +92,20 @@
 	work.AnswerGone:         "the caller must restart the block-wise transfer",
 }
 
-// Work returns the record of a state change of a request.
-func Work(now time.Time, entry string, e work.Event, endpoint string, index, active uint64) *wire.Decision {
+// WorkDecision returns the record of a state change of a request.
+func WorkDecision(now time.Time, entry string, e work.Event, endpoint string, index, active uint64) *wire.Decision {
 	nextStep := "nothing: this is normal"
 	if s, ok := workNextSteps[e.Cause]; ok {
 		nextStep = s
 	}
 	return &wire.Decision{
-		UnixNano: now.UnixNano(), Entry: entry, Subject: Token(e.Token), Action: e.State.String(), Reason: e.Cause.String(),
+		UnixNano: now.UnixNano(), Entry: entry, Subject: FormatToken(e.Token), Action: e.State.String(), Reason: e.Cause.String(),
 		Endpoint: endpoint, Index: index, Active: active, NextStep: nextStep, Parameter: "first, queue_limit, lowest_share and request_life of the team",
 	}
 }
 
-// Token returns a CoAP token in hexadecimal, the form in which operators enter it.
-func Token(token []byte) string {
+// FormatToken returns a CoAP token in hexadecimal, the form in which operators enter it.
+func FormatToken(token []byte) string {
 	const digits = "0123456789abcdef"
 	text := make([]byte, 0, 2*len(token))
 	for _, b := range token {
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -47,7 +47,7 @@
 var _ = Describe("the record of a request's state change", func() {
 	It("contains the token, the log indexes and the next step", func() {
 		e := work.Event{Token: []byte{0xab, 1}, State: work.Refused, Cause: work.QueueFull}
-		d := explain.Work(time.Unix(1, 0), "plateau-1", e, "e1", 9, 7)
+		d := explain.WorkDecision(time.Unix(1, 0), "plateau-1", e, "e1", 9, 7)
 		Expect(d.Subject).To(Equal("ab01"))
 		Expect(d.Index).To(Equal(uint64(9)))
 		Expect(d.Active).To(Equal(uint64(7)))
--- a/internal/instance/budget.go
+++ b/internal/instance/budget.go
@@ -42,7 +42,7 @@
 func newBudget(l settings.Limits, c *telemetry.Counters) *budget {
 	const burst, megabyte = 4, 1 << 20 // seconds, bytes
 	b := &budget{
-		bytes:        rate.NewLimiter(rate.Limit(l.ControlBytes), l.ControlBytes*burst),
+		bytes:        rate.NewLimiter(rate.Limit(l.ControlBytesPerSecond), l.ControlBytesPerSecond*burst),
 		countBytes:   c.Counter("control_bytes").Inc,
 		countDelayed: c.Counter("control_delayed").Inc,
 		coreLimit:    l.CoreThousandths, memoryLimit: uint64(l.MemoryMegabytes) * megabyte,
--- a/internal/instance/budget_test.go
+++ b/internal/instance/budget_test.go
@@ -12,7 +12,7 @@
 
 func newTestBudget() (*budget, *telemetry.Counters) {
 	c := telemetry.NewCounters()
-	return newBudget(settings.Limits{ControlBytes: 1000, CoreThousandths: 13, MemoryMegabytes: 64}, c), c
+	return newBudget(settings.Limits{ControlBytesPerSecond: 1000, CoreThousandths: 13, MemoryMegabytes: 64}, c), c
 }
 
 func TestHeartbeatsIgnoreByteBudget(t *testing.T) {
--- a/internal/instance/checker.go
+++ b/internal/instance/checker.go
@@ -45,7 +45,7 @@
 
 // run checks this entry's share of the endpoints periodically.
 func (c *checker) run(ctx context.Context) error {
-	ticker := time.NewTicker(c.instance.config.Settings.Times.Check.Std())
+	ticker := time.NewTicker(c.instance.config.Settings.Times.CheckInterval.Std())
 	defer ticker.Stop()
 	round := 0
 	for {
@@ -91,7 +91,7 @@
 			}
 		}
 	})
-	limit := int(float64(c.instance.config.Settings.Limits.ChecksASecond) * c.instance.config.Settings.Times.Check.Std().Seconds())
+	limit := int(float64(c.instance.config.Settings.Limits.ChecksPerSecond) * c.instance.config.Settings.Times.CheckInterval.Std().Seconds())
 	return found[:min(len(found), max(limit, 1))]
 }
 
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -60,7 +60,7 @@
 		instance: i, incarnation: incarnation,
 		core: member.New(member.Config{
 			Name: i.self.Name, Domain: i.self.Domain, Incarnation: incarnation,
-			Peers: peer.Config{Self: i.self.Name, Domain: i.self.Domain, ProbeTimeout: t.HeardFor.Std(), IsolationDelay: t.IslandAfter.Std()},
+			Peers: peer.Config{Self: i.self.Name, Domain: i.self.Domain, ProbeTimeout: t.PeerTimeout.Std(), IsolationDelay: t.IsolatedAfter.Std()},
 		}),
 		calls: make(callQueue, queue), results: make(chan heartbeatResult, 1),
 		loads: make(chan []*wire.EndpointLoad, 1), unlisted: make(chan []string, 1), handedOver: make(chan struct{}),
@@ -123,12 +123,12 @@
 		c.nextProbe = time.Time{}
 	}
 	if !now.Before(c.nextProbe) {
-		c.nextProbe = now.Add(times.Probe.Std())
+		c.nextProbe = now.Add(times.ProbeInterval.Std())
 		c.sendProbes(now, leased)
 	}
 	c.finishStop(view)
 	if !c.inFlight && !now.Before(c.nextHeartbeat) {
-		c.nextHeartbeat = now.Add(times.Beat.Std())
+		c.nextHeartbeat = now.Add(times.HeartbeatInterval.Std())
 		c.sendHeartbeat(ctx, now)
 	}
 }
@@ -196,7 +196,7 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply *wire.BeatReply
-	client, err := c.instance.dialer.connect(ctx, target.Control, "beat")
+	client, err := c.instance.dialer.connect(ctx, target.ControlAddr, "beat")
 	if err == nil {
 		reply, err = client.Beat(ctx, r)
 	}
@@ -247,7 +247,7 @@
 		<-ctx.Done()
 		return ctx.Err()
 	}
-	ticker := time.NewTicker(s.Times.PlatformPoll.Std())
+	ticker := time.NewTicker(s.Times.PlatformPollInterval.Std())
 	defer ticker.Stop()
 	client := &http.Client{Timeout: s.Times.CheckTimeout.Std()}
 	for {
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -72,7 +72,7 @@
 	}
 	i := &Instance{
 		config: c, self: self, log: c.Log, now: c.Now, counters: telemetry.NewCounters(),
-		decisions: explain.NewRing[*wire.Decision](c.Settings.Limits.Decisions), done: make(chan struct{}),
+		decisions: explain.NewRing[*wire.Decision](c.Settings.Limits.MaxDecisions), done: make(chan struct{}),
 	}
 	i.view.Store(&flow.View{Table: emptyTable})
 	i.budget = newBudget(c.Settings.Limits, i.counters)
@@ -85,14 +85,14 @@
 	if i.traffic, err = newTraffic(i); err != nil {
 		return nil, err
 	}
-	if i.listener, err = i.dialer.listen(self.Control); err != nil {
+	if i.listener, err = i.dialer.listen(self.ControlAddr); err != nil {
 		return nil, errors.Join(err, i.traffic.close())
 	}
 	incarnation := uint64(c.Now().UnixNano())
 	i.traffic.buildCore(incarnation)
 	i.control = newControlLoop(i, incarnation)
 	i.checker = newChecker(i)
-	if self.Data != "" {
+	if self.DataFolder != "" {
 		if i.leader, err = newLeaderLoop(i); err != nil {
 			return nil, errors.Join(err, i.traffic.close(), i.listener.Close())
 		}
@@ -123,7 +123,7 @@
 	if i.leader != nil {
 		group.Go(func() error { return i.leader.run(ctx) })
 	}
-	i.log.Info("started", "domain", i.self.Domain, "packets", i.self.Packets, "control", i.self.Control, "control_instance", i.leader != nil)
+	i.log.Info("started", "domain", i.self.Domain, "packets", i.self.PacketAddr, "control", i.self.ControlAddr, "control_instance", i.leader != nil)
 	err := group.Wait()
 	err = errors.Join(ignoreShutdown(err), i.closeAll())
 	i.log.Info("ended", "error", err)
--- a/internal/instance/leader.go
+++ b/internal/instance/leader.go
@@ -47,7 +47,7 @@
 
 func newLeaderLoop(i *Instance) (*leaderLoop, error) {
 	const queue = 256
-	files, err := storage.Folder(i.self.Data)
+	files, err := storage.Folder(i.self.DataFolder)
 	if err != nil {
 		return nil, fault.Wrap(fault.DataFolder, err)
 	}
@@ -56,7 +56,7 @@
 		return nil, err
 	}
 	if loaded.Torn {
-		i.log.Warn("truncated an incomplete last log record", "folder", i.self.Data)
+		i.log.Warn("truncated an incomplete last log record", "folder", i.self.DataFolder)
 	}
 	state := control.NewState()
 	if loaded.Snapshot != nil {
@@ -74,7 +74,7 @@
 	}
 	seed := binary.LittleEndian.Uint64(append([]byte(i.self.Name), make([]byte, 8)...))
 	l.replica = replica.New(replica.Config{
-		Self: i.self.Name, Voters: i.config.Settings.Voters(), Heartbeat: t.LogHeartbeat.Std(),
+		Self: i.self.Name, Voters: i.config.Settings.Voters(), Heartbeat: t.LogHeartbeatInterval.Std(),
 		Lease: t.LogLease.Std(), Drift: t.LogDrift.Std(), Rand: rand.New(rand.NewPCG(seed, uint64(i.now().UnixNano()))),
 	}, i.now(), loaded)
 	return l, nil
@@ -197,8 +197,8 @@
 	h := health.DefaultConfig()
 	h.Ramp = s.Times.Ramp.Std()
 	return controller.Config{
-		Lease: s.Times.Lease.Std(), ClockMargin: s.Times.Margin.Std(), SettleAfter: s.Times.SettleAfter.Std(),
-		ReturnTimeout: s.Times.ReturnWait.Std(), PlacementInterval: s.Times.PlaceEvery.Std(), MaxMovesPerRound: s.Limits.MovesAtOnce, Health: h,
+		Lease: s.Times.Lease.Std(), ClockMargin: s.Times.ClockMargin.Std(), SettleAfter: s.Times.SettleAfter.Std(),
+		ReturnTimeout: s.Times.ReturnTimeout.Std(), PlacementInterval: s.Times.PlacementInterval.Std(), MaxMovesPerRound: s.Limits.MaxMovesPerRound, Health: h,
 	}
 }
 
@@ -283,7 +283,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	client, err := l.instance.dialer.connect(ctx, target.Control, "log")
+	client, err := l.instance.dialer.connect(ctx, target.ControlAddr, "log")
 	if err == nil {
 		_, err = client.Step(ctx, m)
 	}
--- a/internal/instance/server.go
+++ b/internal/instance/server.go
@@ -29,7 +29,7 @@
 // serve serves calls until the context ends.
 func (i *Instance) serve(ctx context.Context) error {
 	mux := drpcmux.New()
-	s := &server{instance: i, slots: make(chan struct{}, i.config.Settings.Limits.OperatorCalls)}
+	s := &server{instance: i, slots: make(chan struct{}, i.config.Settings.Limits.MaxOperatorCalls)}
 	if err := wire.DRPCRegisterControl(mux, s); err != nil {
 		return fault.Wrap(fault.Internal, err)
 	}
@@ -123,7 +123,7 @@
 	var targets []netip.AddrPort
 	for _, name := range names {
 		if other, err := s.instance.config.Settings.Instance(name); err == nil && name != s.instance.self.Name {
-			targets = append(targets, other.Control)
+			targets = append(targets, other.ControlAddr)
 		}
 	}
 	return targets
@@ -233,7 +233,7 @@
 	if err != nil {
 		return
 	}
-	client, err := s.instance.dialer.connect(ctx, leader.Control, "operator")
+	client, err := s.instance.dialer.connect(ctx, leader.ControlAddr, "operator")
 	if err != nil {
 		return
 	}
--- a/internal/instance/tls_test.go
+++ b/internal/instance/tls_test.go
@@ -92,7 +92,7 @@
 	s.HashKey = "000102030405060708090a0b0c0d0e0f"
 	s.Fabric = freeAddr(t, "udp")
 	s.TLS = ours.issue("one")
-	s.Instances = []settings.Instance{{Name: "one", Domain: "d", Packets: freeAddr(t, "udp"), Control: freeAddr(t, "tcp"), Data: filepath.Join(t.TempDir(), "one")}}
+	s.Instances = []settings.Instance{{Name: "one", Domain: "d", PacketAddr: freeAddr(t, "udp"), ControlAddr: freeAddr(t, "tcp"), DataFolder: filepath.Join(t.TempDir(), "one")}}
 	logger, err := telemetry.NewLogger(io.Discard, "error", "one")
 	g.Expect(err).NotTo(gomega.HaveOccurred())
 	i, err := New(Config{Settings: s, Name: "one", Log: logger, Now: time.Now})
@@ -101,7 +101,7 @@
 	t.Cleanup(i.Kill)
 
 	ask := func(with settings.TLS) error {
-		client, done, err := Dial(context.Background(), s.Instances[0].Control, with)
+		client, done, err := Dial(context.Background(), s.Instances[0].ControlAddr, with)
 		if err != nil {
 			return err
 		}
--- a/internal/instance/traffic.go
+++ b/internal/instance/traffic.go
@@ -82,13 +82,13 @@
 	if t.encoder, err = packet.NewEncoder(); err != nil {
 		return nil, err
 	}
-	if t.conn, err = newBatchConn(i.self.Packets, i.config.Settings.Limits.QueueBytes); err != nil {
+	if t.conn, err = newBatchConn(i.self.PacketAddr, i.config.Settings.Limits.SocketBufferBytes); err != nil {
 		return nil, err
 	}
 	for _, other := range i.config.Settings.Instances {
 		if other.Name != i.self.Name {
-			t.peerNames[other.Packets] = other.Name
-			t.peerAddrs[other.Name] = other.Packets
+			t.peerNames[other.PacketAddr] = other.Name
+			t.peerAddrs[other.Name] = other.PacketAddr
 		}
 	}
 	t.report.Store(&trafficReport{})
@@ -121,13 +121,13 @@
 	t.core = entry.New(entry.Config{
 		Flow: flow.Config{
 			Self: i.self.Name, Domain: i.self.Domain, Incarnation: incarnation, Hasher: hasher,
-			MaxFlows: s.Limits.Flows, MaxRecords: s.Limits.Records, MaxWaiting: s.Limits.Waiting, AsksPerSecond: s.Limits.AsksASecond,
-			PushBytesPerSecond: s.Limits.PushBytes, AskTimeout: s.Times.AskTimeout.Std(), PushRetryInterval: s.Times.PushRetry.Std(),
-			HalfOpenTimeout: s.Times.HalfOpenLife.Std(), SweepInterval: s.Times.SweepEvery.Std(), Modulo: i.config.Placement == PlacementModulo,
+			MaxFlows: s.Limits.MaxFlows, MaxRecords: s.Limits.MaxRecords, MaxWaiting: s.Limits.MaxWaiting, AsksPerSecond: s.Limits.AsksPerSecond,
+			PushBytesPerSecond: s.Limits.PushBytesPerSecond, AskTimeout: s.Times.AskTimeout.Std(), PushRetryInterval: s.Times.PushRetryInterval.Std(),
+			HalfOpenTimeout: s.Times.HalfOpenTimeout.Std(), SweepInterval: s.Times.SweepInterval.Std(), Modulo: i.config.Placement == PlacementModulo,
 		},
 		Work: work.Config{
 			Self: i.self.Name, Domain: i.self.Domain, Incarnation: incarnation, Hasher: hasher,
-			MaxRequests: s.Limits.Requests, MaxHeldKeys: s.Limits.HeldAtPeer, HoldRetryInterval: s.Times.AskTimeout.Std(),
+			MaxRequests: s.Limits.MaxRequests, MaxHeldKeys: s.Limits.MaxHeldKeys, HoldRetryInterval: s.Times.AskTimeout.Std(),
 			MinRetriesPerSecond: float64(s.Limits.RetryFloor), MaxPacketDelay: 2 * s.Times.Lease.Std(),
 		},
 		OnFlow: t.onFlow,
@@ -298,7 +298,7 @@
 	sample := uint64(t.instance.config.Settings.Limits.SampleOneIn)
 	opens := p.Flags().Opens() && !answer
 	sampled := v.ID().Low%sample == 0 && v.Service() != nil
-	unusual := explain.KeepsAlways(v) || opens && v.Reason() != flow.BySettled
+	unusual := explain.MustRecord(v) || opens && v.Reason() != flow.BySettled
 	if !unusual && (!opens || !sampled) {
 		return
 	}
@@ -308,9 +308,9 @@
 	}
 	subject := tuple.Transport().String() + " " + tuple.Src().String() + " " + tuple.Dst().String()
 	view := t.core.Flow().View()
-	t.instance.decisions.Add(explain.Flow(now, t.instance.self.Name, subject, v, view.Table.Index(), view.Active))
+	t.instance.decisions.Add(explain.FlowDecision(now, t.instance.self.Name, subject, v, view.Table.Index(), view.Active))
 	if sampled {
-		t.instance.tracer.Hop(now, v.ID().High, v.ID().Low, "flow", attribute.String("entry", t.instance.self.Name),
+		t.instance.tracer.RecordHop(now, v.ID().High, v.ID().Low, "flow", attribute.String("entry", t.instance.self.Name),
 			attribute.String("subject", subject), attribute.String("action", v.Action().String()), attribute.String("reason", v.Reason().String()))
 	}
 }
@@ -323,13 +323,13 @@
 	if have := view.Table.Endpoint(e.Endpoint); have != nil {
 		endpoint = have.Name()
 	}
-	d := explain.Work(now, t.instance.self.Name, e, endpoint, view.Table.Index(), view.Active)
+	d := explain.WorkDecision(now, t.instance.self.Name, e, endpoint, view.Table.Index(), view.Active)
 	if e.State == work.Unknown || e.State == work.Refused {
 		t.instance.log.Debug("request", "token", d.Subject, "state", d.Action, "cause", d.Reason, "service", e.Service, "index", d.Index)
 	}
 	t.instance.decisions.Add(d)
 	if e.ID.Low%uint64(t.instance.config.Settings.Limits.SampleOneIn) == 0 {
-		t.instance.tracer.Hop(now, e.ID.High, e.ID.Low, "request", attribute.String("entry", t.instance.self.Name),
+		t.instance.tracer.RecordHop(now, e.ID.High, e.ID.Low, "request", attribute.String("entry", t.instance.self.Name),
 			attribute.String("token", d.Subject), attribute.String("state", d.Action), attribute.String("cause", d.Reason))
 	}
 }
--- a/internal/instance/traffic_bench_test.go
+++ b/internal/instance/traffic_bench_test.go
@@ -39,7 +39,7 @@
 	s.HashKey = "000102030405060708090a0b0c0d0e0f"
 	s.Fabric = freeAddr(tb, "udp")
 	s.Instances = []settings.Instance{{
-		Name: "one", Domain: "d", Packets: freeAddr(tb, "udp"), Control: freeAddr(tb, "tcp"), Data: filepath.Join(tb.TempDir(), "one"),
+		Name: "one", Domain: "d", PacketAddr: freeAddr(tb, "udp"), ControlAddr: freeAddr(tb, "tcp"), DataFolder: filepath.Join(tb.TempDir(), "one"),
 	}}
 	logger, err := telemetry.NewLogger(io.Discard, "error", "one")
 	if err != nil {
@@ -66,7 +66,7 @@
 	}}
 	end := time.Now().Add(20 * time.Second)
 	for time.Now().Before(end) {
-		client, done, err := Dial(context.Background(), s.Instances[0].Control, s.TLS)
+		client, done, err := Dial(context.Background(), s.Instances[0].ControlAddr, s.TLS)
 		if err == nil {
 			reply, submitErr := client.Submit(context.Background(), change)
 			status, statusErr := client.Status(context.Background(), &wire.StatusRequest{})
@@ -175,6 +175,6 @@
 	b.Run("one entry", func(b *testing.B) {
 		at, count := startReceiver(b)
 		i := startEntry(b, at)
-		measure(b, i.self.Packets, count)
+		measure(b, i.self.PacketAddr, count)
 	})
 }
--- a/internal/instance/voters.go
+++ b/internal/instance/voters.go
@@ -63,7 +63,7 @@
 	}
 	if r.Add != "" {
 		added, err := l.instance.config.Settings.Instance(r.Add)
-		if err != nil || added.Data == "" {
+		if err != nil || added.DataFolder == "" {
 			return fault.New(fault.InvalidChange, "the settings name no instance %q with a data folder", r.Add)
 		}
 		voters = append(voters, r.Add)
--- a/internal/instance/why.go
+++ b/internal/instance/why.go
@@ -50,7 +50,7 @@
 		if other.Name == s.instance.self.Name {
 			continue
 		}
-		client, err := s.instance.dialer.connect(ctx, other.Control, "operator")
+		client, err := s.instance.dialer.connect(ctx, other.ControlAddr, "operator")
 		if err != nil {
 			reply.Lines = append(reply.Lines, other.Name+" could not be reached: "+err.Error())
 			continue
--- a/internal/intent/check.go
+++ b/internal/intent/check.go
@@ -20,13 +20,13 @@
 
 // Check returns every fault of the document, ordered by kind and name of the object.
 func (d Document) Check() []Fault {
-	return d.CheckOnly(d.Templates(), d.Services(), d.Teams())
+	return d.CheckObjects(d.Templates(), d.Services(), d.Teams())
 }
 
-// CheckOnly returns the faults of the named objects. If all other objects are known
+// CheckObjects returns the faults of the named objects. If all other objects are known
 // to be valid, these are all faults of the document: of two objects that claim the
 // same address or service, the one added later is at fault.
-func (d Document) CheckOnly(templates, services, teams []string) []Fault {
+func (d Document) CheckObjects(templates, services, teams []string) []Fault {
 	c := &checker{document: d}
 	for _, name := range templates {
 		if t, ok := d.templates[name]; ok {
@@ -175,7 +175,7 @@
 			classes[class.Name] = true
 		}
 	}
-	for _, f := range t.First {
+	for _, f := range t.PriorityClasses {
 		if !classes[f] {
 			c.add(location, "first lists %q, which is not a class of its services", f)
 		}
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -68,10 +68,10 @@
 	// Team owns services and sets parameters within the bounds of its template. First
 	// lists its classes of traffic by priority, highest first.
 	Team struct {
-		Template   string           `json:"template"`
-		Services   []string         `json:"services"`
-		First      []string         `json:"first,omitempty"`
-		Parameters map[string]Value `json:"parameters,omitempty"`
+		Template        string           `json:"template"`
+		Services        []string         `json:"services"`
+		PriorityClasses []string         `json:"first,omitempty"`
+		Parameters      map[string]Value `json:"parameters,omitempty"`
 	}
 
 	// Document is the complete configuration. Its maps are shared by copies of the
@@ -87,13 +87,13 @@
 
 	// Fault is an error in a document and its location.
 	Fault struct {
-		Place string
-		Text  string
+		Location string
+		Text     string
 	}
 )
 
 // String returns the location and the text.
-func (f Fault) String() string { return f.Place + ": " + f.Text }
+func (f Fault) String() string { return f.Location + ": " + f.Text }
 
 // NewDocument returns an empty document.
 func NewDocument() Document {
@@ -300,7 +300,7 @@
 // the lowest priority.
 func (d Document) Classes(service string) []route.Class {
 	name, _ := d.TeamOf(service)
-	first := d.teams[name].First
+	first := d.teams[name].PriorityClasses
 	var classes []route.Class
 	for _, c := range d.services[service].Classes {
 		priority := slices.Index(first, c.Name)
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -68,12 +68,12 @@
 	taken := d.Clone()
 	g.Expect(taken.Put(KindService, "two", fmt.Appendf(nil, service, 1, 1))).To(gomega.Succeed())
 	g.Expect(taken.Put(KindTeam, "b", []byte(`{"template":"t","services":["one"]}`))).To(gomega.Succeed())
-	g.Expect(taken.CheckOnly(nil, []string{"two"}, []string{"b"})).To(gomega.HaveLen(3))
+	g.Expect(taken.CheckObjects(nil, []string{"two"}, []string{"b"})).To(gomega.HaveLen(3))
 	g.Expect(taken.Check()).To(gomega.HaveLen(3))
 
 	swapped := d.Clone()
 	g.Expect(swapped.Put(KindService, "two", fmt.Appendf(nil, service, 1, 1))).To(gomega.Succeed())
 	g.Expect(swapped.Put(KindService, "one", fmt.Appendf(nil, service, 2, 2))).To(gomega.Succeed())
-	g.Expect(swapped.CheckOnly(nil, []string{"one", "two"}, nil)).To(gomega.BeEmpty(), "an address released in the same change may be claimed")
+	g.Expect(swapped.CheckObjects(nil, []string{"one", "two"}, nil)).To(gomega.BeEmpty(), "an address released in the same change may be claimed")
 	g.Expect(d.Check()).To(gomega.BeEmpty(), "changing a clone must not change the original")
 }
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -101,7 +101,7 @@
 		return nil, err
 	}
 	for _, i := range c.Settings.Instances {
-		g.fabric.AddEntry(i.Name, i.Packets)
+		g.fabric.AddEntry(i.Name, i.PacketAddr)
 	}
 	g.callers = standin.NewCallers(g.fabric, g.ledger, c.Now)
 	for _, o := range c.Objects {
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -55,12 +55,12 @@
 		if instance.Domain == "" {
 			p.addFault(field+".domain", "must name a failure domain")
 		}
-		checkAddress(p, field+".packets", instance.Packets, "udp", addresses)
-		checkAddress(p, field+".control", instance.Control, "tcp", addresses)
-		if first, duplicate := folders[instance.Data]; duplicate && instance.Data != "" {
+		checkAddress(p, field+".packets", instance.PacketAddr, "udp", addresses)
+		checkAddress(p, field+".control", instance.ControlAddr, "tcp", addresses)
+		if first, duplicate := folders[instance.DataFolder]; duplicate && instance.DataFolder != "" {
 			p.addFault(field+".data", "is also the data folder of instances[%d]", first)
 		}
-		folders[instance.Data] = i
+		folders[instance.DataFolder] = i
 	}
 	if n := len(s.Voters()); n > maxVoters || len(s.Instances) > 0 && n == 0 {
 		p.addFault("instances", "%d of them have a data folder: 1 to %d must be control instances", n, maxVoters)
@@ -91,7 +91,7 @@
 			}
 		}
 	}
-	if s.Limits.RequestBytes < minRequestBytes {
+	if s.Limits.MaxRequestBytes < minRequestBytes {
 		p.addFault("limits.request_bytes", "must be at least %d", minRequestBytes)
 	}
 }
@@ -103,16 +103,16 @@
 			p.addFault("times."+field, "%s must be shorter than %s (%s)", short.Std(), other, long.Std())
 		}
 	}
-	requireShorter("beat", 2*t.Beat, t.Lease, "times.lease, which must hold two of them")
-	requireShorter("margin", t.Margin, t.Lease, "times.lease")
-	if minimum := t.Lease + 2*t.Margin + 2*t.Beat; t.IslandAfter < minimum {
+	requireShorter("beat", 2*t.HeartbeatInterval, t.Lease, "times.lease, which must hold two of them")
+	requireShorter("margin", t.ClockMargin, t.Lease, "times.lease")
+	if minimum := t.Lease + 2*t.ClockMargin + 2*t.HeartbeatInterval; t.IsolatedAfter < minimum {
 		p.addFault("times.island_after", "must be at least %s (lease + 2 margin + 2 beat): before, an entry elsewhere may hold a lease and not know of the partition", minimum.Std())
 	}
-	requireShorter("probe", t.Probe, t.HeardFor, "times.heard_for")
-	requireShorter("log_heartbeat", 2*t.LogHeartbeat, t.LogLease, "times.log_lease, which must hold two of them")
+	requireShorter("probe", t.ProbeInterval, t.PeerTimeout, "times.heard_for")
+	requireShorter("log_heartbeat", 2*t.LogHeartbeatInterval, t.LogLease, "times.log_lease, which must hold two of them")
 	requireShorter("log_drift", t.LogDrift, t.LogLease, "times.log_lease")
-	requireShorter("sweep_every", t.SweepEvery, t.SettleAfter, "times.settle_after")
-	requireShorter("check_timeout", t.CheckTimeout, 2*t.Check, "twice times.check")
+	requireShorter("sweep_every", t.SweepInterval, t.SettleAfter, "times.settle_after")
+	requireShorter("check_timeout", t.CheckTimeout, 2*t.CheckInterval, "twice times.check")
 }
 
 func (s Settings) checkTLS(p *parser) {
@@ -129,7 +129,7 @@
 		return
 	}
 	for i, instance := range s.Instances {
-		if hasAddrAndPort(instance.Control) && !instance.Control.Addr().IsLoopback() {
+		if hasAddrAndPort(instance.ControlAddr) && !instance.ControlAddr.Addr().IsLoopback() {
 			p.addFault(fmt.Sprintf("instances[%d].control", i), "must be a loopback address, since tls is not set")
 		}
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -19,59 +19,59 @@
 
 	// Instance is one entry instance of the fleet.
 	Instance struct {
-		Name    string         `json:"name"`
-		Domain  string         `json:"domain"`
-		Packets netip.AddrPort `json:"packets"` // Geneve over UDP
-		Control netip.AddrPort `json:"control"` // drpc over TCP
-		Data    string         `json:"data"`    // data folder of a control instance, empty for others
+		Name        string         `json:"name"`
+		Domain      string         `json:"domain"`
+		PacketAddr  netip.AddrPort `json:"packets"` // Geneve over UDP
+		ControlAddr netip.AddrPort `json:"control"` // drpc over TCP
+		DataFolder  string         `json:"data"`    // data folder of a control instance, empty for others
 	}
 
 	// Limits bounds the tables, queues and rates of an instance.
 	Limits struct {
-		Flows           int `json:"flows"`            // flow table entries
-		Records         int `json:"records"`          // records held for buckets in transition
-		Waiting         int `json:"waiting"`          // packets waiting for answers of peers
-		AsksASecond     int `json:"asks_a_second"`    // questions to peers per second
-		PushBytes       int `json:"push_bytes"`       // bytes per second of records sent to holders
-		ControlBytes    int `json:"control_bytes"`    // bytes per second of control traffic
-		Requests        int `json:"requests"`         // requests held
-		Decisions       int `json:"decisions"`        // decisions kept for the why command
-		MemoryMegabytes int `json:"memory_megabytes"` // heap size above which the budget counts as exceeded
-		CoreThousandths int `json:"core_thousandths"` // thousandths of a core for control
-		LogEntries      int `json:"log_entries"`      // log entries between snapshots
-		ChecksASecond   int `json:"checks_a_second"`  // health checks per second
-		SampleOneIn     int `json:"sample_one_in"`    // one in this many flows is traced
-		MovesAtOnce     int `json:"moves_at_once"`    // buckets moved at a time to balance load
-		OperatorCalls   int `json:"operator_calls"`   // concurrent calls
-		QueueBytes      int `json:"queue_bytes"`      // size of a socket buffer
-		RequestBytes    int `json:"request_bytes"`    // maximum size of a request
-		HeldAtPeer      int `json:"held_at_peer"`     // request keys held as second holder
-		RetryFloor      int `json:"retry_floor"`      // retries per second that are always allowed
+		MaxFlows              int `json:"flows"`            // flow table entries
+		MaxRecords            int `json:"records"`          // records held for buckets in transition
+		MaxWaiting            int `json:"waiting"`          // packets waiting for answers of peers
+		AsksPerSecond         int `json:"asks_a_second"`    // questions to peers per second
+		PushBytesPerSecond    int `json:"push_bytes"`       // bytes per second of records sent to holders
+		ControlBytesPerSecond int `json:"control_bytes"`    // bytes per second of control traffic
+		MaxRequests           int `json:"requests"`         // requests held
+		MaxDecisions          int `json:"decisions"`        // decisions kept for the why command
+		MemoryMegabytes       int `json:"memory_megabytes"` // heap size above which the budget counts as exceeded
+		CoreThousandths       int `json:"core_thousandths"` // thousandths of a core for control
+		LogEntries            int `json:"log_entries"`      // log entries between snapshots
+		ChecksPerSecond       int `json:"checks_a_second"`  // health checks per second
+		SampleOneIn           int `json:"sample_one_in"`    // one in this many flows is traced
+		MaxMovesPerRound      int `json:"moves_at_once"`    // buckets moved at a time to balance load
+		MaxOperatorCalls      int `json:"operator_calls"`   // concurrent calls
+		SocketBufferBytes     int `json:"queue_bytes"`      // size of a socket buffer
+		MaxRequestBytes       int `json:"request_bytes"`    // maximum size of a request
+		MaxHeldKeys           int `json:"held_at_peer"`     // request keys held as second holder
+		RetryFloor            int `json:"retry_floor"`      // retries per second that are always allowed
 	}
 
 	// Times holds the intervals and timeouts of an instance.
 	Times struct {
-		Beat         Duration `json:"beat"`           // interval of an entry's heartbeats to the leader
-		Probe        Duration `json:"probe"`          // interval of probes between entries
-		Lease        Duration `json:"lease"`          // duration of an entry's lease
-		Margin       Duration `json:"margin"`         // allowance for clock drift between instances
-		HeardFor     Duration `json:"heard_for"`      // how long after a probe a peer counts as reachable
-		IslandAfter  Duration `json:"island_after"`   // how long after its leases expired a partitioned failure domain serves by itself
-		SettleAfter  Duration `json:"settle_after"`   // how long a bucket must have no flows on other endpoints before its transition ends
-		ReturnWait   Duration `json:"return_wait"`    // how long to wait for the entries of a failure domain that is reachable again
-		PlaceEvery   Duration `json:"place_every"`    // interval of placement decisions
-		SweepEvery   Duration `json:"sweep_every"`    // interval of sweeps of the flow table
-		AskTimeout   Duration `json:"ask_timeout"`    // timeout of a question to peers
-		PushRetry    Duration `json:"push_retry"`     // time after which an unacknowledged push of records is repeated
-		HalfOpenLife Duration `json:"half_open_life"` // how long a flow without an answer is kept
-		LogHeartbeat Duration `json:"log_heartbeat"`  // heartbeat interval of the replicated log
-		LogLease     Duration `json:"log_lease"`      // lease of the replicated log's leader
-		LogDrift     Duration `json:"log_drift"`      // allowance for clock drift in that lease
-		Check        Duration `json:"check"`          // interval of health checks
-		CheckTimeout Duration `json:"check_timeout"`  // timeout of health checks and of calls to the platform
-		PlatformPoll Duration `json:"platform_poll"`  // interval of reading the platform's list of instances
-		Ramp         Duration `json:"ramp"`           // how long a new endpoint's share of new flows rises
-		StopTimeout  Duration `json:"stop_timeout"`   // time limit of a planned stop
+		HeartbeatInterval    Duration `json:"beat"`           // interval of an entry's heartbeats to the leader
+		ProbeInterval        Duration `json:"probe"`          // interval of probes between entries
+		Lease                Duration `json:"lease"`          // duration of an entry's lease
+		ClockMargin          Duration `json:"margin"`         // allowance for clock drift between instances
+		PeerTimeout          Duration `json:"heard_for"`      // how long after a probe a peer counts as reachable
+		IsolatedAfter        Duration `json:"island_after"`   // how long after its leases expired a partitioned failure domain serves by itself
+		SettleAfter          Duration `json:"settle_after"`   // how long a bucket must have no flows on other endpoints before its transition ends
+		ReturnTimeout        Duration `json:"return_wait"`    // how long to wait for the entries of a failure domain that is reachable again
+		PlacementInterval    Duration `json:"place_every"`    // interval of placement decisions
+		SweepInterval        Duration `json:"sweep_every"`    // interval of sweeps of the flow table
+		AskTimeout           Duration `json:"ask_timeout"`    // timeout of a question to peers
+		PushRetryInterval    Duration `json:"push_retry"`     // time after which an unacknowledged push of records is repeated
+		HalfOpenTimeout      Duration `json:"half_open_life"` // how long a flow without an answer is kept
+		LogHeartbeatInterval Duration `json:"log_heartbeat"`  // heartbeat interval of the replicated log
+		LogLease             Duration `json:"log_lease"`      // lease of the replicated log's leader
+		LogDrift             Duration `json:"log_drift"`      // allowance for clock drift in that lease
+		CheckInterval        Duration `json:"check"`          // interval of health checks
+		CheckTimeout         Duration `json:"check_timeout"`  // timeout of health checks and of calls to the platform
+		PlatformPollInterval Duration `json:"platform_poll"`  // interval of reading the platform's list of instances
+		Ramp                 Duration `json:"ramp"`           // how long a new endpoint's share of new flows rises
+		StopTimeout          Duration `json:"stop_timeout"`   // time limit of a planned stop
 	}
 
 	// TLS names the PEM files for mutual TLS on the control addresses. All are set, or
@@ -128,17 +128,17 @@
 	const ms = Duration(time.Millisecond)
 	return Settings{
 		Limits: Limits{
-			Flows: 200_000, Records: 100_000, Waiting: 1024, AsksASecond: 500, PushBytes: 2000, ControlBytes: 3000,
-			Requests: 20_000, Decisions: 2000, MemoryMegabytes: 64, CoreThousandths: 13, LogEntries: 4096,
-			ChecksASecond: 50, SampleOneIn: 1000, MovesAtOnce: 8, OperatorCalls: 32, QueueBytes: 4 << 20,
-			RequestBytes: 1152, HeldAtPeer: 40_000, RetryFloor: 10,
+			MaxFlows: 200_000, MaxRecords: 100_000, MaxWaiting: 1024, AsksPerSecond: 500, PushBytesPerSecond: 2000, ControlBytesPerSecond: 3000,
+			MaxRequests: 20_000, MaxDecisions: 2000, MemoryMegabytes: 64, CoreThousandths: 13, LogEntries: 4096,
+			ChecksPerSecond: 50, SampleOneIn: 1000, MaxMovesPerRound: 8, MaxOperatorCalls: 32, SocketBufferBytes: 4 << 20,
+			MaxRequestBytes: 1152, MaxHeldKeys: 40_000, RetryFloor: 10,
 		},
 		Times: Times{
-			Beat: 300 * ms, Probe: 400 * ms, Lease: 1500 * ms, Margin: 150 * ms, HeardFor: 1300 * ms, IslandAfter: 2400 * ms,
-			SettleAfter: 2500 * ms, ReturnWait: 5000 * ms, PlaceEvery: 250 * ms, SweepEvery: 1000 * ms,
-			AskTimeout: 60 * ms, PushRetry: 250 * ms, HalfOpenLife: 2000 * ms,
-			LogHeartbeat: 100 * ms, LogLease: 600 * ms, LogDrift: 60 * ms,
-			Check: 500 * ms, CheckTimeout: 400 * ms, PlatformPoll: 1000 * ms, Ramp: 8000 * ms, StopTimeout: 20_000 * ms,
+			HeartbeatInterval: 300 * ms, ProbeInterval: 400 * ms, Lease: 1500 * ms, ClockMargin: 150 * ms, PeerTimeout: 1300 * ms, IsolatedAfter: 2400 * ms,
+			SettleAfter: 2500 * ms, ReturnTimeout: 5000 * ms, PlacementInterval: 250 * ms, SweepInterval: 1000 * ms,
+			AskTimeout: 60 * ms, PushRetryInterval: 250 * ms, HalfOpenTimeout: 2000 * ms,
+			LogHeartbeatInterval: 100 * ms, LogLease: 600 * ms, LogDrift: 60 * ms,
+			CheckInterval: 500 * ms, CheckTimeout: 400 * ms, PlatformPollInterval: 1000 * ms, Ramp: 8000 * ms, StopTimeout: 20_000 * ms,
 		},
 		Log: Log{Level: "info"},
 	}
@@ -180,7 +180,7 @@
 func (s Settings) Voters() []string {
 	var names []string
 	for _, i := range s.Instances {
-		if i.Data != "" {
+		if i.DataFolder != "" {
 			names = append(names, i.Name)
 		}
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -26,8 +26,8 @@
 	g := gomega.NewWithT(t)
 	s, faults := Parse([]byte(validSettings))
 	g.Expect(faults).To(gomega.BeEmpty())
-	g.Expect(s.Times.Beat.Std().Milliseconds()).To(gomega.Equal(int64(200)))
-	g.Expect(s.Limits.Flows).To(gomega.Equal(Default().Limits.Flows), "fields that are not set keep their defaults")
+	g.Expect(s.Times.HeartbeatInterval.Std().Milliseconds()).To(gomega.Equal(int64(200)))
+	g.Expect(s.Limits.MaxFlows).To(gomega.Equal(Default().Limits.MaxFlows), "fields that are not set keep their defaults")
 	g.Expect(s.Voters()).To(gomega.Equal([]string{"a"}))
 }
 
--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -66,8 +66,8 @@
 			return nil, err
 		}
 		f.settings.Instances = append(f.settings.Instances, settings.Instance{
-			Name: fmt.Sprint("control", n), Domain: fmt.Sprint("d", n), Control: control,
-			Packets: netip.MustParseAddrPort("127.0.0.1:0"), Data: filepath.Join(folder, fmt.Sprint(n)),
+			Name: fmt.Sprint("control", n), Domain: fmt.Sprint("d", n), ControlAddr: control,
+			PacketAddr: netip.MustParseAddrPort("127.0.0.1:0"), DataFolder: filepath.Join(folder, fmt.Sprint(n)),
 		})
 	}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -114,7 +114,7 @@
 			}
 			attempts++
 			var err error
-			if client, closeConn, err = instance.Dial(ctx, target.Control, s.TLS); err != nil {
+			if client, closeConn, err = instance.Dial(ctx, target.ControlAddr, s.TLS); err != nil {
 				client = nil
 			}
 		}
@@ -157,7 +157,7 @@
 
 // call makes a request to the target control instance on a new connection.
 func (f *fleet) call(ctx context.Context, request func(wire.DRPCControlClient) error) error {
-	client, closeConn, err := instance.Dial(ctx, f.settings.Instances[f.target].Control, f.settings.TLS)
+	client, closeConn, err := instance.Dial(ctx, f.settings.Instances[f.target].ControlAddr, f.settings.TLS)
 	if err != nil {
 		return err
 	}
