--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -46,9 +46,9 @@
 		Repeatable bool           `json:"repeatable,omitempty"`
 	}
 
-	// Endpoint is an address on a backend server where a service runs. Slots is how
-	// many requests it runs concurrently, Connections its maximum number of flows. A
-	// leaving endpoint gets no new work.
+	// Endpoint is an address on a backend server where a service runs. Health is the
+	// address of its health check, Slots how many requests it runs concurrently, and
+	// Connections its maximum number of flows. A leaving endpoint gets no new work.
 	Endpoint struct {
 		Name        string         `json:"name"`
 		Address     netip.AddrPort `json:"address"`
--- a/internal/intent/intent_test.go
+++ b/internal/intent/intent_test.go
@@ -53,9 +53,9 @@
 	})
 }
 
-// TestCheckOnlyEqualsCheck guards against faults that are missed when only the
+// TestCheckObjectsMatchesCheck guards against faults that are missed when only the
 // changed objects are checked.
-func TestCheckOnlyEqualsCheck(t *testing.T) {
+func TestCheckObjectsMatchesCheck(t *testing.T) {
 	g := gomega.NewWithT(t)
 	service := `{"classes":[{"name":"c","address":"192.0.2.%d:443","protocol":"tcp","kind":"flow"}],` +
 		`"endpoints":[{"name":"a","address":"127.0.0.1:%d","domain":"d","slots":1,"connections":1}]}`
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,13 +17,14 @@
 	// Duration is a time.Duration whose JSON form is a string such as "300ms".
 	Duration time.Duration
 
-	// Instance is one entry instance of the fleet.
+	// Instance is an entry of the fleet, which is a control instance too if it has a data
+	// folder.
 	Instance struct {
 		Name        string         `json:"name"`
 		Domain      string         `json:"domain"`
 		PacketAddr  netip.AddrPort `json:"packets"` // Geneve over UDP
 		ControlAddr netip.AddrPort `json:"control"` // drpc over TCP
-		DataFolder  string         `json:"data"`    // data folder of a control instance, empty for others
+		DataFolder  string         `json:"data"`    // path, empty if it is not a control instance
 	}
 
 	// Limits bounds the tables, queues and rates of an instance.
