--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -26,14 +26,14 @@
 
 	// member is the state of one entry.
 	member struct {
-		name, domain string
-		incarnation  uint64
-		leaseUntil   time.Time // by the controller's clock, including the margin
-		lastBeat     time.Time
-		appliedIndex uint64
-		countedIndex uint64
-		beatReceived bool // by this controller, from this incarnation
-		counts       map[bucketKey]flowCount
+		name, domain      string
+		incarnation       uint64
+		leaseUntil        time.Time // by the controller's clock, including the margin
+		lastHeartbeat     time.Time
+		appliedIndex      uint64
+		countedIndex      uint64
+		heartbeatReceived bool // by this controller, from this incarnation
+		counts            map[bucketKey]flowCount
 	}
 
 	// flowCount is the number of flows of a bucket on other endpoints than its current
@@ -99,7 +99,7 @@
 	for _, m := range state.Table().Members() {
 		k.members[m.Name()] = &member{
 			name: m.Name(), domain: m.Domain(), incarnation: m.Incarnation(),
-			leaseUntil: now.Add(c.Lease + c.ClockMargin), lastBeat: now, counts: map[bucketKey]flowCount{},
+			leaseUntil: now.Add(c.Lease + c.ClockMargin), lastHeartbeat: now, counts: map[bucketKey]flowCount{},
 		}
 	}
 	return k
@@ -130,7 +130,7 @@
 	if m == nil || m.incarnation != r.Incarnation {
 		m = k.replaceIncarnation(m, r)
 	}
-	m.lastBeat, m.appliedIndex, m.beatReceived = now, r.Applied, true
+	m.lastHeartbeat, m.appliedIndex, m.heartbeatReceived = now, r.Applied, true
 	k.recordCounts(m, r)
 	for _, l := range r.Loads {
 		k.assessor.AddReport(now, r.Name, health.Report{
@@ -226,7 +226,7 @@
 	for _, m := range k.state.Table().Members() {
 		s := MemberStatus{Name: m.Name(), Domain: m.Domain()}
 		if known := k.members[m.Name()]; known != nil {
-			s.Applied, s.SinceHeartbeat, s.Leased = known.appliedIndex, now.Sub(known.lastBeat), now.Before(known.leaseUntil)
+			s.Applied, s.SinceHeartbeat, s.Leased = known.appliedIndex, now.Sub(known.lastHeartbeat), now.Before(known.leaseUntil)
 		}
 		all = append(all, s)
 	}
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -54,9 +54,9 @@
 // listedUntil returns when an entry is removed: after its lease, or when it had
 // enough time since a heartbeat to catch up with the log and get a lease.
 func (k *Controller) listedUntil(m *member) time.Time {
-	beatDeadline := m.lastBeat.Add(k.config.Lease + k.config.ClockMargin)
-	if beatDeadline.After(m.leaseUntil) {
-		return beatDeadline
+	heartbeatDeadline := m.lastHeartbeat.Add(k.config.Lease + k.config.ClockMargin)
+	if heartbeatDeadline.After(m.leaseUntil) {
+		return heartbeatDeadline
 	}
 	return m.leaseUntil
 }
@@ -216,7 +216,7 @@
 // since it applied an index.
 func (k *Controller) allMembersCounted(now time.Time, since uint64) bool {
 	for _, m := range k.members {
-		if now.Before(m.leaseUntil) && (!m.beatReceived || m.countedIndex < since) {
+		if now.Before(m.leaseUntil) && (!m.heartbeatReceived || m.countedIndex < since) {
 			return false
 		}
 	}
--- a/internal/entry/entry_test.go
+++ b/internal/entry/entry_test.go
@@ -56,14 +56,14 @@
 
 func TestForwardAllTransportsAndFamilies(t *testing.T) {
 	for id, addr := range map[uint16]string{1: "192.0.2.1:443", 2: "[2001:db8::1]:443"} {
-		caller := netip.MustParseAddrPort("10.0.0.1:4000")
+		client := netip.MustParseAddrPort("10.0.0.1:4000")
 		if id == 2 {
-			caller = netip.MustParseAddrPort("[2001:db8::7]:4000")
+			client = netip.MustParseAddrPort("[2001:db8::7]:4000")
 		}
 		for _, transport := range []packet.Transport{packet.TCP, packet.UDP} {
 			g := gomega.NewWithT(t)
 			c := newCore(t)
-			tuple := packet.NewTuple(caller, netip.MustParseAddrPort(addr), transport)
+			tuple := packet.NewTuple(client, netip.MustParseAddrPort(addr), transport)
 			sends, inner := handlePacket(t, c, netip.AddrPort{}, tuple, packet.NewFlags(true, false, false, false))
 			g.Expect(sends).To(gomega.HaveLen(1), "%s %s", addr, transport)
 			g.Expect(sends[0].Target).To(gomega.Equal(ToBackend))
--- a/internal/flow/answer.go
+++ b/internal/flow/answer.go
@@ -100,8 +100,8 @@
 	return e.verdictOnAnswer(true, v, ByAnswer)
 }
 
-func (e *Engine) verdictOnAnswer(held bool, v Verdict, reason Reason) Verdict {
-	if !held {
+func (e *Engine) verdictOnAnswer(matches bool, v Verdict, reason Reason) Verdict {
+	if !matches {
 		v.action, v.reason = Drop, WrongEndpoint
 		return v
 	}
@@ -127,12 +127,12 @@
 // answer that proves the handshake adds the flow to the cache. Others are checked
 // against the bucket's endpoint, by its owner if the bucket is in transition.
 func (e *Engine) answerUnknown(now time.Time, v Verdict, p *packet.Packet) Verdict {
-	t, open := v.service.Transition(v.bucket)
+	t, inTransition := v.service.Transition(v.bucket)
 	switch {
 	case provesHandshake(p):
 		e.cacheFlow(now, v, p, v.endpoint.ID(), false)
 		return e.verdictOnAnswer(true, v, ByAnswer)
-	case !open && !e.view.Table.Uncertain() && now.Before(e.view.LeaseUntil):
+	case !inTransition && !e.view.Table.Uncertain() && now.Before(e.view.LeaseUntil):
 		return e.verdictOnAnswer(v.service.Current(v.bucket) == v.endpoint.ID(), v, BySettled)
 	case !now.Before(e.view.LeaseUntil):
 		return e.verdictOnAnswer(p.Flags().Accepts(), v, ByAnswer)
@@ -141,7 +141,7 @@
 	if owner != e.config.Self {
 		return e.relayAnswer(v, p, owner)
 	}
-	if !open {
+	if !inTransition {
 		t = settledTransition(v.service.Current(v.bucket))
 	}
 	id := v.endpoint.ID()
--- a/internal/flow/holder.go
+++ b/internal/flow/holder.go
@@ -203,7 +203,7 @@
 func (e *Engine) dropSettled(key bucketKey, next *View) {
 	s := next.Table.Service(key.service)
 	if s != nil {
-		if _, open := s.Transition(key.bucket); open {
+		if _, inTransition := s.Transition(key.bucket); inTransition {
 			return
 		}
 		if next.Table.Uncertain() || next.Isolated {
--- a/internal/flow/lease.go
+++ b/internal/flow/lease.go
@@ -58,7 +58,7 @@
 // reachable endpoint that is the same on every entry of the domain.
 func (e *Engine) isolatedEndpoint(v Verdict) uint32 {
 	preferred := v.service.Current(v.bucket)
-	if t, open := v.service.Transition(v.bucket); open {
+	if t, inTransition := v.service.Transition(v.bucket); inTransition {
 		preferred = t.NewFlowEndpoint(e.view.Active)
 	}
 	if e.acceptsNewFlows(preferred) {
--- a/internal/flow/sweep.go
+++ b/internal/flow/sweep.go
@@ -30,7 +30,7 @@
 		flowsElsewhere  map[bucketKey]uint32
 		connections     map[uint32]uint32
 		bucketsToReport map[bucketKey]bool
-		lastCount       SweepResult
+		lastResult      SweepResult
 		lastRun         time.Time
 		remainder       float64
 	}
@@ -45,7 +45,7 @@
 func (s *sweeper) reportAgain(key bucketKey) { s.bucketsToReport[key] = true }
 
 // LastSweep returns the result of the last complete pass.
-func (e *Engine) LastSweep() SweepResult { return e.sweep.lastCount }
+func (e *Engine) LastSweep() SweepResult { return e.sweep.lastResult }
 
 // Tick expires questions, sends pushes and continues the scan of cached flows.
 func (e *Engine) Tick(now time.Time) {
@@ -73,12 +73,12 @@
 
 // finishPass publishes the result of a pass and starts the next one.
 func (e *Engine) finishPass() {
-	count := SweepResult{Index: e.sweep.startIndex, Connections: e.sweep.connections}
+	result := SweepResult{Index: e.sweep.startIndex, Connections: e.sweep.connections}
 	e.countRecords()
 	for key, flows := range e.sweep.flowsElsewhere {
-		count.Buckets = append(count.Buckets, BucketFlows{key.service, key.bucket, flows, uint32(e.push.unconfirmed(key))})
+		result.Buckets = append(result.Buckets, BucketFlows{key.service, key.bucket, flows, uint32(e.push.unconfirmed(key))})
 	}
-	e.sweep.lastCount = count
+	e.sweep.lastResult = result
 	e.sweep.startIndex = e.view.Table.Index()
 	e.sweep.flowsElsewhere = map[bucketKey]uint32{}
 	e.sweep.connections = map[uint32]uint32{}
@@ -95,7 +95,7 @@
 		if s == nil || len(h.flows) == 0 {
 			continue
 		}
-		if _, open := s.Transition(key.bucket); open {
+		if _, inTransition := s.Transition(key.bucket); inTransition {
 			continue
 		}
 		var elsewhere uint32
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -18,7 +18,7 @@
 	controlTick       = 20 * time.Millisecond
 	callTimeout       = 600 * time.Millisecond // of heartbeats and log messages
 	stopLogInterval   = 5                      // heartbeats between log lines during a planned stop
-	minReportInterval = 4                      // every so many heartbeats, counts are sent regardless of the budget
+	maxReportInterval = 4                      // every so many heartbeats, counts are sent regardless of the budget
 )
 
 type (
@@ -167,7 +167,7 @@
 	size := proto.Size(r) + 2*callOverheadBytes
 	count := c.instance.traffic.report.Load().sweep
 	full := c.core.NextHeartbeat(count, c.lastLoads)
-	if c.heartbeats%minReportInterval == 0 || c.instance.budget.tryCharge(now, proto.Size(full)-proto.Size(r)) {
+	if c.heartbeats%maxReportInterval == 0 || c.instance.budget.tryCharge(now, proto.Size(full)-proto.Size(r)) {
 		r = full
 	}
 	c.instance.budget.charge(now, size)
--- a/internal/instance/leader.go
+++ b/internal/instance/leader.go
@@ -301,11 +301,11 @@
 	grant := l.ctl.Beat(now, r, true)
 	reply.Leader, reply.LeaseNanos, reply.Active = true, int64(grant.Lease), grant.Active
 	feed := controller.Feed{
-		Entries: func(from uint64, most int) ([]*wire.LogEntry, bool) {
+		Entries: func(from uint64, maxBytes int) ([]*wire.LogEntry, bool) {
 			if from > l.state.Index() {
 				return nil, true
 			}
-			return l.replica.Entries(from, most)
+			return l.replica.Entries(from, maxBytes)
 		},
 		Snapshot: l.currentSnapshot,
 	}
--- a/internal/instance/why.go
+++ b/internal/instance/why.go
@@ -61,7 +61,7 @@
 			continue
 		}
 		for _, d := range got.Decisions {
-			if slices.ContainsFunc(reply.Decisions, func(told *wire.Decision) bool { return sameRecomputation(told, d) }) {
+			if slices.ContainsFunc(reply.Decisions, func(known *wire.Decision) bool { return sameRecomputation(known, d) }) {
 				same++
 				continue
 			}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -74,7 +74,7 @@
 		config   Config
 		ledger   *standin.Ledger
 		fabric   *standin.Fabric
-		callers  *standin.Callers
+		clients  *standin.Callers
 		backends map[string][]*standin.Backend
 		classes  []intent.Class
 		group    sync.WaitGroup
@@ -103,7 +103,7 @@
 	for _, i := range c.Settings.Instances {
 		g.fabric.AddEntry(i.Name, i.Packets)
 	}
-	g.callers = standin.NewCallers(g.fabric, g.ledger, c.Now)
+	g.clients = standin.NewCallers(g.fabric, g.ledger, c.Now)
 	for _, o := range c.Objects {
 		if o.Kind != intent.KindService {
 			continue
@@ -219,11 +219,11 @@
 }
 
 func (g *generator) startFlow(ctx context.Context, class intent.Class) {
-	g.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: g.config.PacketInterval, Lasts: g.config.FlowDuration})
+	g.clients.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: g.config.PacketInterval, Lasts: g.config.FlowDuration})
 }
 
 func (g *generator) sendRequest(ctx context.Context, class intent.Class) {
-	g.callers.Request(ctx, standin.RequestConfig{Class: class.Name, To: class.Address, Once: !class.Repeatable, Deadline: g.config.Deadline})
+	g.clients.Request(ctx, standin.RequestConfig{Class: class.Name, To: class.Address, Once: !class.Repeatable, Deadline: g.config.Deadline})
 }
 
 // imbalance returns, by service, the highest number of flows of an endpoint divided by
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -64,7 +64,7 @@
 
 // Leased returns the reachable members whose last probe reported a lease.
 func (t *Tracker) Leased(now time.Time, table *route.Table) []string {
-	return t.filter(now, table, func(h peerState) bool { return h.leased })
+	return t.filter(now, table, func(p peerState) bool { return p.leased })
 }
 
 func (t *Tracker) filter(now time.Time, table *route.Table, keep func(peerState) bool) []string {
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -139,12 +139,12 @@
 				rng := rand.New(rand.NewPCG(1, 2))
 				var ratios []float64
 				for range draws {
-					held := map[uint32]int{}
+					flowsOn := map[uint32]int{}
 					highest := 0
 					for range flows {
 						e := s.Current(s.Bucket(route.FlowID{High: rng.Uint64()}))
-						held[e]++
-						highest = max(highest, held[e])
+						flowsOn[e]++
+						highest = max(highest, flowsOn[e])
 					}
 					ratios = append(ratios, float64(highest)*endpoints/float64(flows))
 				}
--- a/internal/work/engine.go
+++ b/internal/work/engine.go
@@ -46,7 +46,7 @@
 		// An entry outside the partition may run it, so it can be neither run nor
 		// refused here.
 		if m.IsRequest() {
-			e.sendToCaller(p.Tuple(), UnknownMessage(m.Token, m.MessageID))
+			e.sendToClient(p.Tuple(), UnknownMessage(m.Token, m.MessageID))
 			e.events = append(e.events, Event{Service: service.ID(), Token: m.Token, Caller: p.Tuple(), State: Unknown, Cause: CutOff})
 		}
 		return
@@ -56,7 +56,7 @@
 		o.bufferEarly(0, p.Inner())
 		return
 	}
-	e.handleCaller(now, service, o, class, p.Tuple(), m)
+	e.handleClient(now, service, o, class, p.Tuple(), m)
 }
 
 // ownerOf returns the owner of a service's requests. In an isolated failure domain
@@ -107,8 +107,8 @@
 	e.out = append(e.out, Output{Kind: kind, Peer: owner, Inner: slices.Clone(p.Inner()), Relay: r})
 }
 
-// handleCaller processes a caller's message at the owner.
-func (e *Engine) handleCaller(now time.Time, s *route.Service, o *ownership, class *route.Class, tuple packet.Tuple, m Message) {
+// handleClient processes a caller's message at the owner.
+func (e *Engine) handleClient(now time.Time, s *route.Service, o *ownership, class *route.Class, tuple packet.Tuple, m Message) {
 	if m.IsReset() {
 		e.cancel(now, o, tuple, m.MessageID)
 		return
@@ -122,7 +122,7 @@
 		return
 	}
 	if m.Type == message.Confirmable {
-		e.sendToCaller(tuple, AckMessage(m.MessageID))
+		e.sendToClient(tuple, AckMessage(m.MessageID))
 	}
 	requestLife := s.Policy().RequestLife
 	left, hasDeadline := m.TimeLeft()
@@ -174,13 +174,13 @@
 	e.stats.Duplicates++
 	switch {
 	case r.state == Lost:
-		e.sendToCaller(tuple, UnknownMessage(m.Token, m.MessageID))
+		e.sendToClient(tuple, UnknownMessage(m.Token, m.MessageID))
 	case r.answer != nil:
 		repeated := *r.answer
 		repeated.MessageID = m.MessageID
-		e.sendToCaller(tuple, repeated)
+		e.sendToClient(tuple, repeated)
 	case m.Type == message.Confirmable:
-		e.sendToCaller(tuple, AckMessage(m.MessageID))
+		e.sendToClient(tuple, AckMessage(m.MessageID))
 	}
 }
 
@@ -188,7 +188,7 @@
 // the queue is full, the last request of the lowest class is displaced.
 func (e *Engine) admit(now time.Time, o *ownership, r *request) {
 	policy := e.view.Table.Service(o.service).Policy()
-	if number, asked := r.message.Block(); asked && number > 0 {
+	if number, blockwise := r.message.Block(); blockwise && number > 0 {
 		t, ok := o.transfers[e.transferKeyOf(r)]
 		if !ok {
 			e.finish(o, r, Refused, AnswerGone, RestartMessage(r.message.Token, r.message.MessageID))
--- a/internal/work/finish.go
+++ b/internal/work/finish.go
@@ -45,11 +45,11 @@
 	answer.MessageID = r.message.MessageID
 	r.answer = &answer
 	e.transition(o, r, s, cause, 0)
-	e.sendToCaller(r.tuple, answer)
+	e.sendToClient(r.tuple, answer)
 }
 
-func (e *Engine) sendToCaller(caller packet.Tuple, m Message) {
-	inner, err := buildPacket(caller.Reverse(), m)
+func (e *Engine) sendToClient(client packet.Tuple, m Message) {
+	inner, err := buildPacket(client.Reverse(), m)
 	if err != nil {
 		e.stats.Overflow++
 		return
--- a/internal/work/handover.go
+++ b/internal/work/handover.go
@@ -266,7 +266,7 @@
 			continue
 		}
 		if _, class := e.view.Table.Lookup(route.ServiceKey{Addr: p.Tuple().Dst(), Transport: packet.UDP}); class != nil {
-			e.handleCaller(now, s, o, class, p.Tuple(), m)
+			e.handleClient(now, s, o, class, p.Tuple(), m)
 		}
 	}
 }
--- a/internal/work/message.go
+++ b/internal/work/message.go
@@ -90,7 +90,7 @@
 }
 
 // Block returns the block number of the Block2 option, and whether there is one.
-func (m Message) Block() (number uint32, asked bool) {
+func (m Message) Block() (number uint32, present bool) {
 	const numberShift = 4
 	value, err := m.Options.GetUint32(message.Block2)
 	return value >> numberShift, err == nil
--- a/internal/work/overload_test.go
+++ b/internal/work/overload_test.go
@@ -190,7 +190,7 @@
 		case ToBackend:
 			o.handleBackend(out.Endpoint, p, m)
 		case ToCaller:
-			o.handleCaller(p, m)
+			o.handleClient(p, m)
 		}
 	}
 	o.engine.TakeEvents()
@@ -226,7 +226,7 @@
 	})
 }
 
-func (o *overloadSim) handleCaller(p *packet.Packet, m Message) {
+func (o *overloadSim) handleClient(p *packet.Packet, m Message) {
 	number := binary.BigEndian.Uint64(m.Token)
 	switch m.Code {
 	case codes.Content:
--- a/internal/work/owner.go
+++ b/internal/work/owner.go
@@ -52,7 +52,7 @@
 	}
 
 	messageKey struct {
-		caller    route.FlowID
+		client    route.FlowID
 		messageID int32
 	}
 
@@ -63,7 +63,7 @@
 	}
 
 	transferKey struct {
-		caller route.FlowID
+		client route.FlowID
 		path   string
 	}
 
--- a/internal/work/queue.go
+++ b/internal/work/queue.go
@@ -8,8 +8,8 @@
 // queue orders the queued requests by priority and deadline. To prevent starvation,
 // lower priorities get a share of the grants while a higher one has requests queued.
 type queue struct {
-	classes     [][]*request // by priority, 0 first; each sorted by deadline
-	laterCredit float64      // fraction of a grant that lower priorities have earned
+	classes             [][]*request // by priority, 0 first; each sorted by deadline
+	lowerPriorityCredit float64      // fraction of a grant that lower priorities have earned
 }
 
 func (q *queue) len() int {
@@ -52,11 +52,11 @@
 	if first == nil {
 		return nil
 	}
-	if q.laterCredit+share < 1 {
+	if q.lowerPriorityCredit+share < 1 {
 		return first
 	}
-	if later := q.firstFitting(first.class.Priority+1, fits); later != nil {
-		return later
+	if lower := q.firstFitting(first.class.Priority+1, fits); lower != nil {
+		return lower
 	}
 	return first
 }
@@ -69,9 +69,9 @@
 	}
 	switch {
 	case waiting:
-		q.laterCredit += share
-	case q.laterCredit+share >= 1:
-		q.laterCredit = 0
+		q.lowerPriorityCredit += share
+	case q.lowerPriorityCredit+share >= 1:
+		q.lowerPriorityCredit = 0
 	}
 }
 
--- a/internal/work/retry.go
+++ b/internal/work/retry.go
@@ -16,7 +16,9 @@
 
 const maxRetryBalance = 100 // retries that can accumulate
 
-func newRetryBudget(floor float64) retryBudget { return retryBudget{perSecond: floor, balance: floor} }
+func newRetryBudget(perSecond float64) retryBudget {
+	return retryBudget{perSecond: perSecond, balance: perSecond}
+}
 
 // deposit adds the share of a retry that a first attempt allows.
 func (b *retryBudget) deposit(share float64) { b.balance = min(b.balance+share, maxRetryBalance) }
