--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -17,7 +17,7 @@
 	Config struct {
 		Lease             time.Duration // how long a heartbeat lets an entry decide
 		ClockMargin       time.Duration // maximum clock drift during one lease
-		SettleAfter       time.Duration // how long a bucket must have no flows elsewhere before it settles
+		SettleAfter       time.Duration // how long a bucket must have no flows on other endpoints before it settles
 		ReturnTimeout     time.Duration // how long to wait for the entries of a domain that is reachable again
 		PlacementInterval time.Duration // interval between placement rounds
 		MaxMovesPerRound  int           // maximum number of buckets moved per service and round to balance load
@@ -30,14 +30,14 @@
 		incarnation       uint64
 		leaseUntil        time.Time // by the controller's clock, including the margin
 		lastHeartbeat     time.Time
-		appliedIndex      uint64
-		countedIndex      uint64
-		heartbeatReceived bool // by this controller, from this incarnation
+		appliedIndex      uint64 // last log index that the entry has applied
+		countedIndex      uint64 // table index at which its last complete flow count began
+		heartbeatReceived bool   // by this controller, from this incarnation
 		counts            map[bucketKey]flowCount
 	}
 
 	// flowCount is the number of flows of a bucket on other endpoints than its current
-	// one, and how many of them its holders haven't confirmed.
+	// one, and how many of them its holders haven't acknowledged.
 	flowCount struct {
 		flows, pending uint32
 	}
@@ -45,8 +45,8 @@
 	// returnedDomain tracks a partitioned domain that is reachable again.
 	returnedDomain struct {
 		returnedAt  time.Time
-		returnIndex uint64 // of the state when it became reachable
-		reopenIndex uint64 // when active, its buckets with flows elsewhere are in transition
+		returnIndex uint64 // of the state when the domain became reachable
+		reopenIndex uint64 // when active, the buckets with flows on other endpoints are in transition
 	}
 
 	bucketKey struct {
@@ -71,7 +71,7 @@
 	Controller struct {
 		config           Config
 		state            *control.State
-		startIndex       uint64
+		startIndex       uint64 // last log index when the controller started; an entry has to apply it to get a lease
 		activeIndex      uint64
 		members          map[string]*member
 		joining          map[string]*wire.Member // entries to list, or to list as leaving
@@ -234,7 +234,7 @@
 }
 
 // FlowsElsewhere returns how many flows of a bucket aren't on its current endpoint: the
-// highest number that any entry reports.
+// highest number that an entry reports.
 func (k *Controller) FlowsElsewhere(service, bucket uint32) uint32 {
 	var maxFlows uint32
 	for _, m := range k.members {
--- a/internal/controller/feed.go
+++ b/internal/controller/feed.go
@@ -17,7 +17,8 @@
 	Snapshot func() (uint64, []byte, error)
 }
 
-// Fill adds the log entries or the snapshot chunk that r's sender needs to reply.
+// Fill adds to reply the log entries or the snapshot chunk that the sender of r needs
+// next.
 func (f Feed) Fill(reply *wire.BeatReply, r *wire.BeatRequest) error {
 	entries, ok := f.Entries(r.Applied+1, chunkBytes)
 	if ok {
--- a/internal/controller/membership.go
+++ b/internal/controller/membership.go
@@ -51,8 +51,9 @@
 	return commands
 }
 
-// listedUntil returns when an entry is removed: after its lease, or when it had
-// enough time since a heartbeat to catch up with the log and get a lease.
+// listedUntil returns when an entry is removed from the members: at the end of its
+// lease, or one lease after its last heartbeat if that is later, so that an entry
+// without a lease has time to catch up with the log.
 func (k *Controller) listedUntil(m *member) time.Time {
 	heartbeatDeadline := m.lastHeartbeat.Add(k.config.Lease + k.config.ClockMargin)
 	if heartbeatDeadline.After(m.leaseUntil) {
@@ -103,9 +104,9 @@
 	return commands
 }
 
-// resolveReturned clears domains that are reachable again. Once every entry has
+// resolveReturned resolves domains that are reachable again. Once every entry has
 // counted its flows since the return, it reopens the buckets with flows on other
-// endpoints; when that is active, it clears the domains.
+// endpoints. When that is active, it clears the marks of the domains.
 func (k *Controller) resolveReturned(now time.Time) []*wire.Command {
 	domains := k.state.Table().Returned()
 	if len(domains) == 0 {
@@ -154,7 +155,8 @@
 	return known
 }
 
-// sameIncarnations reports whether they are listed with the incarnations that they had.
+// sameIncarnations reports whether every entry that a domain had when it was
+// partitioned is listed with the same incarnation, and so still has its records.
 func (k *Controller) sameIncarnations(domain string) bool {
 	incarnations, known := k.lostIncarnations[domain]
 	for name, incarnation := range incarnations {
@@ -165,8 +167,9 @@
 	return known
 }
 
-// resolveLosses clears domains that returned without the records of failed
-// entries. After one idle timeout all flows in those records have ended or been reset.
+// resolveLosses clears the marks of domains that returned without the records of
+// failed entries. After one idle timeout, all flows of these records have ended or
+// been reset.
 func (k *Controller) resolveLosses(now time.Time) []*wire.Command {
 	domains := k.state.Table().ReturnedWithLoss()
 	if len(domains) == 0 {
--- a/internal/controller/place.go
+++ b/internal/controller/place.go
@@ -10,10 +10,11 @@
 )
 
 const (
-	// Each round looks at services that have changed, at minServicesPerRound others
-	// at least, and at all of them within roundsPerRotation rounds.
+	// minServicesPerRound is the minimum number of services that a round plans in
+	// rotation. Services that have changed are planned in every round.
 	minServicesPerRound = 64
-	roundsPerRotation   = 16
+	// roundsPerRotation is the number of rounds within which every service is planned.
+	roundsPerRotation = 16
 )
 
 // lastPlan is the input and outcome of the last plan of a service. It lets rounds
@@ -36,7 +37,7 @@
 		position++
 		due := (position+total-1-k.rotation%max(total, 1))%max(total, 1) < perRound
 		if !due && k.lastPlans[s.ID()].service == s {
-			return // unchanged, and its reports are checked when its turn comes
+			return // unchanged; its weights are updated when it is due
 		}
 		weights := k.assessor.Weights(now, s, table.EndpointsOf(s.ID()))
 		last := k.lastPlans[s.ID()]
--- a/internal/controller/transition.go
+++ b/internal/controller/transition.go
@@ -12,12 +12,13 @@
 // trackedTransition is the controller's state of a bucket in transition.
 type trackedTransition struct {
 	movedAt      uint64
-	stableSince  time.Time // since when no entry that knew of its flows was lost
-	drainedSince time.Time // since when no entry reports flows on another endpoint
+	stableSince  time.Time // start of the idle timeout, which restarts when an entry that may have flows of it is lost
+	drainedSince time.Time // when the entries began to report no flows on another endpoint; zero if they report some
 }
 
-// memberLost resets the wait of the buckets for which the entry reported flows or
-// hadn't counted them yet: other entries must see a packet of each of these flows.
+// memberLost restarts the idle timeout of the buckets for which a lost entry reported
+// flows or hadn't counted them yet: another entry must see a packet of each of these
+// flows to report it.
 func (k *Controller) memberLost(m *member) {
 	for key, t := range k.tracked {
 		if m.counts[key].flows > 0 || m.countedIndex < t.movedAt {
@@ -98,8 +99,8 @@
 		tracked.drainedSince = now
 	}
 	if k.state.Table().Uncertain() {
-		// Packets of unknown flows are dropped, so live flows may go unseen. They get a
-		// full idle timeout when the table is certain again.
+		// Packets of unknown flows are dropped, so live flows may go unseen. The idle
+		// timeout starts again when the table is certain.
 		tracked.stableSince = time.Time{}
 		return actionNone
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -16,7 +16,7 @@
 
 // Targets of a Send.
 const (
-	ToFabric  Target = iota // to the fabric, for a caller
+	ToFabric  Target = iota // to the fabric, for a client
 	ToBackend               // to an endpoint
 	ToPeer                  // to another entry
 )
@@ -148,7 +148,7 @@
 	}
 }
 
-// applyVerdict queues what the verdict on a caller's packet says to send.
+// applyVerdict queues the packet to send, if any, by the verdict on a client's packet.
 func (c *Core) applyVerdict(v flow.Verdict, p *packet.Packet) {
 	switch v.Action() {
 	case flow.Forward:
--- a/internal/flow/answer.go
+++ b/internal/flow/answer.go
@@ -9,8 +9,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Answer decides on a packet from the backend server at the given address. It is
-// forwarded to the caller only if that endpoint holds the flow.
+// Answer decides on a packet from the backend server at the given address. The packet
+// is forwarded to the client only if its flow is on that endpoint.
 func (e *Engine) Answer(now time.Time, from netip.AddrPort, p *packet.Packet) Verdict {
 	endpoint := e.view.Table.EndpointAt(from)
 	if relay, ok := p.Relay(); ok && relay.Kind() == packet.RelayCheck {
@@ -36,8 +36,8 @@
 	return got
 }
 
-// announceAccepted tells the peers from which endpoint a SYN-ACK was forwarded to
-// the caller. While domains are partitioned, entries may have sent repeated SYNs of
+// announceAccepted reports to the peers from which endpoint a SYN-ACK was forwarded
+// to the client. While domains are partitioned, entries may have sent repeated SYNs of
 // a flow to different endpoints; the first SYN-ACK that is forwarded decides.
 func (e *Engine) announceAccepted(v Verdict) {
 	if s := e.flows.get(v.id); s != nil && s.endpoint == v.endpoint.ID() && s.state == stateOpening {
@@ -83,15 +83,15 @@
 	return e.answerUnknown(now, v, p)
 }
 
-// provesHandshake reports whether an answer shows that its endpoint holds the flow.
+// provesHandshake reports whether an answer shows that its flow is on its endpoint.
 // A TCP segment that is neither SYN nor RST is sent only after the handshake.
 func provesHandshake(p *packet.Packet) bool {
 	return p.Tuple().Transport() == packet.TCP && !p.Flags().Accepts() && !p.Flags().Resets()
 }
 
-// correctEndpoint replaces the endpoint stored at the SYN by the one that completed
-// the handshake. A repeated SYN may have been sent to two endpoints while the views
-// of entries differed.
+// correctEndpoint replaces the endpoint that was stored at the SYN with the one that
+// completed the handshake. A repeated SYN may have been sent to two endpoints while
+// the views of entries differed.
 func (e *Engine) correctEndpoint(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	e.cacheFlow(now, v, p, v.endpoint.ID(), false)
 	if r, ok := e.records[v.id]; ok {
@@ -124,8 +124,8 @@
 }
 
 // answerUnknown decides on an answer of a flow that this entry doesn't know. An
-// answer that proves the handshake adds the flow to the cache. Others are checked
-// against the bucket's endpoint, by its owner if the bucket is in transition.
+// answer that proves the handshake adds the flow to the cache. Other answers are
+// checked against the bucket's endpoint, by the owner if the bucket is in transition.
 func (e *Engine) answerUnknown(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	t, inTransition := v.service.Transition(v.bucket)
 	switch {
--- a/internal/flow/ask.go
+++ b/internal/flow/ask.go
@@ -13,7 +13,7 @@
 	// maxAskedPeers bounds how many peers are asked about one flow. Packets of a flow
 	// are spread over all entries, so most entries know any flow with many packets.
 	maxAskedPeers = 16
-	// maxWaitingPackets bounds the waiting packets of one flow; callers retransmit.
+	// maxWaitingPackets bounds the waiting packets of one flow; clients retransmit.
 	maxWaitingPackets = 2
 )
 
@@ -27,7 +27,8 @@
 	deadline   time.Time
 }
 
-// ask holds the packet back and asks the peers for the endpoint of its flow.
+// ask holds the packet back and asks the peers for the endpoint of its flow. One
+// question per flow is enough, so later packets only wait for its outcome.
 func (e *Engine) ask(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	if q := e.questions[v.id]; q != nil {
 		if len(q.packets) < maxWaitingPackets {
@@ -131,8 +132,8 @@
 		return
 	}
 	if len(q.halfOpen) == 1 && len(e.view.Table.Partitioned()) == 0 {
-		// While a domain can't be asked, a SYN isn't enough: its entries may have
-		// sent a repeated SYN to another endpoint.
+		// While a domain is partitioned, a SYN isn't enough: an entry of the domain may
+		// have forwarded a repeated SYN to another endpoint.
 		e.resolve(now, q, q.halfOpen[0])
 		return
 	}
@@ -187,7 +188,8 @@
 	}
 }
 
-// onlyLossUnresolved reports whether the only uncertainty is about lost records.
+// onlyLossUnresolved reports whether the table is uncertain only because records were
+// lost, so that every entry can be asked.
 func (e *Engine) onlyLossUnresolved() bool {
 	t := e.view.Table
 	return len(t.ReturnedWithLoss()) > 0 && len(t.Partitioned())+len(t.Returned()) == 0
--- a/internal/flow/engine.go
+++ b/internal/flow/engine.go
@@ -27,7 +27,7 @@
 	// packet that waited for answers of peers.
 	Output struct {
 		Peer    string         // receiver of the message
-		Message *wire.Peer     // nil if Out is a packet
+		Message *wire.Peer     // nil if Packet is set
 		Packet  *packet.Packet // a packet that has waited
 		Verdict Verdict        // on the packet
 	}
@@ -47,7 +47,7 @@
 		records       map[route.FlowID]record
 		holdings      map[bucketKey]*holding
 		questions     map[route.FlowID]*question
-		questionQueue []*question // in the order of deadlines, including answered ones
+		questionQueue []*question // by deadline, including those already answered
 		askLimiter    *rate.Limiter
 		push          pusher
 		sweep         sweeper
@@ -90,7 +90,7 @@
 	return out
 }
 
-// Inbound decides on a packet from a caller.
+// Inbound decides on a packet from a client.
 func (e *Engine) Inbound(now time.Time, p *packet.Packet) Verdict {
 	tuple := p.Tuple()
 	service, _ := e.view.Table.Lookup(route.ServiceKey{Addr: tuple.Dst(), Transport: tuple.Transport()})
@@ -144,8 +144,8 @@
 // because a domain is or was partitioned. A forwarded SYN then proves nothing.
 func (e *Engine) placementUncertain() bool { return e.view.Isolated || e.view.Table.Uncertain() }
 
-// idleBeyondHalfOpen reports whether a flow has been idle for longer than a paused
-// entry that still holds its lease can have delayed a SYN of it.
+// idleBeyondHalfOpen reports whether a flow has been idle for so long that a SYN on
+// its tuple can't be one that was delayed by the pause of an entry with a lease.
 func (e *Engine) idleBeyondHalfOpen(now time.Time, s *slot) bool {
 	return time.Duration(e.flows.ticks(now)-s.lastSeen)*tick > e.config.HalfOpenTimeout
 }
@@ -195,9 +195,9 @@
 	return endpoint == nil || endpoint.Leaving()
 }
 
-// announceReuse tells the peers to forget the former flow of a tuple, so that none
-// of them forwards packets of the new flow to the former endpoint. This is rare: it
-// takes a caller's port to be reused within the idle timeout of a leaving endpoint.
+// announceReuse makes the peers forget the former flow of a tuple, so that none of
+// them forwards packets of the new flow to the former endpoint. This is rare: a
+// client has to reuse a port within the idle timeout of a flow on a leaving endpoint.
 func (e *Engine) announceReuse(v Verdict) {
 	forget := &wire.Peer{From: e.config.Self, Body: &wire.Peer_Forget{Forget: &wire.Forget{High: v.id.High, Low: v.id.Low}}}
 	for _, peer := range e.view.Reachable {
@@ -244,6 +244,8 @@
 	return e.decideAsOwner(now, v, p, t, second)
 }
 
+// settledTransition represents a settled bucket as a transition that is complete on
+// every entry.
 func settledTransition(endpoint uint32) route.Transition {
 	return route.Transition{Default: endpoint, Previous: endpoint, Current: endpoint, FlippedAt: 1}
 }
@@ -259,7 +261,8 @@
 	return e.ask(now, v, p)
 }
 
-// isUDP reports whether the packet is UDP, whose packets don't show a new flow.
+// isUDP reports whether the packet is UDP. A UDP packet doesn't show whether it opens
+// a flow.
 func isUDP(p *packet.Packet) bool { return p.Tuple().Transport() == packet.UDP }
 
 // relayTo relays a packet to the entry that decides on it.
@@ -299,8 +302,8 @@
 	return v
 }
 
-// cacheFlow caches the endpoint of a flow. The argument reported says that the
-// holders of its bucket know the flow.
+// cacheFlow caches the endpoint of a flow. The argument reported says whether the
+// holders of its bucket already have a record of it.
 func (e *Engine) cacheFlow(now time.Time, v Verdict, p *packet.Packet, endpoint uint32, reported bool) {
 	state := stateOpen
 	if p.Flags().Opens() {
--- a/internal/flow/engine_test.go
+++ b/internal/flow/engine_test.go
@@ -185,8 +185,8 @@
 	g.Expect(out[0].Verdict.Reason()).To(gomega.Equal(flow.NobodyKnows))
 }
 
-// Guards against a new owner placing flows by records before the former owner
-// knows of the change, which would send these flows to the default endpoint.
+// Guards against a new owner that places flows by records before the former owner has
+// applied the change of owner and stops sending these flows to the default endpoint.
 func TestNewOwnerWaitsForFormerOwner(t *testing.T) {
 	opened := newTable(2, func(b *route.Builder) {
 		b.RemoveMember("e0")
--- a/internal/flow/flow.go
+++ b/internal/flow/flow.go
@@ -4,8 +4,9 @@
 //
 // A flow hashes to a bucket, and the table assigns the bucket to an endpoint. A
 // bucket whose endpoint has changed is in transition: packets of flows that an
-// entry doesn't know are relayed to the bucket's owner. The owner and a second
-// holder keep a record of every flow that isn't on the bucket's default endpoint.
+// entry doesn't know are relayed to the bucket's owner. The owner and the second
+// holder, the two entries that rank highest for the bucket, keep a record of every
+// flow that isn't on the bucket's default endpoint.
 // The design is described in docs/design/flows.md.
 package flow
 
@@ -18,42 +19,42 @@
 
 // Actions on a packet.
 const (
-	Forward Action = iota // to the endpoint, or to the caller for an answer
+	Forward Action = iota // to the endpoint or, if the packet is an answer, to the client
 	Relay                 // to another entry
 	Drop
-	Reset  // drop, and reset the caller's TCP flow
+	Reset  // drop, and send a TCP reset to the client
 	Waited // held back until peers have answered
 )
 
 // Reasons of a verdict.
 const (
-	ByCache Reason = iota
-	ByRecord
-	BySettled
-	ByDefault
-	ByNew
-	ByAnswer
-	ByPeer
-	ByIsland
-	ToOwner
-	ToSecond
-	ToLeased
-	AskedPeers
+	ByCache    Reason = iota // the flow is cached
+	ByRecord                 // this entry has a record of the flow
+	BySettled                // the bucket isn't in transition
+	ByDefault                // the flow has no record, so it is on the default endpoint
+	ByNew                    // the flow is new and was placed by this entry
+	ByAnswer                 // the answer itself shows that its endpoint has the flow
+	ByPeer                   // a peer reported the endpoint of the flow
+	ByIsland                 // not in use
+	ToOwner                  // relayed to the owner of the bucket
+	ToSecond                 // relayed to the second holder of the bucket
+	ToLeased                 // relayed to an entry with a lease
+	AskedPeers               // waits for the answers of peers
 	UnknownService
 	NoEndpoint
 	NoLease
-	NobodyKnows
-	WithheldCut
+	NobodyKnows // no entry knows the flow
+	WithheldCut // an entry that can't be asked may know the flow
 	AskLimit
 	AskTimeout
 	RecordLimit
 	HopLimit
-	WrongEndpoint
-	UnknownSource
-	NotHeld
-	CrossService
-	EndpointFull
-	OwnerChanging
+	WrongEndpoint // the flow is on another endpoint than the one that answered
+	UnknownSource // the answer came from an address that is no endpoint
+	NotHeld       // not in use
+	CrossService  // the endpoint belongs to another service than the packet
+	EndpointFull  // not in use
+	OwnerChanging // the former owner may not have applied the change of owner yet
 	reasonCount
 )
 
@@ -101,7 +102,7 @@
 		Active           uint64         // changes up to this index may be used
 		LeaseUntil       time.Time      // when this entry's lease ends
 		Isolated         bool           // this failure domain is partitioned and decides without leases
-		Reachable        []string       // sorted names of the peers heard from recently
+		Reachable        []string       // sorted names of the peers that sent a probe recently
 		Leased           []string       // those of them with a lease
 		ReachableDomains []string       // reachable failure domains
 	}
@@ -162,7 +163,8 @@
 	Cached, Recorded uint32
 }
 
-// StoredFlow returns what is stored for the flow of a caller's tuple.
+// StoredFlow returns what is stored for the flow with the given tuple from the
+// client to the service.
 func (e *Engine) StoredFlow(t packet.Tuple) StoredFlow {
 	k := StoredFlow{ID: e.config.Hasher.Flow(t)}
 	if s := e.flows.get(k.ID); s != nil {
--- a/internal/flow/flowtable.go
+++ b/internal/flow/flowtable.go
@@ -31,7 +31,7 @@
 		endpoint uint32
 		lastSeen uint32 // ticks since the epoch of the table
 		state    uint8
-		reported bool // to the holders of its bucket
+		reported bool // the holders of its bucket have been sent the flow
 	}
 
 	// flowTable is a hash table of fixed size with linear probing. When it is full,
@@ -40,9 +40,9 @@
 		slots   []slot
 		mask    uint64
 		used    int
-		opening int
-		epoch   time.Time
-		cursor  uint64
+		opening int       // number of half-open flows
+		epoch   time.Time // of slot.lastSeen
+		cursor  uint64    // next slot to scan
 	}
 )
 
--- a/internal/flow/holder.go
+++ b/internal/flow/holder.go
@@ -9,17 +9,18 @@
 )
 
 type (
-	// record is the endpoint of a flow of a bucket in transition.
+	// record is the endpoint of a flow, stored by the holders of its bucket while the
+	// bucket is in transition.
 	record struct {
 		endpoint  uint32
 		key       bucketKey
 		storedAt  time.Time // when it was stored by this entry
-		confirmed bool      // a packet after the SYN has been seen
+		confirmed bool      // the flow is known to be open on the endpoint
 	}
 
 	// holding is the state of a bucket of which this entry is owner or second holder.
 	holding struct {
-		complete bool // it includes every record of the bucket
+		complete bool // this entry has every record of the bucket
 		// ownedSince is the index at which the bucket was taken over from an owner
 		// that is still alive.
 		ownedSince uint64
@@ -94,15 +95,15 @@
 }
 
 // isListed reports whether a table lists this incarnation of the entry. While it
-// isn't listed, others hold the buckets and the holdings here aren't complete.
+// doesn't, other entries are the holders and the holdings here miss records.
 func (e *Engine) isListed(t *route.Table) bool {
 	m, ok := t.Member(e.config.Self)
 	return ok && m.Incarnation() == e.config.Incarnation
 }
 
 // updateHoldings drops the holdings of buckets that have settled, marks those of
-// buckets that have just opened as complete, and transfers records where the
-// holders have changed.
+// buckets whose transition has just begun as complete, and transfers records where
+// the holders have changed.
 func (e *Engine) updateHoldings(previous, next *View) {
 	for key, h := range e.holdings {
 		h.complete = h.complete && e.isListed(next.Table)
@@ -157,15 +158,15 @@
 	}
 	oldOwner, oldSecond := holdersOf(previous.Table, key)
 	if owner.name == e.config.Self && oldOwner != owner && firstAlive(next.Table, oldOwner) != "" {
-		// The former owner may not know of the change yet: see placeAsNewOwner.
+		// The former owner may not have applied the change yet: see placeAsNewOwner.
 		e.holdingOf(key).ownedSince = next.Table.Index()
 	}
 	sameHolders := owner == oldOwner && second == oldSecond
 	isHolder := owner.name == e.config.Self || second.name == e.config.Self
 	switch {
 	case !wasInTransition && isHolder:
-		// The bucket was settled until now, so it has no records. That is known only
-		// if this entry was a holder before and saw the transition begin.
+		// The bucket was settled until now, so it has no records. This entry can rely
+		// on that only if it was a holder already when the transition began.
 		e.holdingOf(key).complete = sameHolders && e.isListed(previous.Table) && !previous.Table.Uncertain()
 	case wasInTransition && !sameHolders:
 		e.transferRecords(key, next.Table, [2]holder{oldOwner, oldSecond}, [2]holder{owner, second})
@@ -207,7 +208,7 @@
 			return
 		}
 		if next.Table.Uncertain() || next.Isolated {
-			return // records made by an isolated domain are still needed
+			return // records that an isolated domain made are still needed
 		}
 	}
 	for id := range e.holdings[key].flows {
@@ -216,7 +217,8 @@
 	delete(e.holdings, key)
 }
 
-// dropOnCurrent drops the records that a flip made redundant.
+// dropOnCurrent drops the records of flows on the current endpoint, which a flip has
+// made the default.
 func (e *Engine) dropOnCurrent(key bucketKey, current uint32) {
 	h := e.holdings[key]
 	if h == nil {
--- a/internal/flow/lease.go
+++ b/internal/flow/lease.go
@@ -13,8 +13,8 @@
 // decideWithoutLease decides on an unknown flow after this entry's lease has expired.
 // Its view may be stale, so it relays the packet to an entry with a lease, except in
 // an isolated domain, which decides by itself. A SYN is dropped: it may have been
-// delayed here by a pause while another entry opened its flow. The caller repeats
-// a SYN that is still wanted.
+// delayed here by a pause while another entry opened its flow. The client retransmits
+// a SYN that is still needed.
 func (e *Engine) decideWithoutLease(now time.Time, v Verdict, p *packet.Packet) Verdict {
 	if e.view.Isolated {
 		return e.decideIsolated(now, v, p)
@@ -44,6 +44,7 @@
 	return e.placeWithRecord(now, v, p, endpoint, second)
 }
 
+// isolatedMembers returns the members that this entry can reach, and the entry itself.
 func (e *Engine) isolatedMembers() []route.Member {
 	var members []route.Member
 	for _, m := range e.view.Table.Members() {
--- a/internal/flow/modulo.go
+++ b/internal/flow/modulo.go
@@ -1,7 +1,7 @@
 package flow
 
-// modulo is the baseline with which placement is compared: the flow's hash modulo
-// the endpoints that take new flows, without state. Only reports use it.
+// modulo decides by the flow's hash modulo the number of endpoints that take new
+// flows, without state. It is the baseline to which measurements compare placement.
 func (e *Engine) modulo(v Verdict) Verdict {
 	var live []uint32
 	for _, id := range v.service.Endpoints() {
--- a/internal/flow/newflow.go
+++ b/internal/flow/newflow.go
@@ -22,9 +22,10 @@
 	return e.placeWithRecord(now, v, p, endpoint, second)
 }
 
-// placeAsNewOwner places a new flow while the former owner of its bucket may not yet
-// know that it has been replaced. Asked about the flow, the former owner would use
-// the default endpoint, so the flow goes there, or its SYN is dropped to be repeated.
+// placeAsNewOwner places a new flow while the former owner of its bucket may not have
+// applied the change of owner yet. The former owner would forward later packets of the
+// flow to the default endpoint, so the flow is placed there. If that isn't possible,
+// the SYN is dropped and the client retransmits it.
 func (e *Engine) placeAsNewOwner(now time.Time, v Verdict, p *packet.Packet, t route.Transition, defaultAgreed bool) Verdict {
 	defaultEndpoint := e.view.Table.Endpoint(t.Default)
 	if defaultAgreed && defaultEndpoint != nil && !defaultEndpoint.Leaving() {
@@ -34,9 +35,9 @@
 	return v
 }
 
-// placeWithRecord places a new flow on an endpoint that is found only by records. The
-// packet is relayed by the second holder, so that both holders have a record
-// before the endpoint gets it.
+// placeWithRecord places a new flow on an endpoint that entries find only by a record.
+// The packet is relayed to the second holder, which forwards it, so that both holders
+// have a record before the endpoint gets the packet.
 func (e *Engine) placeWithRecord(now time.Time, v Verdict, p *packet.Packet, endpoint uint32, second string) Verdict {
 	if e.view.Table.Endpoint(endpoint) == nil {
 		v.action, v.reason = Drop, NoEndpoint
@@ -46,8 +47,8 @@
 		return Verdict{action: Drop, reason: RecordLimit, service: v.service, bucket: v.bucket, id: v.id}
 	}
 	if second == "" || !slices.Contains(e.view.Reachable, second) {
-		// A second holder that is unreachable is likely to be removed soon. If not, the
-		// report reaches it.
+		// An unreachable second holder is likely to be removed soon. Otherwise it gets
+		// the record by the report.
 		e.queueReport(bucketKey{v.service.ID(), v.bucket}, v.id, endpoint, true)
 		return e.forward(now, v, p, endpoint, ByNew)
 	}
@@ -58,7 +59,7 @@
 	return v
 }
 
-// decideFromRecord decides by a record. A repeated SYN at the owner is relayed by the
+// decideFromRecord decides by a record. At the owner, a repeated SYN is relayed to the
 // second holder again, which may have missed the first one.
 func (e *Engine) decideFromRecord(now time.Time, v Verdict, p *packet.Packet, r record) Verdict {
 	owner, second := route.Rank(e.view.Table.Members(), v.service.ID(), v.bucket)
@@ -79,7 +80,7 @@
 func (e *Engine) storeAndForward(now time.Time, v Verdict, p *packet.Packet, relay packet.Relay) Verdict {
 	if s := e.flows.get(v.id); s != nil && s.endpoint != relay.Endpoint() && e.overridesOwner(now, s) {
 		// This entry has already forwarded the flow to another endpoint. Keep that
-		// endpoint and tell the owner.
+		// endpoint and report it to the owner.
 		got := e.forward(now, v, p, s.endpoint, ByCache)
 		if got.endpoint != nil {
 			e.announceAccepted(got)
--- a/internal/flow/push.go
+++ b/internal/flow/push.go
@@ -15,8 +15,8 @@
 const (
 	// maxRecordsPerPush keeps a push within the size of a packet.
 	maxRecordsPerPush = 40
-	// recordBytes and pushOverheadBytes are the size of a record, and of the rest of
-	// a push including the headers of the datagram.
+	// recordBytes is the size of a record, and pushOverheadBytes that of the rest of a
+	// push including the headers of the datagram.
 	recordBytes       = 26
 	pushOverheadBytes = 80
 	// maxPushAttempts bounds how often a push is sent to a peer that doesn't answer.
@@ -52,7 +52,7 @@
 	}
 
 	// pusher sends records to holders within a byte rate. Handovers have priority over
-	// reports. A flow that hasn't been reported yet is found by asking the peers.
+	// reports, since a holder can still ask the peers about a flow without a report.
 	pusher struct {
 		limiter       *rate.Limiter
 		retryInterval time.Duration
@@ -60,7 +60,7 @@
 		handovers     []*handover
 		reports       map[bucketKey][]flowReport
 		reportOrder   []bucketKey
-		reportCount   int
+		reportCount   int         // flows in reports
 		sent          []*sentPush // in the order of sequence numbers
 	}
 )
@@ -73,6 +73,7 @@
 	}
 }
 
+// backlog returns the number of queued flows and of unacknowledged pushes.
 func (p *pusher) backlog() int {
 	n := p.reportCount
 	for _, h := range p.handovers {
@@ -141,6 +142,8 @@
 	return e.push.limiter.AllowN(now, pushOverheadBytes+records*recordBytes)
 }
 
+// runHandovers sends the records of each handover and, once all are acknowledged, a last
+// push that says whether they are complete.
 func (e *Engine) runHandovers(now time.Time) {
 	var remaining []*handover
 	for _, h := range e.push.handovers {
@@ -268,7 +271,8 @@
 }
 
 // mergeRecord stores a record unless the existing one is at least as certain. If the
-// limit of records is reached, the holding becomes incomplete and the owner asks.
+// limit of records is reached, the holding becomes incomplete, and the owner asks the
+// peers about flows without a record.
 func (e *Engine) mergeRecord(now time.Time, key bucketKey, f flowReport) {
 	endpoint := e.view.Table.Endpoint(f.endpoint)
 	if endpoint == nil || endpoint.Service() != key.service {
--- a/internal/flow/sweep.go
+++ b/internal/flow/sweep.go
@@ -11,7 +11,7 @@
 
 type (
 	// BucketFlows is the number of flows of a bucket that aren't on its current endpoint, and
-	// how many of these the holders haven't confirmed.
+	// how many of these the holders haven't acknowledged.
 	BucketFlows struct {
 		Service, Bucket uint32
 		Flows, Pending  uint32
@@ -26,13 +26,13 @@
 
 	// sweeper scans the cached flows incrementally.
 	sweeper struct {
-		startIndex      uint64
-		flowsElsewhere  map[bucketKey]uint32
-		connections     map[uint32]uint32
-		bucketsToReport map[bucketKey]bool
+		startIndex      uint64               // of the table when the pass began
+		flowsElsewhere  map[bucketKey]uint32 // flows that aren't on the bucket's current endpoint
+		connections     map[uint32]uint32    // flows by endpoint
+		bucketsToReport map[bucketKey]bool   // whose flows are reported again
 		lastResult      SweepResult
 		lastRun         time.Time
-		remainder       float64
+		remainder       float64 // fraction of a slot left over by the last run
 	}
 )
 
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -18,7 +18,7 @@
 	controlTick       = 20 * time.Millisecond
 	callTimeout       = 600 * time.Millisecond // of heartbeats and log messages
 	stopLogInterval   = 5                      // heartbeats between log lines during a planned stop
-	maxReportInterval = 4                      // every so many heartbeats, counts are sent regardless of the budget
+	maxReportInterval = 4                      // heartbeats after which counts are sent regardless of the budget
 )
 
 type (
--- a/internal/instance/instance.go
+++ b/internal/instance/instance.go
@@ -33,12 +33,12 @@
 		// Placement is PlacementModulo to run a baseline for comparison, and otherwise
 		// empty.
 		Placement string
-		// Blocked reports addresses that must not be reached, to simulate network
+		// Blocked reports whether an address must not be reached, to simulate network
 		// partitions. It may be nil.
 		Blocked func(netip.AddrPort) bool
 	}
 
-	// Instance is one entry instance.
+	// Instance runs one entry and, on a control instance, a replica of the log.
 	Instance struct {
 		config    Config
 		self      settings.Instance
--- a/internal/instance/traffic.go
+++ b/internal/instance/traffic.go
@@ -236,6 +236,7 @@
 	}
 }
 
+// flush queues the core's pending datagrams and sends all that are queued.
 func (t *traffic) flush(now time.Time) error {
 	t.queueOutput(now)
 	return t.conn.flush()
--- a/internal/instance/why_test.go
+++ b/internal/instance/why_test.go
@@ -21,12 +21,12 @@
 	}
 	g.Expect(sameRecomputation(now, other(func(*wire.Decision) {}))).To(gomega.BeTrue())
 	for name, change := range map[string]func(*wire.Decision){
-		"kept":     func(d *wire.Decision) { d.Recomputed = false },
+		"recorded": func(d *wire.Decision) { d.Recomputed = false },
 		"endpoint": func(d *wire.Decision) { d.Endpoint = "e2" },
 		"reason":   func(d *wire.Decision) { d.Reason = "by_record" },
 		"action":   func(d *wire.Decision) { d.Action = "drop" },
 		"index":    func(d *wire.Decision) { d.Index = 3 },
-		"in use":   func(d *wire.Decision) { d.Active = 3 },
+		"active":   func(d *wire.Decision) { d.Active = 3 },
 		"hops":     func(d *wire.Decision) { d.Hops = []string{"elsewhere"} },
 	} {
 		g.Expect(sameRecomputation(now, other(change))).To(gomega.BeFalse(), name)
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -1,6 +1,6 @@
 // Package load is an open-loop load generator for running entries. It runs stand-ins
 // for the fabric and the backend servers at the configured addresses, and reports what
-// callers and backend servers observed.
+// clients and backend servers observed.
 package load
 
 import (
--- a/internal/packet/encode.go
+++ b/internal/packet/encode.go
@@ -75,7 +75,7 @@
 	return append([]byte(nil), buf.Bytes()...), nil
 }
 
-// Build serialises an IP packet with the given transport payload. The flags and
+// Build serializes an IP packet with the given transport payload. The flags and
 // sequence numbers apply to TCP only. It allocates, so it isn't for the forwarding path.
 func Build(t Tuple, f Flags, seq, ack uint32, payload []byte) ([]byte, error) {
 	buf := gopacket.NewSerializeBuffer()
@@ -91,12 +91,12 @@
 	return buf.Bytes(), nil
 }
 
-// BuildReset returns the RST that aborts the flow of a caller's TCP packet.
+// BuildReset returns the RST to the sender of a TCP packet, which aborts its flow.
 func BuildReset(p *Packet) ([]byte, error) {
 	var d Decoder
 	var decoded Packet
 	if r := d.DecodeInner(p.inner, &decoded); r != Decoded || decoded.tuple.transport != TCP {
-		return nil, fmt.Errorf("no reset for a packet that is %s %s", r, decoded.tuple.transport)
+		return nil, fmt.Errorf("build reset: not a TCP packet: %s %s", r, decoded.tuple.transport)
 	}
 	seq, ack := d.TCPSequence()
 	next := seq + uint32(len(decoded.payload))
--- a/internal/packet/packet.go
+++ b/internal/packet/packet.go
@@ -284,7 +284,7 @@
 type Relay struct {
 	kind     RelayKind
 	hops     uint8
-	origin   uint16
+	origin   uint16 // reserved; sent as 0
 	endpoint uint32
 	index    uint64
 	trace    uint64
@@ -297,7 +297,7 @@
 const (
 	// RelayDecide asks the owner of the bucket to choose the endpoint.
 	RelayDecide RelayKind = iota + 1
-	// RelayStore tells the second holder to store the owner's decision and to
+	// RelayStore asks the second holder to store the owner's decision and to
 	// forward the packet to the endpoint.
 	RelayStore
 	// RelayCheck asks the owner of the bucket whether an answer may be forwarded.
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -18,8 +18,8 @@
 		Domain       string
 		ProbeTimeout time.Duration // how long a peer counts as reachable after a probe
 		// IsolationDelay is the time from the end of the lease until the failure domain
-		// counts as isolated. By then every entry elsewhere knows of the partition or
-		// has lost its lease.
+		// counts as isolated. By then every entry of another domain has applied the mark
+		// of the partition or has lost its lease.
 		IsolationDelay time.Duration
 	}
 
@@ -78,8 +78,8 @@
 	return names
 }
 
-// ReachableDomains returns the reachable failure domains: this entry's own, and those with a
-// reachable member.
+// ReachableDomains returns the reachable failure domains: this entry's own, and those
+// with a reachable member.
 func (t *Tracker) ReachableDomains(now time.Time, table *route.Table) []string {
 	domains := []string{t.config.Domain}
 	reachable := t.Reachable(now, table)
@@ -96,8 +96,8 @@
 // had one, and every other member of the failure domain has been reachable or unlisted
 // by the platform. A single entry without its domain's peers doesn't count as isolated,
 // as it may just be unreachable itself. Isolated has to be called more often than every
-// half Config.ProbeTimeout: a longer gap means that the process was paused and may have
-// outdated probes, so the time starts again.
+// half Config.ProbeTimeout: a longer gap means that the process was paused and its
+// probes may be stale, so IsolationDelay starts again.
 func (t *Tracker) Isolated(now, leaseUntil time.Time, table *route.Table) bool {
 	paused := now.Sub(t.lastCheck) > t.config.ProbeTimeout/2
 	t.lastCheck = now
--- a/internal/peer/peer_test.go
+++ b/internal/peer/peer_test.go
@@ -36,7 +36,7 @@
 	_, isolated := checkRepeatedly(newTracker(), time.Unix(100, 0), 2*time.Second, false)
 	g.Expect(isolated).To(gomega.BeTrue())
 	_, isolated = checkRepeatedly(newTracker(), time.Unix(100, 0), 2*time.Second, true)
-	g.Expect(isolated).To(gomega.BeFalse(), "a peer holds a lease, so the others go on")
+	g.Expect(isolated).To(gomega.BeFalse(), "a peer holds a lease, so the domain is not partitioned")
 }
 
 // Guards against an entry that serves without a lease while the rest of its failure
@@ -49,7 +49,7 @@
 		now := time.Unix(100, 0).Add(time.Duration(n) * 100 * time.Millisecond)
 		isolated = tracker.Isolated(now, time.Unix(99, 0), newTable())
 	}
-	g.Expect(isolated).To(gomega.BeFalse(), "it may be the unreachable one itself")
+	g.Expect(isolated).To(gomega.BeFalse(), "the entry itself may be the unreachable one")
 	tracker.SetUnlisted([]string{"a2"})
 	for n := range 30 {
 		now := time.Unix(104, 0).Add(time.Duration(n) * 100 * time.Millisecond)
--- a/internal/route/route.go
+++ b/internal/route/route.go
@@ -22,7 +22,7 @@
 	}
 
 	// FlowID identifies a flow by a keyed 128-bit hash of the tuple from the
-	// caller to the service. The high half selects the bucket.
+	// client to the service. The high half selects the bucket.
 	FlowID struct {
 		High, Low uint64
 	}
@@ -127,7 +127,7 @@
 	return Hasher{binary.LittleEndian.Uint64(key[:8]), binary.LittleEndian.Uint64(key[8:])}
 }
 
-// Flow returns the ID of the flow with the given tuple from the caller to the
+// Flow returns the ID of the flow with the given tuple from the client to the
 // service. For answers, pass the reversed tuple.
 func (h Hasher) Flow(t packet.Tuple) FlowID {
 	var b [addressesLen + portsAndTransportLen]byte
@@ -149,7 +149,7 @@
 	return FlowID{high, low}
 }
 
-// Request returns the ID of the request with the given CoAP token on a caller's tuple.
+// Request returns the ID of the request with the given CoAP token on a client's tuple.
 func (h Hasher) Request(t packet.Tuple, token []byte) FlowID {
 	flow := h.Flow(t)
 	high, low := siphash.Hash128(flow.High, flow.Low, token)
@@ -291,8 +291,9 @@
 // requests. It is never the number of a placement bucket.
 const WorkBucket = ^uint32(0)
 
-// BucketsFor returns the number of buckets of a service with n endpoints: at
-// least 64 for each, so that one bucket is under 2% of an endpoint's share.
+// BucketsFor returns the number of buckets of a service with n endpoints: the smallest
+// power of two with at least 64 buckets for each, so that one bucket is a small part of
+// an endpoint's share, but at most 2^18.
 func BucketsFor(n int) int {
 	count := 64
 	for count < 64*n && count < 1<<18 {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -10,7 +10,7 @@
 	endpoints   map[uint32]*Endpoint
 	byAddr      map[netip.AddrPort]uint32
 	members     []Member
-	partitioned []string // unreachable domains, which may have placed flows that others can't ask about
+	partitioned []string // unreachable domains, whose entries may have placed flows
 	returned    []string // domains that are reachable again
 	withLoss    []string // domains that are reachable again without the records of failed entries
 	lossIndex   uint64   // of the last command that removed a failed entry or replaced an incarnation
@@ -90,10 +90,11 @@
 	return Member{}, false
 }
 
-// Partitioned returns the domains of which no entry can be reached.
+// Partitioned returns the domains that are marked as partitioned.
 func (t *Table) Partitioned() []string { return t.partitioned }
 
-// Returned returns the domains that are reachable again but not yet cleared.
+// Returned returns the domains that are reachable again but whose flows may not all be
+// known yet.
 func (t *Table) Returned() []string { return t.returned }
 
 // ReturnedWithLoss returns the domains that are reachable again without the records of the
--- a/internal/work/engine.go
+++ b/internal/work/engine.go
@@ -24,7 +24,7 @@
 	requestsFactor = 4
 )
 
-// HandleRequest processes a caller's packet to a class that takes requests.
+// HandleRequest processes a client's packet to a class that takes requests.
 func (e *Engine) HandleRequest(now time.Time, service *route.Service, class *route.Class, p *packet.Packet) {
 	e.dirty = true
 	owner, isolated := e.ownerOf(service)
@@ -43,8 +43,8 @@
 		return // without a token there is no way to answer
 	}
 	if isolated && !class.Repeatable {
-		// An entry outside the partition may run it, so it can be neither run nor
-		// refused here.
+		// An entry outside this failure domain may run the request, so it can be neither
+		// run nor refused here.
 		if m.IsRequest() {
 			e.sendToClient(p.Tuple(), UnknownMessage(m.Token, m.MessageID))
 			e.events = append(e.events, Event{Service: service.ID(), Token: m.Token, Caller: p.Tuple(), State: Unknown, Cause: CutOff})
@@ -90,7 +90,7 @@
 	return o
 }
 
-// bufferEarly keeps a packet until the handover is complete.
+// bufferEarly buffers a packet until the handover is complete.
 func (o *ownership) bufferEarly(endpoint uint32, inner []byte) {
 	if len(o.earlyPackets) < maxEarlyPackets {
 		o.earlyPackets = append(o.earlyPackets, earlyPacket{endpoint, slices.Clone(inner)})
@@ -107,7 +107,7 @@
 	e.out = append(e.out, Output{Kind: kind, Peer: owner, Inner: slices.Clone(p.Inner()), Relay: r})
 }
 
-// handleClient processes a caller's message at the owner.
+// handleClient processes a client's message at the owner.
 func (e *Engine) handleClient(now time.Time, s *route.Service, o *ownership, class *route.Class, tuple packet.Tuple, m Message) {
 	if m.IsReset() {
 		e.cancel(now, o, tuple, m.MessageID)
@@ -135,7 +135,7 @@
 	}
 	if len(o.requests) >= e.config.MaxRequests*requestsFactor {
 		e.stats.Overflow++
-		return // a refusal couldn't be remembered, so none is sent
+		return // a refused request has to be remembered, so it can't be refused either
 	}
 	o.add(r)
 	r.key = messageKey{e.config.Hasher.Flow(tuple), m.MessageID}
@@ -168,8 +168,8 @@
 	return c
 }
 
-// answerDuplicate responds to a repeated request with the answer if there is one
-// already. It never dispatches.
+// answerDuplicate responds to a duplicate of a known request, with the answer if there
+// is one already. It never dispatches the request.
 func (e *Engine) answerDuplicate(r *request, tuple packet.Tuple, m Message) {
 	e.stats.Duplicates++
 	switch {
@@ -264,8 +264,8 @@
 }
 
 // eligible reports whether an endpoint may receive a request. Later blocks of a
-// block-wise transfer go only to the endpoint that served the first one; any other
-// request to a reachable endpoint that it has not been sent to yet.
+// block-wise transfer go only to the endpoint that served the first one. Any other
+// request goes to a reachable endpoint to which it has not been sent yet.
 func (e *Engine) eligible(r *request, endpoint *route.Endpoint) bool {
 	if r.pinnedEndpoint != 0 {
 		return endpoint.ID() == r.pinnedEndpoint
--- a/internal/work/finish.go
+++ b/internal/work/finish.go
@@ -17,7 +17,7 @@
 // excluded that the request has run.
 func (e *Engine) refuse(now time.Time, o *ownership, r *request, cause Cause) {
 	if r.mayHaveRun || r.openAttempt() != nil {
-		e.stats.InvariantViolations++ // callers refuse only requests that haven't run
+		e.stats.InvariantViolations++ // refuse must not be called for a request that may have run
 		e.finish(o, r, Unknown, cause, UnknownMessage(r.message.Token, r.message.MessageID))
 		return
 	}
@@ -28,8 +28,8 @@
 		return
 	}
 	if r.repeatable() && (now.Before(o.uncertainUntil) || e.view.Table.Uncertain()) {
-		// A lost owner or an isolated failure domain may have dispatched it, and the
-		// second holder stores no keys of repeatable requests.
+		// A lost owner or an isolated failure domain may have dispatched the request, and
+		// the second holder stores no keys of repeatable requests.
 		e.finish(o, r, Unknown, OwnerLost, UnknownMessage(r.message.Token, r.message.MessageID))
 		return
 	}
@@ -61,8 +61,8 @@
 	e.out = append(e.out, o)
 }
 
-// cancel ends the request with the caller's message ID and sends a cancellation to
-// its backend server.
+// cancel ends the request with the given message ID of a client and sends a
+// cancellation to its backend server.
 func (e *Engine) cancel(now time.Time, o *ownership, tuple packet.Tuple, id int32) {
 	r := o.requests[o.byMessage[messageKey{e.config.Hasher.Flow(tuple), id}]]
 	if r == nil || r.state.final() {
--- a/internal/work/handover.go
+++ b/internal/work/handover.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// handleWanted starts the handover that a new owner asks for. It is ignored until
-// this entry has applied the same table, because until then it may still dispatch.
+// handleWanted starts the handover that a new owner asks for. The message is ignored
+// until this entry has applied the same table, as it may still dispatch before.
 func (e *Engine) handleWanted(now time.Time, from string, w *wire.Wanted) {
 	if e.view.Table.Index() < w.Index {
 		return
@@ -69,9 +69,9 @@
 	e.runHandover(now, o)
 }
 
-// replyKeysUnknown tells a new owner that this entry has no requests to hand over,
+// replyKeysUnknown reports to a new owner that this entry has no requests to hand over,
 // because it didn't own the service or has handed it over already. The new owner
-// then can't tell old requests from new ones for the life of a request.
+// then can't distinguish old requests from new ones for Policy.RequestLife.
 func (e *Engine) replyKeysUnknown(to string, service uint32) {
 	s := e.view.Table.Service(service)
 	if s == nil {
@@ -152,9 +152,9 @@
 	e.runHandover(now, o)
 }
 
-// HandoverPending reports whether this entry still owns a service or has something to hand
-// over, which delays a planned stop. An ownership without requests no longer counts
-// if no new owner asks for it within Config.MaxPacketDelay.
+// HandoverPending reports whether this entry still owns a service or has requests to
+// hand over, which delays a planned stop. A former ownership without requests doesn't
+// count any more if no new owner has asked for it within Config.MaxPacketDelay.
 func (e *Engine) HandoverPending(now time.Time) bool {
 	for _, o := range e.owned {
 		pending := o.handover != nil || o.phase != former || now.Sub(o.formerSince) < e.config.MaxPacketDelay
@@ -174,7 +174,7 @@
 	return text.String()
 }
 
-// handleHandover takes over one request, or starts to serve after the last message.
+// handleHandover takes over one request, or starts serving after the last message.
 func (e *Engine) handleHandover(now time.Time, from string, h *wire.Handover) {
 	e.sendToPeer(from, &wire.Peer{Body: &wire.Peer_HandedOver{HandedOver: &wire.HandedOver{Service: h.Service, Sequence: h.Sequence}}})
 	o := e.owned[h.Service]
--- a/internal/work/hold.go
+++ b/internal/work/hold.go
@@ -72,7 +72,8 @@
 	o.holdQueue = append(o.holdQueue, r)
 }
 
-// flushHolds sends the queued keys, and tells the second holder once it has all.
+// flushHolds sends the queued keys to the second holder. Once it has acknowledged all of
+// them, a last message marks its set as complete.
 func (e *Engine) flushHolds() {
 	for _, o := range e.sortedOwnerships() {
 		for len(o.holdQueue) > 0 && o.secondHolder != "" {
@@ -116,7 +117,8 @@
 }
 
 // handleHold stores keys for the owner of a service. Keys of an earlier owner are
-// kept until they expire, but the set is complete only when the current owner says so.
+// kept until they expire, but the set is complete only after the current owner's last
+// message.
 func (e *Engine) handleHold(now time.Time, from string, h *wire.Hold) {
 	k := e.keptKeys[h.Service]
 	if k == nil {
--- a/internal/work/message.go
+++ b/internal/work/message.go
@@ -96,8 +96,8 @@
 	return value >> numberShift, err == nil
 }
 
-// MaxAge returns the Max-Age option, the time after which a refused caller may
-// retry, or zero.
+// MaxAge returns the Max-Age option, the time after which the client of a refused
+// request may retry, or zero.
 func (m Message) MaxAge() time.Duration {
 	s, err := m.Options.GetUint32(message.MaxAge)
 	if err != nil {
@@ -123,7 +123,7 @@
 }
 
 // RestartMessage returns the response to a request for a block of a block-wise
-// transfer that is no longer known. The caller has to restart the transfer.
+// transfer that is no longer known. The client has to restart the transfer.
 func RestartMessage(token message.Token, id int32) Message {
 	return newAnswer(token, id, codes.RequestEntityIncomplete, restartText)
 }
--- a/internal/work/overload_test.go
+++ b/internal/work/overload_test.go
@@ -144,7 +144,7 @@
 		number++
 		class := 1
 		if o.rng.Float64() < maxFirstShare*min(1, 1/load) {
-			class = 0 // keeps the first class at a quarter of the capacity at most
+			class = 0 // keeps the first class within maxFirstShare of the capacity
 		}
 		o.startedAt[number] = o.now
 		send(number, class)
@@ -174,7 +174,7 @@
 	})
 }
 
-// deliver passes the engine's output to the simulated backend servers and callers.
+// deliver passes the engine's output to the simulated backend servers and clients.
 func (o *overloadSim) deliver() {
 	for _, out := range o.engine.TakeOutput() {
 		var d packet.Decoder
@@ -247,7 +247,7 @@
 }
 
 // runBaseline simulates the load without an Engine: requests are hashed to backend
-// servers that queue them, and callers retry after a timeout at another one.
+// servers that queue them, and clients retry at another one after a timeout.
 func (o *overloadSim) runBaseline(load float64) {
 	const timeout, maxTries = 300 * time.Millisecond, 3
 	done := map[uint64]bool{}
--- a/internal/work/owner.go
+++ b/internal/work/owner.go
@@ -20,8 +20,7 @@
 type (
 	phase int
 
-	// ownership is the state of an entry that owns, or has owned, the requests of a
-	// service.
+	// ownership is an entry's state for a service whose requests it owns or has owned.
 	ownership struct {
 		service          uint32
 		index            uint64 // of the table by which this entry became the owner
@@ -43,16 +42,17 @@
 		unconfirmed      map[route.FlowID]*request // whose keys the second holder hasn't confirmed
 		holdQueue        []*request                // whose keys haven't been sent to the second holder
 		unackedHolds     []*unackedHold            // in the order of their sequence numbers
-		secondComplete   bool                      // the second holder was told that it has all keys
+		secondComplete   bool                      // the second holder's set of keys was marked as complete
 		handover         *outgoingHandover         // to a new owner, nil if none is in progress
 		handedOff        bool                      // the requests were given to another entry
 		formerSince      time.Time                 // when the phase changed from serving to former
-		interimOwner     string                    // an owner in between, asked for its handover only so that it can drop its ownership
+		interimOwner     string                    // an owner between two ownerships of this entry, asked for a handover only to end its ownership
 		nextWanted       time.Time                 // when to ask again for a handover
 	}
 
+	// messageKey identifies a client's message by its CoAP message ID.
 	messageKey struct {
-		client    route.FlowID
+		client    route.FlowID // of the client's tuple
 		messageID int32
 	}
 
@@ -62,8 +62,9 @@
 		expires  time.Time
 	}
 
+	// transferKey identifies a block-wise transfer.
 	transferKey struct {
-		client route.FlowID
+		client route.FlowID // of the client's tuple
 		path   string
 	}
 
@@ -280,9 +281,9 @@
 	if o == nil || o.handedOff {
 		o = e.newOwnership(s.ID())
 	}
-	// This entry owned the service recently and still has its requests. An owner in
-	// between that didn't get them has run none that must not be repeated, since it
-	// has treated all such requests as unknown for RequestLife.
+	// If kept, this entry owned the service recently and still has its requests. An
+	// owner in between that didn't get them has run no request that must not be
+	// repeated, since it answers such requests with "unknown" for RequestLife.
 	kept := o.phase == former && now.Sub(o.formerSince) < s.Policy().RequestLife-e.config.MaxPacketDelay
 	o.index = e.view.Table.Index()
 	o.secondComplete, o.secondHolder = false, ""
@@ -339,8 +340,9 @@
 }
 
 // takeOverLost takes over from a lost owner. Its second holder, if it has all keys,
-// recognizes every request the owner may have dispatched. Any other entry can't tell
-// old requests from new ones, and answers "unknown" until all old ones have expired.
+// recognizes every request that the owner may have dispatched. Any other entry can't
+// distinguish old requests from new ones, and answers "unknown" until all old ones have
+// expired.
 func (e *Engine) takeOverLost(now time.Time, s *route.Service, o *ownership, formerOwner string) {
 	e.endWait(o)
 	o.uncertainUntil = now.Add(s.Policy().RequestLife)
@@ -363,12 +365,12 @@
 	delete(e.keptKeys, s.ID())
 }
 
-// endWait ends the wait for the former owner. If this entry is no longer the owner by
-// then, it only hands over what it was given.
+// endWait ends the wait for the former owner. If this entry is no longer the owner, it
+// only hands over the requests that it received.
 func (e *Engine) endWait(o *ownership) {
 	o.phase, o.formerOwner = serving, ""
 	if owner, _ := e.view.rank(o.service); owner != e.config.Self && !e.view.Isolated {
-		o.phase = former // formerSince stays unset: the requests it was given may be outdated
+		o.phase = former // formerSince stays unset, so that takeOver won't reuse these requests, which may be outdated
 	}
 }
 
--- a/internal/work/queue.go
+++ b/internal/work/queue.go
@@ -9,7 +9,7 @@
 // lower priorities get a share of the grants while a higher one has requests queued.
 type queue struct {
 	classes             [][]*request // by priority, 0 first; each sorted by deadline
-	lowerPriorityCredit float64      // fraction of a grant that lower priorities have earned
+	lowerPriorityCredit float64      // share of a grant that lower priorities have accumulated
 }
 
 func (q *queue) len() int {
@@ -46,7 +46,7 @@
 }
 
 // next returns the request that gets the next slot, without removing it, among those
-// that fit. share is the part of the grants reserved for lower priorities.
+// that fit a free slot. share is the part of the grants reserved for lower priorities.
 func (q *queue) next(share float64, fits func(*request) bool) *request {
 	first := q.firstFitting(0, fits)
 	if first == nil {
--- a/internal/work/request.go
+++ b/internal/work/request.go
@@ -19,7 +19,7 @@
 
 	// request is the owner's state of one request.
 	request struct {
-		id             route.FlowID // hash of the tuple and the token
+		id             route.FlowID // the key: a hash of the tuple and the token
 		key            messageKey
 		class          *route.Class
 		tuple          packet.Tuple
@@ -28,9 +28,9 @@
 		received       time.Time
 		deadline       time.Time
 		expires        time.Time // when the request is forgotten
-		keyHeld        bool      // by the second holder, or it isn't needed
+		keyHeld        bool      // the second holder stores the key, or doesn't need to
 		mayHaveRun     bool      // an attempt was abandoned without an answer
-		pinnedEndpoint uint32    // that serves the block-wise transfer, or 0
+		pinnedEndpoint uint32    // the one that serves the block-wise transfer, or 0
 		attempts       []attempt
 		answer         *Message // the final answer
 	}
--- a/internal/work/retry.go
+++ b/internal/work/retry.go
@@ -16,9 +16,7 @@
 
 const maxRetryBalance = 100 // retries that can accumulate
 
-func newRetryBudget(perSecond float64) retryBudget {
-	return retryBudget{perSecond: perSecond, balance: perSecond}
-}
+func newRetryBudget(rate float64) retryBudget { return retryBudget{perSecond: rate, balance: rate} }
 
 // deposit adds the share of a retry that a first attempt allows.
 func (b *retryBudget) deposit(share float64) { b.balance = min(b.balance+share, maxRetryBalance) }
@@ -40,8 +38,9 @@
 // it, by 5.03 (Service Unavailable).
 func isRefusal(m Message) bool { return m.Code == codes.ServiceUnavailable }
 
-// retry queues a request for another endpoint if the deadline and the retry budget
-// allow it. The last attempt must not have run, or the request must be repeatable.
+// retry queues a request again, for another endpoint, if the deadline and the retry
+// budget allow it. It must be called only if the last attempt hasn't run or the request
+// is repeatable.
 func (e *Engine) retry(now time.Time, o *ownership, r *request, cause Cause) {
 	hasEndpoint := false
 	for _, c := range o.endpoints {
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -5,8 +5,9 @@
 //
 // The requests of a service have one owner among the entries. The owner keeps one
 // queue for all endpoints of the service, grants their slots, and identifies every
-// request by caller and token. A request that must not be repeated is neither
-// dispatched nor answered before a second entry, the second holder, stores its key.
+// request by its key, a hash of the client, the service address and the CoAP token. A
+// request that must not be repeated is neither dispatched nor answered before another
+// entry, the second holder, stores its key.
 // If the owner is lost, the second holder takes over and recognizes the requests
 // that may have run. The design is described in docs/design/work.md.
 package work
@@ -27,7 +28,7 @@
 	Answered                // answered by a backend server
 	Refused                 // not run, and never will be
 	Unknown                 // may have run
-	Cancelled               // by the caller
+	Cancelled               // by the client
 	Lost                    // known by key only, from a lost owner; an answer may still arrive
 	stateCount
 )
@@ -37,7 +38,7 @@
 	ToCaller OutputKind = iota
 	ToBackend
 	ToPeer       // a message to another entry
-	RelayRequest // a caller's packet, to the owner
+	RelayRequest // a client's packet, to the owner
 	RelayAnswer  // a backend server's packet, to the owner
 )
 
@@ -96,7 +97,7 @@
 		MembershipTables []*route.Table // recent tables at which the members changed, oldest first
 		LeaseUntil       time.Time      // when this entry's lease ends
 		Isolated         bool           // this failure domain is partitioned and decides without leases
-		Reachable        []string       // sorted names of the peers heard from recently
+		Reachable        []string       // sorted names of the peers that sent a probe recently
 		ReachableDomains []string       // reachable failure domains
 	}
 
@@ -125,11 +126,11 @@
 	NoEndpoint
 	NoRetryLeft
 	CallerCancelled
-	OwnerLost       // an earlier owner may have run it
-	BothHoldersLost // as OwnerLost, and the keys of its requests are lost
+	OwnerLost       // a lost owner may have run the request
+	BothHoldersLost // as OwnerLost, and the second holder's keys are lost too
 	CutOff          // this failure domain is isolated
 	BadMessage
-	AnswerGone // the block-wise transfer isn't known any more
+	AnswerGone // the block-wise transfer is no longer known
 	HandedOver
 	LeaseLost
 	causeCount
