--- a/internal/flow/sweep.go
+++ b/internal/flow/sweep.go
@@ -11,7 +11,7 @@
 
 type (
 	// BucketFlows is the number of flows of a bucket that aren't on its current endpoint, and
-	// how many of these the holders haven't confirmed.
+	// how many of these the holders haven't acknowledged.
 	BucketFlows struct {
 		Service, Bucket uint32
 		Flows, Pending  uint32
@@ -26,13 +26,13 @@
 
 	// sweeper scans the cached flows incrementally.
 	sweeper struct {
-		startIndex      uint64
-		flowsElsewhere  map[bucketKey]uint32
-		connections     map[uint32]uint32
-		bucketsToReport map[bucketKey]bool
-		lastCount       SweepResult
+		startIndex      uint64               // of the table when the pass began
+		flowsElsewhere  map[bucketKey]uint32 // flows that aren't on the bucket's current endpoint
+		connections     map[uint32]uint32    // flows by endpoint
+		bucketsToReport map[bucketKey]bool   // whose flows are reported again
+		lastResult      SweepResult
 		lastRun         time.Time
-		remainder       float64
+		remainder       float64 // fraction of a slot left over by the last run
 	}
 )
 
@@ -45,7 +45,7 @@
 func (s *sweeper) reportAgain(key bucketKey) { s.bucketsToReport[key] = true }
 
 // LastSweep returns the result of the last complete pass.
-func (e *Engine) LastSweep() SweepResult { return e.sweep.lastCount }
+func (e *Engine) LastSweep() SweepResult { return e.sweep.lastResult }
 
 // Tick expires questions, sends pushes and continues the scan of cached flows.
 func (e *Engine) Tick(now time.Time) {
@@ -73,12 +73,12 @@
 
 // finishPass publishes the result of a pass and starts the next one.
 func (e *Engine) finishPass() {
-	count := SweepResult{Index: e.sweep.startIndex, Connections: e.sweep.connections}
+	result := SweepResult{Index: e.sweep.startIndex, Connections: e.sweep.connections}
 	e.countRecords()
 	for key, flows := range e.sweep.flowsElsewhere {
-		count.Buckets = append(count.Buckets, BucketFlows{key.service, key.bucket, flows, uint32(e.push.unconfirmed(key))})
+		result.Buckets = append(result.Buckets, BucketFlows{key.service, key.bucket, flows, uint32(e.push.unconfirmed(key))})
 	}
-	e.sweep.lastCount = count
+	e.sweep.lastResult = result
 	e.sweep.startIndex = e.view.Table.Index()
 	e.sweep.flowsElsewhere = map[bucketKey]uint32{}
 	e.sweep.connections = map[uint32]uint32{}
@@ -95,7 +95,7 @@
 		if s == nil || len(h.flows) == 0 {
 			continue
 		}
-		if _, open := s.Transition(key.bucket); open {
+		if _, inTransition := s.Transition(key.bucket); inTransition {
 			continue
 		}
 		var elsewhere uint32
--- a/internal/work/engine.go
+++ b/internal/work/engine.go
@@ -24,7 +24,7 @@
 	requestsFactor = 4
 )
 
-// HandleRequest processes a caller's packet to a class that takes requests.
+// HandleRequest processes a client's packet to a class that takes requests.
 func (e *Engine) HandleRequest(now time.Time, service *route.Service, class *route.Class, p *packet.Packet) {
 	e.dirty = true
 	owner, isolated := e.ownerOf(service)
@@ -43,10 +43,10 @@
 		return // without a token there is no way to answer
 	}
 	if isolated && !class.Repeatable {
-		// An entry outside the partition may run it, so it can be neither run nor
-		// refused here.
+		// An entry outside this failure domain may run the request, so it can be neither
+		// run nor refused here.
 		if m.IsRequest() {
-			e.sendToCaller(p.Tuple(), UnknownMessage(m.Token, m.MessageID))
+			e.sendToClient(p.Tuple(), UnknownMessage(m.Token, m.MessageID))
 			e.events = append(e.events, Event{Service: service.ID(), Token: m.Token, Caller: p.Tuple(), State: Unknown, Cause: CutOff})
 		}
 		return
@@ -56,7 +56,7 @@
 		o.bufferEarly(0, p.Inner())
 		return
 	}
-	e.handleCaller(now, service, o, class, p.Tuple(), m)
+	e.handleClient(now, service, o, class, p.Tuple(), m)
 }
 
 // ownerOf returns the owner of a service's requests. In an isolated failure domain
@@ -90,7 +90,7 @@
 	return o
 }
 
-// bufferEarly keeps a packet until the handover is complete.
+// bufferEarly buffers a packet until the handover is complete.
 func (o *ownership) bufferEarly(endpoint uint32, inner []byte) {
 	if len(o.earlyPackets) < maxEarlyPackets {
 		o.earlyPackets = append(o.earlyPackets, earlyPacket{endpoint, slices.Clone(inner)})
@@ -107,8 +107,8 @@
 	e.out = append(e.out, Output{Kind: kind, Peer: owner, Inner: slices.Clone(p.Inner()), Relay: r})
 }
 
-// handleCaller processes a caller's message at the owner.
-func (e *Engine) handleCaller(now time.Time, s *route.Service, o *ownership, class *route.Class, tuple packet.Tuple, m Message) {
+// handleClient processes a client's message at the owner.
+func (e *Engine) handleClient(now time.Time, s *route.Service, o *ownership, class *route.Class, tuple packet.Tuple, m Message) {
 	if m.IsReset() {
 		e.cancel(now, o, tuple, m.MessageID)
 		return
@@ -122,7 +122,7 @@
 		return
 	}
 	if m.Type == message.Confirmable {
-		e.sendToCaller(tuple, AckMessage(m.MessageID))
+		e.sendToClient(tuple, AckMessage(m.MessageID))
 	}
 	requestLife := s.Policy().RequestLife
 	left, hasDeadline := m.TimeLeft()
@@ -135,7 +135,7 @@
 	}
 	if len(o.requests) >= e.config.MaxRequests*requestsFactor {
 		e.stats.Overflow++
-		return // a refusal couldn't be remembered, so none is sent
+		return // a refused request has to be remembered, so it can't be refused either
 	}
 	o.add(r)
 	r.key = messageKey{e.config.Hasher.Flow(tuple), m.MessageID}
@@ -168,19 +168,19 @@
 	return c
 }
 
-// answerDuplicate responds to a repeated request with the answer if there is one
-// already. It never dispatches.
+// answerDuplicate responds to a duplicate of a known request, with the answer if there
+// is one already. It never dispatches the request.
 func (e *Engine) answerDuplicate(r *request, tuple packet.Tuple, m Message) {
 	e.stats.Duplicates++
 	switch {
 	case r.state == Lost:
-		e.sendToCaller(tuple, UnknownMessage(m.Token, m.MessageID))
+		e.sendToClient(tuple, UnknownMessage(m.Token, m.MessageID))
 	case r.answer != nil:
 		repeated := *r.answer
 		repeated.MessageID = m.MessageID
-		e.sendToCaller(tuple, repeated)
+		e.sendToClient(tuple, repeated)
 	case m.Type == message.Confirmable:
-		e.sendToCaller(tuple, AckMessage(m.MessageID))
+		e.sendToClient(tuple, AckMessage(m.MessageID))
 	}
 }
 
@@ -188,7 +188,7 @@
 // the queue is full, the last request of the lowest class is displaced.
 func (e *Engine) admit(now time.Time, o *ownership, r *request) {
 	policy := e.view.Table.Service(o.service).Policy()
-	if number, asked := r.message.Block(); asked && number > 0 {
+	if number, blockwise := r.message.Block(); blockwise && number > 0 {
 		t, ok := o.transfers[e.transferKeyOf(r)]
 		if !ok {
 			e.finish(o, r, Refused, AnswerGone, RestartMessage(r.message.Token, r.message.MessageID))
@@ -264,8 +264,8 @@
 }
 
 // eligible reports whether an endpoint may receive a request. Later blocks of a
-// block-wise transfer go only to the endpoint that served the first one; any other
-// request to a reachable endpoint that it has not been sent to yet.
+// block-wise transfer go only to the endpoint that served the first one. Any other
+// request goes to a reachable endpoint to which it has not been sent yet.
 func (e *Engine) eligible(r *request, endpoint *route.Endpoint) bool {
 	if r.pinnedEndpoint != 0 {
 		return endpoint.ID() == r.pinnedEndpoint
