--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -114,10 +114,10 @@
 // Assessor returns the assessor of health reports.
 func (k *Controller) Assessor() *health.Assessor { return k.assessor }
 
-// Beat handles a heartbeat. The entry counts its lease from when it sent the
+// HandleHeartbeat handles a heartbeat. The entry counts its lease from when it sent the
 // heartbeat, so that the lease ends there before it ends here. The argument
 // current says whether this instance still holds its own lease as leader.
-func (k *Controller) Beat(now time.Time, r *wire.BeatRequest, current bool) Grant {
+func (k *Controller) HandleHeartbeat(now time.Time, r *wire.BeatRequest, current bool) Grant {
 	if !current {
 		return Grant{Active: k.activeIndex}
 	}
--- a/internal/entry/entry.go
+++ b/internal/entry/entry.go
@@ -118,7 +118,7 @@
 	service, class := table.Lookup(route.ServiceKey{Addr: tuple.Src(), Transport: tuple.Transport()})
 	switch {
 	case service == nil:
-		c.config.OnFlow(now, c.flow.Inbound(now, p), p, false) // counted as UnknownService
+		c.config.OnFlow(now, c.flow.DecideInbound(now, p), p, false) // counted as UnknownService
 	case class.Work:
 		c.work.HandleAnswer(now, from, service, p)
 	default:
@@ -131,13 +131,13 @@
 		c.work.HandleRequest(now, service, class, p)
 		return
 	}
-	v := c.flow.Inbound(now, p)
+	v := c.flow.DecideInbound(now, p)
 	c.config.OnFlow(now, v, p, false)
 	c.applyVerdict(v, p)
 }
 
 func (c *Core) handleAnswer(now time.Time, from netip.AddrPort, p *packet.Packet) {
-	v := c.flow.Answer(now, from, p)
+	v := c.flow.DecideAnswer(now, from, p)
 	c.config.OnFlow(now, v, p, true)
 	switch v.Action() {
 	case flow.Forward:
--- a/internal/flow/answer.go
+++ b/internal/flow/answer.go
@@ -9,9 +9,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Answer decides on a packet from the backend server at the given address. The packet
+// DecideAnswer decides on a packet from the backend server at the given address. The packet
 // is forwarded to the client only if its flow is on that endpoint.
-func (e *Engine) Answer(now time.Time, from netip.AddrPort, p *packet.Packet) Verdict {
+func (e *Engine) DecideAnswer(now time.Time, from netip.AddrPort, p *packet.Packet) Verdict {
 	endpoint := e.view.Table.EndpointAt(from)
 	if relay, ok := p.Relay(); ok && relay.Kind() == packet.RelayCheck {
 		endpoint = e.view.Table.Endpoint(relay.Endpoint())
--- a/internal/flow/engine.go
+++ b/internal/flow/engine.go
@@ -90,8 +90,8 @@
 	return out
 }
 
-// Inbound decides on a packet from a client.
-func (e *Engine) Inbound(now time.Time, p *packet.Packet) Verdict {
+// DecideInbound decides on a packet from a client.
+func (e *Engine) DecideInbound(now time.Time, p *packet.Packet) Verdict {
 	tuple := p.Tuple()
 	service, _ := e.view.Table.Lookup(route.ServiceKey{Addr: tuple.Dst(), Transport: tuple.Transport()})
 	if service == nil {
--- a/internal/flow/engine_test.go
+++ b/internal/flow/engine_test.go
@@ -76,10 +76,10 @@
 func TestNoNewFlowsWithoutLease(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := newEngine(newTable(2, nil), 1)
-	g.Expect(e.Inbound(start, newPacket(1, syn)).Action()).To(gomega.Equal(flow.Forward))
+	g.Expect(e.DecideInbound(start, newPacket(1, syn)).Action()).To(gomega.Equal(flow.Forward))
 	late := start.Add(2 * time.Hour)
-	g.Expect(e.Inbound(late, newPacket(2, syn)).Reason()).To(gomega.Equal(flow.NoLease))
-	g.Expect(e.Inbound(start, newPacket(1, data)).Reason()).To(gomega.Equal(flow.ByCache), "a cached flow is forwarded without a lease")
+	g.Expect(e.DecideInbound(late, newPacket(2, syn)).Reason()).To(gomega.Equal(flow.NoLease))
+	g.Expect(e.DecideInbound(start, newPacket(1, data)).Reason()).To(gomega.Equal(flow.ByCache), "a cached flow is forwarded without a lease")
 }
 
 func TestMoveIsNotUsedBeforeItIsActive(t *testing.T) {
@@ -93,7 +93,7 @@
 		e := newEngine(moved, active)
 		seen := 0
 		for port := range uint16(60) {
-			v := e.Inbound(start, newPacket(1+port, syn))
+			v := e.DecideInbound(start, newPacket(1+port, syn))
 			if v.Endpoint() == nil {
 				continue // another entry owns the bucket
 			}
@@ -114,7 +114,7 @@
 	e := newEngine(moved, 2)
 	reasons := map[flow.Reason]int{}
 	for port := range uint16(200) {
-		reasons[e.Inbound(start, newPacket(1+port, syn)).Reason()]++
+		reasons[e.DecideInbound(start, newPacket(1+port, syn)).Reason()]++
 	}
 	g.Expect(reasons[flow.ToSecond]).To(gomega.Equal(10), "one for each record up to the limit")
 	g.Expect(reasons[flow.RecordLimit]).To(gomega.BeNumerically(">", 0))
@@ -124,20 +124,20 @@
 	g := gomega.NewWithT(t)
 	e := newEngine(newTable(2, nil), 1)
 	for port := range uint16(20_000) {
-		g.Expect(e.Inbound(start, newPacket(1+port, syn)).Action()).To(gomega.Equal(flow.Forward))
+		g.Expect(e.DecideInbound(start, newPacket(1+port, syn)).Action()).To(gomega.Equal(flow.Forward))
 	}
 	stats := e.Stats()
 	g.Expect(stats.HalfOpen).To(gomega.BeNumerically("<=", 1000))
 	g.Expect(stats.Records).To(gomega.BeZero())
-	g.Expect(e.Inbound(start, newPacket(30_000, data)).Action()).To(gomega.Equal(flow.Forward))
+	g.Expect(e.DecideInbound(start, newPacket(30_000, data)).Action()).To(gomega.Equal(flow.Forward))
 	g.Expect(e.Stats().Flows).To(gomega.Equal(stats.Flows+1), "open flows are still cached")
 }
 
 func TestAnswersPassOnlyFromTheEndpointOfTheFlow(t *testing.T) {
 	g := gomega.NewWithT(t)
 	e := newEngine(newTable(2, nil), 1)
-	e.Inbound(start, newPacket(1, syn))
-	e.Inbound(start, newPacket(1, data))
+	e.DecideInbound(start, newPacket(1, syn))
+	e.DecideInbound(start, newPacket(1, data))
 	answer := func(port uint16, f packet.Flags) *packet.Packet {
 		src := netip.AddrPortFrom(netip.MustParseAddr("10.0.0.1"), port)
 		inner, err := packet.Build(packet.NewTuple(service, src, packet.TCP), f, 1, 1, nil)
@@ -148,11 +148,11 @@
 		return p
 	}
 	first, second := netip.MustParseAddrPort("127.0.0.1:9000"), netip.MustParseAddrPort("127.0.0.1:9001")
-	g.Expect(e.Answer(start, first, answer(1, data)).Action()).To(gomega.Equal(flow.Forward))
-	g.Expect(e.Answer(start, second, answer(1, data)).Reason()).To(gomega.Equal(flow.WrongEndpoint))
-	g.Expect(e.Answer(start, netip.MustParseAddrPort("127.0.0.1:1"), answer(1, data)).Reason()).To(gomega.Equal(flow.UnknownSource))
+	g.Expect(e.DecideAnswer(start, first, answer(1, data)).Action()).To(gomega.Equal(flow.Forward))
+	g.Expect(e.DecideAnswer(start, second, answer(1, data)).Reason()).To(gomega.Equal(flow.WrongEndpoint))
+	g.Expect(e.DecideAnswer(start, netip.MustParseAddrPort("127.0.0.1:1"), answer(1, data)).Reason()).To(gomega.Equal(flow.UnknownSource))
 	reset := packet.NewFlags(false, true, false, true)
-	g.Expect(e.Answer(start, second, answer(77, reset)).Action()).To(gomega.Equal(flow.Drop))
+	g.Expect(e.DecideAnswer(start, second, answer(77, reset)).Action()).To(gomega.Equal(flow.Drop))
 }
 
 func TestOwnerWithoutRecordsAsksPeers(t *testing.T) {
@@ -170,7 +170,7 @@
 	e.SetView(&flow.View{Table: moved, Active: 2, LeaseUntil: start.Add(time.Hour), Reachable: []string{"e1", "e2"}})
 	var verdict flow.Verdict
 	for port := range uint16(60) {
-		if verdict = e.Inbound(start, newPacket(1+port, data)); verdict.Action() == flow.Waited {
+		if verdict = e.DecideInbound(start, newPacket(1+port, data)); verdict.Action() == flow.Waited {
 			break
 		}
 	}
@@ -205,7 +205,7 @@
 		e.SetView(&flow.View{Table: joined, Active: active, LeaseUntil: start.Add(time.Hour), Reachable: reachable})
 		seen := map[flow.Reason]int{}
 		for port := range uint16(60) {
-			v := e.Inbound(start, newPacket(1+port, syn))
+			v := e.DecideInbound(start, newPacket(1+port, syn))
 			seen[v.Reason()]++
 			if v.Endpoint() != nil && v.Action() == flow.Forward {
 				g.Expect(v.Endpoint().Name()).To(gomega.Equal("b0"), "the default endpoint")
@@ -222,13 +222,13 @@
 			var list []*packet.Packet
 			for n := range flows {
 				p := newPacket(uint16(1+n), data)
-				e.Inbound(start, p)
+				e.DecideInbound(start, p)
 				list = append(list, p)
 			}
 			b.ReportAllocs()
 			n := 0
 			for b.Loop() {
-				e.Inbound(start, list[n%flows])
+				e.DecideInbound(start, list[n%flows])
 				n++
 			}
 		})
--- a/internal/instance/leader.go
+++ b/internal/instance/leader.go
@@ -298,7 +298,7 @@
 	if l.ctl == nil || !l.replica.Current(now) {
 		return reply
 	}
-	grant := l.ctl.Beat(now, r, true)
+	grant := l.ctl.HandleHeartbeat(now, r, true)
 	reply.Leader, reply.LeaseNanos, reply.Active = true, int64(grant.Lease), grant.Active
 	feed := controller.Feed{
 		Entries: func(from uint64, maxBytes int) ([]*wire.LogEntry, bool) {
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -179,7 +179,7 @@
 	report.Counts, report.Reasons = g.ledger.Counts(), g.ledger.Reasons()
 	for _, class := range g.classes {
 		if h := g.ledger.Latency(class.Name); h != nil {
-			report.Latencies[class.Name] = Summarise(h)
+			report.Latencies[class.Name] = Summarize(h)
 		}
 	}
 	return report, ctx.Err()
@@ -243,8 +243,8 @@
 	return ratios
 }
 
-// Summarise converts a histogram of microseconds to percentiles in milliseconds.
-func Summarise(h *hdrhistogram.Histogram) Latency {
+// Summarize converts a histogram of microseconds to percentiles in milliseconds.
+func Summarize(h *hdrhistogram.Histogram) Latency {
 	const perMillisecond = 1000.0
 	at := func(q float64) float64 { return float64(h.ValueAtQuantile(q)) / perMillisecond }
 	return Latency{Count: h.TotalCount(), P50: at(50), P99: at(99), P999: at(99.9), Max: float64(h.Max()) / perMillisecond}
--- a/internal/slopes/measure.go
+++ b/internal/slopes/measure.go
@@ -163,7 +163,7 @@
 		}
 		p := &packet.Packet{}
 		d.DecodeInner(inner, p)
-		e.Inbound(startTime, p)
+		e.DecideInbound(startTime, p)
 	}
 	return nil
 }
@@ -183,14 +183,14 @@
 		return 0, err
 	}
 	for _, p := range list {
-		e.Inbound(startTime, p)
+		e.DecideInbound(startTime, p)
 	}
 	if err := fillFlows(e, flows); err != nil {
 		return 0, err
 	}
 	n := 0
 	return m.timePerCall(func() {
-		if v := e.Inbound(startTime, list[n]); v.Action() != flow.Forward {
+		if v := e.DecideInbound(startTime, list[n]); v.Action() != flow.Forward {
 			panic("a known flow was not forwarded")
 		}
 		n = (n + 1) % len(list)
@@ -379,7 +379,7 @@
 	n := 0
 	return m.timePerCall(func() {
 		n = (n + 1) % entries
-		ctl.Beat(startTime, heartbeatRequest(n, index), true)
+		ctl.HandleHeartbeat(startTime, heartbeatRequest(n, index), true)
 	}), nil
 }
 
@@ -390,7 +390,7 @@
 		return 0, err
 	}
 	for n := range entries {
-		ctl.Beat(startTime, heartbeatRequest(n, index), true)
+		ctl.HandleHeartbeat(startTime, heartbeatRequest(n, index), true)
 	}
 	return tickTime(m, ctl), nil
 }
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -285,7 +285,7 @@
 
 // handleHeartbeat answers a heartbeat as the leader does.
 func (sim *Sim) handleHeartbeat(r *wire.BeatRequest) *wire.BeatReply {
-	grant := sim.controller.Beat(sim.now, r, true)
+	grant := sim.controller.HandleHeartbeat(sim.now, r, true)
 	reply := &wire.BeatReply{Leader: true, Term: 1, LeaderName: "leader", LeaseNanos: int64(grant.Lease), Active: grant.Active, Commit: sim.state.Index()}
 	if err := sim.feed().Fill(reply, r); err != nil {
 		panic(err)
--- a/internal/work/dispatch_test.go
+++ b/internal/work/dispatch_test.go
@@ -75,7 +75,7 @@
 	owner.TakeOutput()
 	o.sendRequest(owner, 1)
 	outs := owner.TakeOutput()
-	g.Expect(countKinds(outs)[ToBackend] + countKinds(outs)[ToCaller]).To(gomega.BeZero())
+	g.Expect(countKinds(outs)[ToBackend] + countKinds(outs)[ToClient]).To(gomega.BeZero())
 	hold := findHold(outs)
 	g.Expect(hold).NotTo(gomega.BeNil())
 	second.HandlePeer(o.now, &wire.Peer{From: owner.config.Self, Body: &wire.Peer_Hold{Hold: hold}})
@@ -100,7 +100,7 @@
 	owner.Tick(late)
 	for _, out := range owner.TakeOutput() {
 		g.Expect(out.Kind).NotTo(gomega.Equal(ToBackend))
-		if out.Kind == ToCaller {
+		if out.Kind == ToClient {
 			g.Expect(string(out.Inner)).NotTo(gomega.ContainSubstring(notRunText), "another owner may have run it")
 		}
 	}
--- a/internal/work/engine.go
+++ b/internal/work/engine.go
@@ -47,7 +47,7 @@
 		// run nor refused here.
 		if m.IsRequest() {
 			e.sendToClient(p.Tuple(), UnknownMessage(m.Token, m.MessageID))
-			e.events = append(e.events, Event{Service: service.ID(), Token: m.Token, Caller: p.Tuple(), State: Unknown, Cause: CutOff})
+			e.events = append(e.events, Event{Service: service.ID(), Token: m.Token, Client: p.Tuple(), State: Unknown, Cause: CutOff})
 		}
 		return
 	}
--- a/internal/work/finish.go
+++ b/internal/work/finish.go
@@ -54,7 +54,7 @@
 		e.stats.Overflow++
 		return
 	}
-	o := Output{Kind: ToCaller, Inner: inner}
+	o := Output{Kind: ToClient, Inner: inner}
 	if m.Code == codes.ServiceUnavailable && !e.view.Isolated {
 		o.ExpiresAt = e.view.LeaseUntil
 	}
@@ -72,7 +72,7 @@
 		o.queue.remove(r)
 	}
 	e.abandonAttempt(o, r)
-	e.transition(o, r, Cancelled, CallerCancelled, 0)
+	e.transition(o, r, Cancelled, ClientCancelled, 0)
 	e.dispatch(now, o)
 }
 
--- a/internal/work/overload_test.go
+++ b/internal/work/overload_test.go
@@ -189,7 +189,7 @@
 		switch out.Kind {
 		case ToBackend:
 			o.handleBackend(out.Endpoint, p, m)
-		case ToCaller:
+		case ToClient:
 			o.handleClient(p, m)
 		}
 	}
--- a/internal/work/owner.go
+++ b/internal/work/owner.go
@@ -389,7 +389,7 @@
 	if s.final() {
 		o.active = slices.DeleteFunc(o.active, func(a *request) bool { return a == r })
 	}
-	e.events = append(e.events, Event{ID: r.id, Service: o.service, Token: r.message.Token, Caller: r.tuple, State: s, Cause: c, Endpoint: endpoint})
+	e.events = append(e.events, Event{ID: r.id, Service: o.service, Token: r.message.Token, Client: r.tuple, State: s, Cause: c, Endpoint: endpoint})
 }
 
 func (e *Engine) sendToPeer(name string, m *wire.Peer) {
--- a/internal/work/work.go
+++ b/internal/work/work.go
@@ -35,7 +35,7 @@
 
 // Kinds of an Output.
 const (
-	ToCaller OutputKind = iota
+	ToClient OutputKind = iota
 	ToBackend
 	ToPeer       // a message to another entry
 	RelayRequest // a client's packet, to the owner
@@ -67,7 +67,7 @@
 		ID       route.FlowID
 		Service  uint32
 		Token    []byte
-		Caller   packet.Tuple
+		Client   packet.Tuple
 		State    State
 		Cause    Cause
 		Endpoint uint32
@@ -125,7 +125,7 @@
 	Displaced // by a request of higher priority
 	NoEndpoint
 	NoRetryLeft
-	CallerCancelled
+	ClientCancelled
 	OwnerLost       // a lost owner may have run the request
 	BothHoldersLost // as OwnerLost, and the second holder's keys are lost too
 	CutOff          // this failure domain is isolated
