--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -114,9 +114,10 @@
 // Assessor returns the assessor of health reports.
 func (k *Controller) Assessor() *health.Assessor { return k.assessor }
 
-// HandleHeartbeat handles a heartbeat. The entry counts its lease from when it sent the
-// heartbeat, so that the lease ends there before it ends here. The argument
-// current says whether this instance still holds its own lease as leader.
+// HandleHeartbeat records an entry's heartbeat and renews its lease. The entry counts
+// the lease from when it sent the heartbeat, so that the lease ends there before it
+// ends here. The argument current says whether this instance still holds its own lease
+// as leader.
 func (k *Controller) HandleHeartbeat(now time.Time, r *wire.BeatRequest, current bool) Grant {
 	if !current {
 		return Grant{Active: k.activeIndex}
--- a/internal/flow/answer.go
+++ b/internal/flow/answer.go
@@ -9,8 +9,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// DecideAnswer decides on a packet from the backend server at the given address. The packet
-// is forwarded to the client only if its flow is on that endpoint.
+// DecideAnswer decides on a packet from the backend server at the given address. The
+// packet is forwarded to the client only if its flow is on that endpoint.
 func (e *Engine) DecideAnswer(now time.Time, from netip.AddrPort, p *packet.Packet) Verdict {
 	endpoint := e.view.Table.EndpointAt(from)
 	if relay, ok := p.Relay(); ok && relay.Kind() == packet.RelayCheck {
--- a/internal/flow/newflow.go
+++ b/internal/flow/newflow.go
@@ -25,7 +25,7 @@
 // placeAsNewOwner places a new flow while the former owner of its bucket may not have
 // applied the change of owner yet. The former owner would forward later packets of the
 // flow to the default endpoint, so the flow is placed there. If that isn't possible,
-// the SYN is dropped and the client retransmits it.
+// the packet is dropped and the client retransmits it.
 func (e *Engine) placeAsNewOwner(now time.Time, v Verdict, p *packet.Packet, t route.Transition, defaultAgreed bool) Verdict {
 	defaultEndpoint := e.view.Table.Endpoint(t.Default)
 	if defaultAgreed && defaultEndpoint != nil && !defaultEndpoint.Leaving() {
@@ -94,8 +94,8 @@
 }
 
 // overridesOwner reports whether a cached flow takes precedence over the owner's
-// decision on a SYN: the flow is open, or its SYN was forwarded just now and this is
-// a duplicate. A later SYN is a retransmission, since the first got no answer.
+// decision: the flow is open, or its SYN was forwarded just now and this is a duplicate
+// of it. A later SYN is a retransmission, since the first got no answer.
 func (e *Engine) overridesOwner(now time.Time, s *slot) bool {
 	const maxDuplicateTicks = 1
 	switch s.state {
