--- a/internal/node/decisionlog_test.go
+++ b/internal/node/decisionlog_test.go
@@ -14,8 +14,8 @@
 var _ = ginkgo.Describe("the decision log of an entry", func() {
 	at := time.Unix(5000, 0)
 	dst := netip.MustParseAddrPort("198.18.0.1:443")
-	packet := func(port uint16, copies int) steer.Packet {
-		return steer.Packet{Src: netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port), Dst: dst, Retransmission: copies}
+	packet := func(port uint16, retransmissions int) steer.Packet {
+		return steer.Packet{Src: netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port), Dst: dst, Retransmission: retransmissions}
 	}
 	placed := steer.Decision{Action: steer.Forward, Reason: steer.Placed, ID: "i-1", Version: 7}
 
--- a/internal/node/dialbackoff_test.go
+++ b/internal/node/dialbackoff_test.go
@@ -101,16 +101,16 @@
 
 	ginkgo.It("do not overlap, and have increasing timeouts, while other links are active", func() {
 		var timeouts []time.Duration
-		pace := &dialBackoff{}
+		backoff := &dialBackoff{}
 		dial := func(_ context.Context, _ string, timeout time.Duration) (net.Conn, error) {
 			timeouts = append(timeouts, timeout)
 			return nil, context.DeadlineExceeded
 		}
 		for range 6 {
-			_, _ = pace.dial(context.Background(), dial, "there", false)
+			_, _ = backoff.dial(context.Background(), dial, "there", false)
 		}
-		pace.reset()
-		_, _ = pace.dial(context.Background(), dial, "there", false)
+		backoff.reset()
+		_, _ = backoff.dial(context.Background(), dial, "there", false)
 		Expect(timeouts).To(Equal([]time.Duration{dialInterval, 2 * dialInterval, 4 * dialInterval, 8 * dialInterval, maxDialTimeout, maxDialTimeout, dialInterval}))
 	})
 
--- a/internal/node/evacuate_test.go
+++ b/internal/node/evacuate_test.go
@@ -79,22 +79,22 @@
 			Eventually(fleet.leader, settleTimeout).ShouldNot(BeNil())
 			ctx, cancel := context.WithCancel(context.Background())
 			cancel()
-			offered := make(chan bool, 20)
+			proposed := make(chan bool, 20)
 			for range 20 { // whether the loop accepts the call before it is canceled is random
 				_, err := fleet.leader().propose(ctx, func(time.Time, *directory.Directory) (uint64, bool, error) {
-					offered <- true
+					proposed <- true
 					return 0, true, nil
 				})
 				Expect(fault.KindOf(err)).To(Equal(fault.NoQuorum))
 			}
 			Expect(fleet.leader().call(context.Background(), func(time.Time, *directory.Directory) {})).To(Succeed(), "runs after all accepted calls")
-			Expect(offered).To(BeEmpty())
+			Expect(proposed).To(BeEmpty())
 		})
 
 		ginkgo.It("is redirected to the leader by the other instances", func() {
 			Eventually(fleet.leader, settleTimeout).ShouldNot(BeNil())
-			answers := &controlAPI{control: fleet.follower().Control}
-			r, err := answers.Evacuate(context.Background(), &wire.EvacuateRequest{Domain: "d0"})
+			api := &controlAPI{control: fleet.follower().Control}
+			r, err := api.Evacuate(context.Background(), &wire.EvacuateRequest{Domain: "d0"})
 			Expect(err).NotTo(HaveOccurred())
 			Expect(r.Kind).To(Equal(fault.NotCurrent.Name()))
 			Expect(r.Elsewhere).To(Equal(fleet.leader().config.PeerAddr.String()))
--- a/internal/node/probes.go
+++ b/internal/node/probes.go
@@ -68,9 +68,9 @@
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case q := <-e.probeQueue:
+		case p := <-e.probeQueue:
 			slots <- struct{}{}
-			go probeTask{e, conn, q, slots}.run(ctx)
+			go probeTask{e, conn, p, slots}.run(ctx)
 		}
 	}
 }
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -82,46 +82,46 @@
 	})
 
 	It("gets no retransmitted SYN", func() {
-		opening := fleetSynPacket(1)
-		s.Decide(start, opening)
+		syn := fleetSynPacket(1)
+		s.Decide(start, syn)
 		s.SetEvacuations(setOf(4, "plateau"))
-		opening.Retransmission = 1
-		Expect(domainOf(s.Decide(start.Add(200*time.Millisecond), opening))).NotTo(Equal("plateau"))
+		syn.Retransmission = 1
+		Expect(domainOf(s.Decide(start.Add(200*time.Millisecond), syn))).NotTo(Equal("plateau"))
 	})
 
 	It("gets no retransmitted SYN if all are evacuated, and the flow, which may be established, is not reset", func() {
-		opening := fleetSynPacket(1)
-		s.Decide(start, opening)
+		syn := fleetSynPacket(1)
+		s.Decide(start, syn)
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
-		opening.Retransmission = 1
-		d := s.Decide(start.Add(200*time.Millisecond), opening)
+		syn.Retransmission = 1
+		d := s.Decide(start.Add(200*time.Millisecond), syn)
 		Expect(d.Action).To(Equal(Drop))
 		Expect(d.Reason).To(Equal(Evacuated))
 	})
 
 	It("has new flows reset if all are evacuated, and explains why", func() {
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
-		opening := fleetSynPacket(1)
-		d := s.Decide(start, opening)
+		syn := fleetSynPacket(1)
+		d := s.Decide(start, syn)
 		Expect(d.Action).To(Equal(Reset))
 		Expect(d.Reason).To(Equal(Evacuated))
-		explanation := s.Explain(start, opening.Src, opening.Dst)
+		explanation := s.Explain(start, syn.Src, syn.Dst)
 		Expect(explanation.Reason).To(Equal("evacuated"))
 		Expect(explanation.NextStep).To(ContainSubstring("--undo"))
 		Expect(explanation.Candidates[0].Verdict).To(ContainSubstring("is evacuated by revision 4"))
 	})
 
 	It("has its unreachable endpoints not probed", func() {
-		asked := 0
-		s.config.StartProbe = func(Probe) bool { asked++; return true }
+		probed := 0
+		s.config.StartProbe = func(Probe) bool { probed++; return true }
 		b := s.byID["booking-0"]
 		b.reach.lost, s.lost[b] = true, true
 		s.SetEvacuations(setOf(4, "plateau"))
 		s.probeLost(start)
-		Expect(asked).To(BeZero())
+		Expect(probed).To(BeZero())
 		s.SetEvacuations(setOf(5))
 		s.probeLost(start)
-		Expect(asked).To(Equal(1))
+		Expect(probed).To(Equal(1))
 	})
 
 	It("gets no new flow under any sequence of reports, sets, silence and suspicion", func() {
--- a/internal/steer/outage_test.go
+++ b/internal/steer/outage_test.go
@@ -18,15 +18,15 @@
 			for i := range perSecond {
 				now := begin.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
 				p := fleetSynPacket(second*perSecond + i)
-				for copies, after := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
-					p.Retransmission = copies
+				for retransmissions, after := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
+					p.Retransmission = retransmissions
 					d := s.Decide(now.Add(after), p)
 					if d.Action != Forward || cut(s.byID[d.ID].Domain) {
 						s.Decide(now.Add(after+openTimeout+sweepInterval), fleetSynPacket(10_000)) // lets the sweep run
 						continue
 					}
 					answered[second]++
-					if copies == 0 {
+					if retransmissions == 0 {
 						firstTry[second]++
 					}
 					s.Decide(now.Add(after+time.Millisecond), Packet{Src: p.Src, Dst: p.Dst, Flags: Ack, Seq: p.Seq + 1, Ack: 2, Tag: d.Tag})
--- a/internal/steer/outlier.go
+++ b/internal/steer/outlier.go
@@ -94,13 +94,13 @@
 func (s *Steerer) reportHungRequests(now time.Time) {
 	expired := 0
 	var kept []pendingRequest
-	for _, a := range s.pendingRequests {
-		if now.Sub(a.sentAt) < minHangTime {
+	for _, r := range s.pendingRequests {
+		if now.Sub(r.sentAt) < minHangTime {
 			break
 		}
 		expired++
-		if a.pending() && !s.checkHung(now, a) {
-			kept = append(kept, a)
+		if r.pending() && !s.checkHung(now, r) {
+			kept = append(kept, r)
 		}
 	}
 	if expired == 0 {
--- a/internal/steer/reachability_test.go
+++ b/internal/steer/reachability_test.go
@@ -17,26 +17,26 @@
 	notices   []string // endpoint IDs of the notices to other entries
 }
 
-func (a *probeRecorder) probe(q Probe) bool {
-	if a.queueFull {
+func (r *probeRecorder) probe(q Probe) bool {
+	if r.queueFull {
 		return false
 	}
-	a.probes = append(a.probes, q)
+	r.probes = append(r.probes, q)
 	return true
 }
 
-func (a *probeRecorder) notify(id string) { a.notices = append(a.notices, id) }
+func (r *probeRecorder) notify(id string) { r.notices = append(r.notices, id) }
 
 // take removes and returns the oldest probe.
-func (a *probeRecorder) take() Probe {
-	Expect(a.probes).NotTo(BeEmpty())
-	q := a.probes[0]
-	a.probes = a.probes[1:]
+func (r *probeRecorder) take() Probe {
+	Expect(r.probes).NotTo(BeEmpty())
+	q := r.probes[0]
+	r.probes = r.probes[1:]
 	return q
 }
 
 var _ = Describe("probing endpoints", func() {
-	const took = 100 * time.Millisecond
+	const probeDuration = 100 * time.Millisecond
 	var s *Steerer
 	var probes *probeRecorder
 	var now time.Time
@@ -53,7 +53,7 @@
 	// miss has the oldest probe time out.
 	miss := func() []EndedFlow {
 		q := probes.take()
-		now = now.Add(took)
+		now = now.Add(probeDuration)
 		otherResponds()
 		return s.FinishProbe(now, q, Missed)
 	}
@@ -127,7 +127,7 @@
 		request(1000, dead, 8)
 		for range maxInconclusive {
 			q := probes.take()
-			now = now.Add(took)
+			now = now.Add(probeDuration)
 			Expect(s.FinishProbe(now, q, Missed)).To(BeEmpty())
 		}
 		Expect(probes.probes).To(BeEmpty(), "until there is new evidence")
@@ -139,7 +139,7 @@
 		request(1000, dead, 8)
 		for range maxInconclusive {
 			q := probes.take()
-			now = now.Add(5 * took)
+			now = now.Add(5 * probeDuration)
 			otherResponds()
 			Expect(s.FinishProbe(now, q, Unsure)).To(BeEmpty())
 		}
@@ -156,8 +156,8 @@
 		now = now.Add(200 * time.Millisecond)
 		request(1000, dead, 8)
 		q := probes.take()
-		s.Decide(now.Add(took/2), flowPacket(1000, dead, 18, 9, 0))
-		now = now.Add(took)
+		s.Decide(now.Add(probeDuration/2), flowPacket(1000, dead, 18, 9, 0))
+		now = now.Add(probeDuration)
 		otherResponds()
 		Expect(s.FinishProbe(now, q, Missed)).To(BeEmpty())
 		Expect(probes.probes).To(BeEmpty())
@@ -195,7 +195,7 @@
 		request(1000, dead, 8)
 		q := probes.take()
 		s.Learn(now, "c1", reports(leaving(1), leaving(2)))
-		now = now.Add(took)
+		now = now.Add(probeDuration)
 		otherResponds()
 		Expect(s.FinishProbe(now, q, Missed)).To(BeEmpty())
 		request(1000, dead, 8)
@@ -211,8 +211,8 @@
 		s.FinishProbe(now, q, Reached)
 		Expect(b.reach.misses).To(Equal(1), "the other endpoint may be the one that accepts connections")
 
-		answerSYN := func(first Packet, copies int) {
-			first.Retransmission = copies
+		answerSYN := func(first Packet, retransmissions int) {
+			first.Retransmission = retransmissions
 			s.trackOpening(now, first, successor)
 			now = now.Add(time.Millisecond)
 			s.Decide(now, flowPacket(first.Src.Port(), successor.tag, first.Seq+1, 1, 0))
@@ -317,7 +317,7 @@
 		Expect(d.Action).To(Equal(Forward))
 		q := probes.take()
 		Expect(q.Why).To(Equal(Lost))
-		now = now.Add(took)
+		now = now.Add(probeDuration)
 		otherResponds()
 		Expect(s.FinishProbe(now, q, Missed)).To(ConsistOf(HaveField("Src", synPacket(4000, 0, 0).Src)))
 	})
