--- a/internal/node/announcements.go
+++ b/internal/node/announcements.go
@@ -143,6 +143,6 @@
 	}
 	e.announcements.received.Add(1)
 	if !e.linked() {
-		e.uplinks.handleAnnouncement(ctx, e.config.Now(), addr)
+		e.manager.handleAnnouncement(ctx, e.config.Now(), addr)
 	}
 }
--- a/internal/node/announcements_test.go
+++ b/internal/node/announcements_test.go
@@ -100,9 +100,9 @@
 		e.handleAnnouncement(ctx, raw)
 	}
 	linkAddresses := func() []string {
-		e.uplinks.mu.Lock()
-		defer e.uplinks.mu.Unlock()
-		return slices.Sorted(maps.Keys(e.uplinks.links))
+		e.manager.mu.Lock()
+		defer e.manager.mu.Unlock()
+		return slices.Sorted(maps.Keys(e.manager.links))
 	}
 
 	ginkgo.It("do not displace the seeds, however many arrive", func() {
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -43,22 +43,22 @@
 
 	// Control is a running control instance.
 	Control struct {
-		config          ControlConfig
-		calls           chan func(now time.Time)       // run by loop
-		published       atomic.Pointer[publishedState] // state that entries receive
-		status          atomic.Pointer[timedStatus]
-		roster          atomic.Pointer[timedRoster]
-		documents       notifier // notifies of changes of published
-		endpoints       *endpointList
-		initialList     *initialList
-		announceTargets *announceTargets
-		entries         *entryList
-		timings         controlTimings
-		peers           *peerLinks
-		suspicions      *suspicionBatcher
-		malformed       *malformedCalls
-		outliersMu      sync.Mutex // guards outliers
-		outliers        *outlier.Tracker
+		config           ControlConfig
+		calls            chan func(now time.Time)       // run by loop
+		published        atomic.Pointer[publishedState] // state that entries receive
+		status           atomic.Pointer[timedStatus]
+		roster           atomic.Pointer[timedRoster]
+		publishedChanges notifier // notifies of changes of published
+		endpoints        *endpointList
+		initialList      *initialList
+		announceTargets  *announceTargets
+		entries          *entryList
+		timings          controlTimings
+		peers            *peerLinks
+		suspicions       *suspicionBatcher
+		malformed        *malformedCalls
+		outliersMu       sync.Mutex // guards outliers
+		outliers         *outlier.Tracker
 
 		// Used by the goroutine of loop only.
 		directory        *directory.Directory // nil while the disk has failed
@@ -66,7 +66,7 @@
 		pendingProposals map[uint64]chan bool // receives whether the proposal was committed, by log index
 		diskFailed       bool                 // the disk failed and has not been reopened since
 		reopenAt         time.Time
-		lastTurnAt       time.Time // last iteration of loop
+		lastIterationAt  time.Time // last iteration of loop
 		resumedAt        time.Time // end of the last stall of loop
 	}
 )
@@ -214,7 +214,7 @@
 		return
 	}
 	c.published.Store(next)
-	c.documents.notify()
+	c.publishedChanges.notify()
 	if next.evacuations.Revision() > current.evacuations.Revision() {
 		c.config.Log.Info("evacuations in force", "revision", next.evacuations.Revision(), "domains", next.evacuations.Domains())
 	}
--- a/internal/node/dialbackoff.go
+++ b/internal/node/dialbackoff.go
@@ -45,30 +45,30 @@
 // dial opens a connection. If isolated, that is while no link is active, it makes overlapping
 // attempts and returns the first connection. Otherwise it makes a single attempt with twice
 // the timeout of the previous one.
-func (r *dialBackoff) dial(ctx context.Context, dial Dialer, address string, isolated bool) (net.Conn, error) {
+func (b *dialBackoff) dial(ctx context.Context, dial Dialer, address string, isolated bool) (net.Conn, error) {
 	if isolated {
 		return dialOverlapping(ctx, dial, address)
 	}
-	if r.timeout == 0 {
-		r.timeout = dialInterval
+	if b.timeout == 0 {
+		b.timeout = dialInterval
 	}
-	timeout := r.timeout
-	r.timeout = min(2*r.timeout, maxDialTimeout)
+	timeout := b.timeout
+	b.timeout = min(2*b.timeout, maxDialTimeout)
 	return dial(ctx, address, timeout)
 }
 
 // nextPause returns the pause after a failed attempt. isolated is as for dial.
-func (r *dialBackoff) nextPause(isolated bool) time.Duration {
+func (b *dialBackoff) nextPause(isolated bool) time.Duration {
 	if isolated {
-		r.pause = 0
+		b.pause = 0
 		return minDialPause
 	}
-	r.pause = min(max(minDialPause, 2*r.pause), maxDialPause)
-	return r.pause
+	b.pause = min(max(minDialPause, 2*b.pause), maxDialPause)
+	return b.pause
 }
 
 // reset restarts the backoff after a success.
-func (r *dialBackoff) reset() { r.timeout, r.pause = 0, 0 }
+func (b *dialBackoff) reset() { b.timeout, b.pause = 0, 0 }
 
 // dialOverlapping makes overlapping attempts for at most maxDialTimeout in total.
 func dialOverlapping(ctx context.Context, dial Dialer, address string) (net.Conn, error) {
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -54,7 +54,7 @@
 	// that it receives from control instances.
 	Entry struct {
 		config            EntryConfig
-		uplinks           *linkManager
+		manager           *linkManager
 		confirmed         atomic.Bool
 		endpointsReceived atomic.Bool // by any control instance
 		stopping          atomic.Bool
@@ -91,13 +91,13 @@
 		suspicions:     make(chan *wire.Doubt, maxConcurrentProbes),
 	}
 	e.steerer = steer.New(steer.Config{
-		Domain: c.Domain, MaxFlow: c.MaxFlowAge, MaxFlows: maxFlows, HeartbeatInterval: c.HeartbeatInterval,
+		Domain: c.Domain, MaxFlowAge: c.MaxFlowAge, MaxFlows: maxFlows, HeartbeatInterval: c.HeartbeatInterval,
 		OnSuspect: func(id string, suspect bool) {
 			c.Log.Warn("endpoint suspected", "endpoint", id, "suspect", suspect)
 		},
-		StartProbe: e.queueProbe, NotifyMiss: e.reportUnanswered, ReportOutlier: e.reportHung,
+		StartProbe: e.queueProbe, NotifyMiss: e.reportUnanswered, ReportOutlier: e.reportOutlier,
 	})
-	e.uplinks = newLinkManager(e)
+	e.manager = newLinkManager(e)
 	return e
 }
 
@@ -111,7 +111,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	e.uplinks.setSeeds(ctx, e.config.Seeds)
+	e.manager.setSeeds(ctx, e.config.Seeds)
 	group.Go(func() error { return e.packetLoop(ctx, conn) })
 	group.Go(func() error { return e.probeLoop(ctx, conn) })
 	group.Go(func() error { return e.suspicionLoop(ctx) })
@@ -151,4 +151,4 @@
 func (e *Entry) Ready() bool { return e.confirmed.Load() && !e.stopping.Load() }
 
 // SetSeeds replaces the seeds after a change of the settings.
-func (e *Entry) SetSeeds(ctx context.Context, seeds []netip.AddrPort) { e.uplinks.setSeeds(ctx, seeds) }
+func (e *Entry) SetSeeds(ctx context.Context, seeds []netip.AddrPort) { e.manager.setSeeds(ctx, seeds) }
--- a/internal/node/entrylinks.go
+++ b/internal/node/entrylinks.go
@@ -81,7 +81,7 @@
 func (e *Entry) removeSource(source string) {
 	now := e.config.Now()
 	e.mu.Lock()
-	e.steerer.ForgetSource(now, source)
+	e.steerer.RemoveSource(now, source)
 	e.fetcher.removeSource(source)
 	delete(e.links, source)
 	e.mu.Unlock()
--- a/internal/node/entrylist.go
+++ b/internal/node/entrylist.go
@@ -24,7 +24,7 @@
 		feed        *entryFeed
 		version     uint64    // document version in force
 		evacuations uint64    // revision of the evacuations in force
-		heardAt     time.Time // time of the last receipt
+		receiptAt   time.Time // time of the last receipt
 	}
 )
 
@@ -62,7 +62,7 @@
 	var all []*wire.MemberStatus
 	for name, e := range l.entries {
 		all = append(all, &wire.MemberStatus{
-			Name: name, Domain: e.feed.domain, Applied: e.version, SilentNanos: int64(l.now().Sub(e.heardAt)), Leased: true,
+			Name: name, Domain: e.feed.domain, Applied: e.version, SilentNanos: int64(l.now().Sub(e.receiptAt)), Leased: true,
 			Evacuations: e.evacuations,
 		})
 	}
--- a/internal/node/evacuate.go
+++ b/internal/node/evacuate.go
@@ -64,8 +64,8 @@
 // detectStall is called in each iteration of the loop and records if the loop was stalled
 // since the previous one.
 func (c *Control) detectStall(now time.Time) {
-	if !c.lastTurnAt.IsZero() && now.Sub(c.lastTurnAt) > stallThreshold {
+	if !c.lastIterationAt.IsZero() && now.Sub(c.lastIterationAt) > stallThreshold {
 		c.resumedAt = now
 	}
-	c.lastTurnAt = now
+	c.lastIterationAt = now
 }
--- a/internal/node/feed.go
+++ b/internal/node/feed.go
@@ -100,7 +100,7 @@
 	defer cancelFull()
 	summaries, cancelSummaries := f.control.endpoints.summaryBatches.appended.subscribe()
 	defer cancelSummaries()
-	documents, cancelDocuments := f.control.documents.subscribe()
+	documents, cancelDocuments := f.control.publishedChanges.subscribe()
 	defer cancelDocuments()
 	ticker := time.NewTicker(rosterInterval)
 	defer ticker.Stop()
--- a/internal/node/linkmanager_test.go
+++ b/internal/node/linkmanager_test.go
@@ -48,7 +48,7 @@
 // unlinkedEntryWithClock is unlinkedEntry with the given clock.
 func unlinkedEntryWithClock(ctx context.Context, now func() time.Time) *Entry {
 	e := NewEntry(EntryConfig{Name: "e1", Domain: "here", Dial: hangingDial, Log: log.New(io.Discard), Now: now})
-	e.uplinks.setSeeds(ctx, []netip.AddrPort{netip.MustParseAddrPort(unreachableAddr(1)), netip.MustParseAddrPort(unreachableAddr(2))})
+	e.manager.setSeeds(ctx, []netip.AddrPort{netip.MustParseAddrPort(unreachableAddr(1)), netip.MustParseAddrPort(unreachableAddr(2))})
 	return e
 }
 
@@ -61,7 +61,7 @@
 		ctx, cancel = context.WithCancel(context.Background())
 		ginkgo.DeferCleanup(cancel)
 		now = time.Unix(1000, 0)
-		m = unlinkedEntryWithClock(ctx, func() time.Time { return now }).uplinks
+		m = unlinkedEntryWithClock(ctx, func() time.Time { return now }).manager
 	})
 	linked := func() []string {
 		m.mu.Lock()
--- a/internal/node/packets.go
+++ b/internal/node/packets.go
@@ -69,8 +69,8 @@
 // sendReset sends a reset for the flow of a packet to its caller. Send errors are ignored:
 // the next packet of the flow triggers another reset.
 func (e *Entry) sendReset(conn *net.UDPConn, buf []byte, p steer.Packet, seq uint32) {
-	caller := netip.AddrPortFrom(p.Src.Addr(), e.config.PacketAddr.Port())
-	_, _ = conn.WriteToUDPAddrPort(e.config.Codec.Reset(buf, p, seq), caller)
+	client := netip.AddrPortFrom(p.Src.Addr(), e.config.PacketAddr.Port())
+	_, _ = conn.WriteToUDPAddrPort(e.config.Codec.Reset(buf, p, seq), client)
 }
 
 // sampleDecisionTime records the duration of one in timeOneIn decisions.
--- a/internal/node/probes.go
+++ b/internal/node/probes.go
@@ -52,9 +52,9 @@
 }
 
 // queueProbe queues a probe without blocking, and reports false if the queue is full.
-func (e *Entry) queueProbe(q steer.Probe) bool {
+func (e *Entry) queueProbe(p steer.Probe) bool {
 	select {
-	case e.probeQueue <- q:
+	case e.probeQueue <- p:
 		return true
 	default:
 		return false
@@ -76,9 +76,9 @@
 }
 
 // run completes the probe and frees its slot.
-func (r probeTask) run(ctx context.Context) {
-	r.entry.resolveProbe(ctx, r.conn, r.probe)
-	<-r.slots
+func (t probeTask) run(ctx context.Context) {
+	t.entry.resolveProbe(ctx, t.conn, t.probe)
+	<-t.slots
 }
 
 // run attempts the connection and sends the result.
@@ -89,9 +89,9 @@
 // runProbe probes an endpoint and returns the outcome. A refused connection is reported as
 // missed only after the timeout, so that answers of other endpoints in the meantime can
 // show that the network is not at fault.
-func (e *Entry) runProbe(ctx context.Context, q steer.Probe) steer.Outcome {
+func (e *Entry) runProbe(ctx context.Context, p steer.Probe) steer.Outcome {
 	accepted := make(chan bool, 1)
-	go connectAttempt{e.config.Probe, q, accepted}.run(ctx)
+	go connectAttempt{e.config.Probe, p, accepted}.run(ctx)
 	ticker := time.NewTicker(pauseCheckInterval)
 	defer ticker.Stop()
 	start := e.config.Now()
@@ -107,26 +107,26 @@
 		}
 		now := e.config.Now()
 		pause, last = max(pause, now.Sub(last)), now
-		if pause > q.Timeout/maxPauseDivisor {
-			return steer.Unsure
+		if pause > p.Timeout/maxPauseDivisor {
+			return steer.Inconclusive
 		}
-		if refused && now.Sub(start) >= q.Timeout {
+		if refused && now.Sub(start) >= p.Timeout {
 			return steer.Missed
 		}
 	}
-	return steer.Unsure
+	return steer.Inconclusive
 }
 
 // resolveProbe runs a probe, applies its outcome, and resets the flows that it ends.
-func (e *Entry) resolveProbe(ctx context.Context, conn *net.UDPConn, q steer.Probe) {
+func (e *Entry) resolveProbe(ctx context.Context, conn *net.UDPConn, p steer.Probe) {
 	start := e.config.Now()
-	outcome := e.runProbe(ctx, q)
+	outcome := e.runProbe(ctx, p)
 	now := e.config.Now()
 	e.probeOutcomes.byOutcome[outcome].Add(1)
 	e.mu.Lock()
-	ended := e.steerer.FinishProbe(now, q, outcome)
+	ended := e.steerer.FinishProbe(now, p, outcome)
 	e.mu.Unlock()
-	e.config.Log.Info("endpoint asked", "endpoint", q.ID, "address", q.Addr, "why", q.Why, "outcome", outcome, "took", now.Sub(start), "flows_reset", len(ended))
+	e.config.Log.Info("endpoint asked", "endpoint", p.ID, "address", p.Addr, "why", p.Why, "outcome", outcome, "took", now.Sub(start), "flows_reset", len(ended))
 	buf := make([]byte, 0, maxPacketSize)
 	for _, f := range ended {
 		e.sendReset(conn, buf, steer.Packet{Src: f.Src, Dst: f.Dst}, f.Seq)
--- a/internal/node/probes_test.go
+++ b/internal/node/probes_test.go
@@ -58,7 +58,7 @@
 	ginkgo.It("are inconclusive if this process was paused during the probe", func() {
 		clockReads := 0
 		e.config.Now = steppingClock(20*time.Millisecond, &clockReads)
-		Expect(e.runProbe(context.Background(), steer.Probe{ID: "a", Addr: addr, Timeout: 50 * time.Millisecond})).To(Equal(steer.Unsure))
+		Expect(e.runProbe(context.Background(), steer.Probe{ID: "a", Addr: addr, Timeout: 50 * time.Millisecond})).To(Equal(steer.Inconclusive))
 	})
 
 	ginkgo.It("succeed when the connection is accepted, without data", func() {
--- a/internal/node/suspicions.go
+++ b/internal/node/suspicions.go
@@ -25,9 +25,9 @@
 // It does not block: a report that finds the queue full is dropped.
 func (e *Entry) reportUnanswered(id string) { e.queueSuspicion(&wire.Doubt{Id: id}) }
 
-// reportHung queues a report that an endpoint accepts connections but fails requests.
+// reportOutlier queues a report that an endpoint accepts connections but fails requests.
 // It does not block.
-func (e *Entry) reportHung(id string) { e.queueSuspicion(&wire.Doubt{Id: id, Hung: true}) }
+func (e *Entry) reportOutlier(id string) { e.queueSuspicion(&wire.Doubt{Id: id, Hung: true}) }
 
 func (e *Entry) queueSuspicion(d *wire.Doubt) {
 	select {
--- a/internal/node/suspicions_test.go
+++ b/internal/node/suspicions_test.go
@@ -22,7 +22,7 @@
 		reports := &wire.Reports{Whole: true, Endpoints: []*wire.EndpointReport{{Id: "i-1", Service: "a", Address: "127.0.0.1:1", Sequence: 1, Slots: 1}}}
 		probes := make(chan steer.Probe, 1)
 		other.mu.Lock()
-		other.steerer = steer.New(steer.Config{MaxFlow: settleTimeout, MaxFlows: 9, StartProbe: func(q steer.Probe) bool {
+		other.steerer = steer.New(steer.Config{MaxFlowAge: settleTimeout, MaxFlows: 9, StartProbe: func(q steer.Probe) bool {
 			probes <- q
 			return true
 		}})
@@ -38,7 +38,7 @@
 			reporter.reportUnanswered("i-1")
 			select {
 			case q := <-probes:
-				return q.ID == "i-1" && q.Why == steer.Told
+				return q.ID == "i-1" && q.Why == steer.PeerReported
 			default:
 				return false
 			}
--- a/internal/steer/bench_test.go
+++ b/internal/steer/bench_test.go
@@ -32,7 +32,7 @@
 
 // benchmarkSteerer knows 120 endpoints of one service.
 func benchmarkSteerer() *Steerer {
-	s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10_000})
+	s := New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 10_000})
 	s.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking")))
 	var all []*wire.EndpointReport
 	for n := range 120 {
@@ -56,5 +56,5 @@
 	}
 }
 
-// testingAllocs returns the average number of allocations of f.
-func testingAllocs(f func()) float64 { return testing.AllocsPerRun(100, f) }
+// averageAllocs returns the average number of allocations of f.
+func averageAllocs(f func()) float64 { return testing.AllocsPerRun(100, f) }
--- a/internal/steer/cold_test.go
+++ b/internal/steer/cold_test.go
@@ -70,7 +70,7 @@
 	})
 
 	It("leave new flows to another failure domain, and have them reset if no endpoint is warm", func() {
-		s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10_000})
+		s := New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 10_000})
 		setColdRate(s, 1, 4)
 		s.Learn(start, "c1", reports(coldReport(1, "plateau"), coldReport(2, "plateau"), fleetReport(3, "almadies")))
 		d := s.Decide(start, fleetSynPacket(1))
@@ -87,7 +87,7 @@
 	})
 
 	It("get no retransmission of a SYN that was sent before they became cold again", func() {
-		s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10_000})
+		s := New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 10_000})
 		setColdRate(s, 1, 4)
 		s.Learn(start, "c1", reports(fleetReport(1, "plateau")))
 		p := fleetSynPacket(1)
--- a/internal/steer/convergence_test.go
+++ b/internal/steer/convergence_test.go
@@ -16,21 +16,21 @@
 // convergenceTest has two control instances that exchange reports, and an entry that gets full
 // reports from one of them and checksums from the other.
 type convergenceTest struct {
-	now        time.Time
-	registries [2]*registry.Registry
-	lastSent   [2]uint64 // last number sent to the other control instance
-	entry      *Steerer
-	connected  [2]bool
-	lastTold   [2]uint64 // last number sent to the entry
-	primary    int
-	sequences  map[string]uint64
-	leaving    map[string]bool // once true, always true for an endpoint
+	now         time.Time
+	registries  [2]*registry.Registry
+	sentToPeer  [2]uint64 // last number sent to the other control instance
+	entry       *Steerer
+	connected   [2]bool
+	sentToEntry [2]uint64 // last number sent to the entry
+	primary     int
+	sequences   map[string]uint64
+	leaving     map[string]bool // once true, always true for an endpoint
 }
 
 func newConvergenceTest() *convergenceTest {
 	t := &convergenceTest{
 		now: start, sequences: map[string]uint64{}, leaving: map[string]bool{},
-		entry: New(Config{Domain: "plateau", MaxFlow: time.Hour, MaxFlows: 10, HeartbeatInterval: time.Second}),
+		entry: New(Config{Domain: "plateau", MaxFlowAge: time.Hour, MaxFlows: 10, HeartbeatInterval: time.Second}),
 	}
 	for i := range t.registries {
 		t.registries[i] = registry.New(registry.Config{HeartbeatPeriod: time.Second}, start)
@@ -52,8 +52,8 @@
 
 // exchange sends what a control instance heard to the other one.
 func (t *convergenceTest) exchange(from int) {
-	reports := t.registries[from].PeerChanges(t.now, t.lastSent[from])
-	t.lastSent[from] = reports.Number
+	reports := t.registries[from].PeerChanges(t.now, t.sentToPeer[from])
+	t.sentToPeer[from] = reports.Number
 	t.registries[1-from].Merge(t.now, reports)
 }
 
@@ -66,20 +66,20 @@
 		t.connected[from] = true
 		reports = r.Missing(t.now, t.entry.Digest())
 	case from == t.primary:
-		reports = r.Changes(t.now, t.lastTold[from])
+		reports = r.Changes(t.now, t.sentToEntry[from])
 	default:
-		reports = r.ChangeSummary(t.now, t.lastTold[from])
+		reports = r.ChangeSummary(t.now, t.sentToEntry[from])
 	}
-	t.lastTold[from] = reports.Number
-	if lacking := t.entry.Learn(t.now, source, reports); len(lacking) > 0 {
-		t.entry.Learn(t.now, source, r.Records(t.now, lacking))
+	t.sentToEntry[from] = reports.Number
+	if missing := t.entry.Learn(t.now, source, reports); len(missing) > 0 {
+		t.entry.Learn(t.now, source, r.Records(t.now, missing))
 	}
 }
 
 // disconnect closes the entry's connection to a control instance.
 func (t *convergenceTest) disconnect(from int) {
 	t.connected[from] = false
-	t.entry.ForgetSource(t.now, fmt.Sprint("c", from))
+	t.entry.RemoveSource(t.now, fmt.Sprint("c", from))
 }
 
 // step takes one random step.
--- a/internal/steer/explain_test.go
+++ b/internal/steer/explain_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("an explanation", func() {
 	var s *Steerer
 	BeforeEach(func() {
-		s = New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100})
+		s = New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 100})
 		s.SetDocument(start, testDocument(4, routeTo(bookingAddr, "booking")))
 		s.Learn(start, "c1", reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
 	})
--- a/internal/steer/flow.go
+++ b/internal/steer/flow.go
@@ -99,7 +99,7 @@
 		f.setAwaiting(true)
 		s.trackRequest(f)
 	} else if f.awaiting && now.Sub(f.requestAt) >= openTimeout { // earlier, the packets may just be reordered
-		s.probe(now, f.backend, Unacked)
+		s.probe(now, f.backend, UnackedData)
 	}
 }
 
@@ -190,7 +190,7 @@
 			break
 		}
 		s.clearPending(f)
-		s.probe(now, f.backend, Unopened)
+		s.probe(now, f.backend, UnansweredSYN)
 		s.recordDomainFailure(now, f.backend)
 		if f.backend.recordFailedOpen(now) {
 			s.notifySuspect(f.backend, true)
--- a/internal/steer/fuzz_test.go
+++ b/internal/steer/fuzz_test.go
@@ -24,7 +24,7 @@
 	f.Add(raw, raw)
 	f.Fuzz(func(t *testing.T, first, second []byte) {
 		r := registry.New(registry.Config{HeartbeatPeriod: time.Second}, start)
-		s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10, HeartbeatInterval: time.Second})
+		s := New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 10, HeartbeatInterval: time.Second})
 		s.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking")))
 		now := start
 		for _, raw := range [][]byte{first, second} {
--- a/internal/steer/learn.go
+++ b/internal/steer/learn.go
@@ -10,7 +10,7 @@
 
 // Learn applies the endpoint reports of a control instance, source. It returns the IDs of the
 // endpoints whose records differ there and must be requested.
-func (s *Steerer) Learn(now time.Time, source string, reports *wire.Reports) (lacking []string) {
+func (s *Steerer) Learn(now time.Time, source string, reports *wire.Reports) (missing []string) {
 	if reports.Whole {
 		s.MarkSourceReady(now, source)
 	}
@@ -29,10 +29,10 @@
 	s.synced = s.synced || reports.Whole
 	for _, m := range reports.Sums {
 		if !s.learnSum(now, r, m) {
-			lacking = append(lacking, m.Id)
+			missing = append(missing, m.Id)
 		}
 	}
-	return lacking
+	return missing
 }
 
 // learnSilence records whether a control instance calls an endpoint silent.
@@ -94,8 +94,8 @@
 // what this entry knows.
 func (s *Steerer) Digest() registry.Digest { return s.digest }
 
-// ForgetSource drops what a control instance that is out of reach said about silence.
-func (s *Steerer) ForgetSource(now time.Time, source string) {
+// RemoveSource drops what a control instance that is out of reach said about silence.
+func (s *Steerer) RemoveSource(now time.Time, source string) {
 	delete(s.reporters, source)
 	for _, b := range s.byID {
 		s.updateSilence(now, b)
@@ -178,7 +178,7 @@
 // client, for that long.
 func (s *Steerer) purgeEndedBackends(now time.Time) {
 	for _, b := range s.byID {
-		if b.Gone && now.Sub(b.goneAt) >= s.config.MaxFlow || !b.Gone && s.presumedCrashed(now, b) {
+		if b.Gone && now.Sub(b.goneAt) >= s.config.MaxFlowAge || !b.Gone && s.presumedCrashed(now, b) {
 			s.removeBackend(b)
 		}
 	}
@@ -187,7 +187,7 @@
 // presumedCrashed reports whether an incarnation that was never reported as ended has certainly
 // ended.
 func (s *Steerer) presumedCrashed(now time.Time, b *backend) bool {
-	return b.silent && b.flows == 0 && now.Sub(b.silentAt) >= s.config.MaxFlow && now.Sub(b.reach.lastResponseAt) >= s.config.MaxFlow
+	return b.silent && b.flows == 0 && now.Sub(b.silentAt) >= s.config.MaxFlowAge && now.Sub(b.reach.lastResponseAt) >= s.config.MaxFlowAge
 }
 
 // removeBackend removes an incarnation.
--- a/internal/steer/outlier.go
+++ b/internal/steer/outlier.go
@@ -49,7 +49,7 @@
 )
 
 // pending reports whether the request still waits for its response.
-func (a pendingRequest) pending() bool { return a.flow.awaiting && a.flow.requestAt.Equal(a.sentAt) }
+func (r pendingRequest) pending() bool { return r.flow.awaiting && r.flow.requestAt.Equal(r.sentAt) }
 
 // trackRequest records a request that was sent on a flow.
 func (s *Steerer) trackRequest(f *flow) {
@@ -113,13 +113,13 @@
 
 // checkHung reports the endpoint of a hung request if it is an outlier. It returns whether the
 // request has hung and needs no further check.
-func (s *Steerer) checkHung(now time.Time, a pendingRequest) bool {
-	if now.Sub(a.sentAt) < s.hangTimeout(a.flow) {
+func (s *Steerer) checkHung(now time.Time, r pendingRequest) bool {
+	if now.Sub(r.sentAt) < s.hangTimeout(r.flow) {
 		return false
 	}
-	b := a.flow.backend
+	b := r.flow.backend
 	counts := s.responseCountsOf(b)
-	outlier := counts.peersResponsive(a.baseline)
+	outlier := counts.peersResponsive(r.baseline)
 	counts.late++
 	if outlier {
 		s.reportOutlier(now, b)
--- a/internal/steer/pool_test.go
+++ b/internal/steer/pool_test.go
@@ -38,7 +38,7 @@
 }
 
 func fleetSteerer(endpoints []*wire.EndpointReport) *Steerer {
-	s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 10_000})
+	s := New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 10_000})
 	s.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking")))
 	s.Learn(start, "c1", reports(endpoints...))
 	return s
@@ -46,8 +46,8 @@
 
 // fleetSynPacket returns the SYN of the n-th of many flows.
 func fleetSynPacket(n int) Packet {
-	caller := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 16), byte(n >> 8)}), uint16(1000+n&255))
-	return Packet{Src: caller, Dst: bookingAddr, Flags: Syn, Seq: 7}
+	client := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 16), byte(n >> 8)}), uint16(1000+n&255))
+	return Packet{Src: client, Dst: bookingAddr, Flags: Syn, Seq: 7}
 }
 
 var _ = Describe("placement over a large service", func() {
@@ -196,6 +196,6 @@
 	It("does not allocate", func() {
 		s := fleetSteerer(irregularFleet(480))
 		r, p := s.routes[bookingAddr], fleetSynPacket(1)
-		Expect(testingAllocs(func() { s.choose(start, r, p, nil, nil) })).To(BeZero())
+		Expect(averageAllocs(func() { s.choose(start, r, p, nil, nil) })).To(BeZero())
 	})
 })
--- a/internal/steer/reachability.go
+++ b/internal/steer/reachability.go
@@ -34,18 +34,18 @@
 
 // Evidence for which an endpoint is probed.
 const (
-	Unopened Evidence = iota // a SYN was not answered
-	Unacked                  // a client retransmits data on an established flow
-	Again                    // the previous probe was missed or inconclusive
-	Lost                     // the endpoint is out of reach and may have recovered
-	Told                     // another entry reported a miss
+	UnansweredSYN Evidence = iota // a SYN was not answered
+	UnackedData                   // a client retransmits data on an established flow
+	Retry                         // the previous probe was missed or inconclusive
+	OutOfReach                    // the endpoint is out of reach and may have recovered
+	PeerReported                  // another entry reported a miss
 )
 
 // Outcomes of a probe.
 const (
-	Reached Outcome = iota // the connection was accepted
-	Missed                 // the connection was not accepted in time
-	Unsure                 // this entry was too slow to tell
+	Reached      Outcome = iota // the connection was accepted
+	Missed                      // the connection was not accepted in time
+	Inconclusive                // this entry was too slow to tell
 
 	// OutcomeCount is the number of outcomes.
 	OutcomeCount
@@ -154,7 +154,7 @@
 func (s *Steerer) probeLost(now time.Time) {
 	for b := range s.lost {
 		if !s.isEvacuated(b) {
-			s.probe(now, b, Lost)
+			s.probe(now, b, OutOfReach)
 		}
 	}
 }
@@ -164,7 +164,7 @@
 func (s *Steerer) decideUnreachable(now time.Time, b *backend, p Packet) Decision {
 	if !b.reach.replaced && now.Sub(b.reach.lastMissAt) > missValidity || p.Flags.Has(Rst) {
 		b.reach.nextProbeAt = time.Time{}
-		s.probe(now, b, Lost)
+		s.probe(now, b, OutOfReach)
 		return b.forward(Steered)
 	}
 	s.removeFlow(s.flows[flowKey{p.Src, p.Dst}])
@@ -174,8 +174,8 @@
 // FinishProbe processes the outcome of a probe and returns the flows that it ends. A miss is
 // ignored unless another endpoint has answered since the probe began, because the fault may be
 // at this entry.
-func (s *Steerer) FinishProbe(now time.Time, q Probe, outcome Outcome) []EndedFlow {
-	b := s.byID[q.ID]
+func (s *Steerer) FinishProbe(now time.Time, p Probe, outcome Outcome) []EndedFlow {
+	b := s.byID[p.ID]
 	if b == nil || b.Gone {
 		return nil
 	}
@@ -186,20 +186,20 @@
 			s.markReachable(b)
 			return nil
 		}
-		return s.recordStall(b, q)
+		return s.recordStall(b, p)
 	}
-	if b.reach.lastResponseAt.After(q.startedAt) || b.Leaving {
+	if b.reach.lastResponseAt.After(p.startedAt) || b.Leaving {
 		return nil
 	}
-	if outcome == Unsure || !s.lastResponseAt.After(q.startedAt) {
+	if outcome == Inconclusive || !s.lastResponseAt.After(p.startedAt) {
 		if b.reach.inconclusive++; b.reach.inconclusive < maxInconclusive {
-			s.probe(now, b, Again)
+			s.probe(now, b, Retry)
 		} else {
 			b.reach.inconclusive = 0
 		}
 		return nil
 	}
-	return s.recordMiss(now, b, q.Why)
+	return s.recordMiss(now, b, p.Why)
 }
 
 // isSuperseded reports whether, by heartbeats, the endpoint has ended and another one is live
@@ -213,8 +213,8 @@
 // recordStall handles a probe that was accepted at a contested address after a client
 // retransmitted data. If the endpoint is superseded, its flows are ended after stallThreshold
 // such probes rather than left to time out.
-func (s *Steerer) recordStall(b *backend, q Probe) []EndedFlow {
-	if q.Why != Unacked || b.reach.lastResponseAt.After(q.startedAt) || !s.isSuperseded(b) {
+func (s *Steerer) recordStall(b *backend, p Probe) []EndedFlow {
+	if p.Why != UnackedData || b.reach.lastResponseAt.After(p.startedAt) || !s.isSuperseded(b) {
 		return nil
 	}
 	if b.reach.stalls++; b.reach.stalls < stallThreshold {
@@ -235,7 +235,7 @@
 	b.reach.misses++
 	s.notifyMiss(now, b, why)
 	if b.reach.misses < unreachableThreshold {
-		s.probe(now, b, Again)
+		s.probe(now, b, Retry)
 		return nil
 	}
 	b.reach.nextProbeAt = now.Add(min(minReprobeDelay<<min(b.reach.misses-unreachableThreshold, 8), maxReprobeDelay))
@@ -253,7 +253,7 @@
 		return
 	}
 	b.reach.nextNoticeAt = now.Add(missNoticeInterval)
-	if why != Told {
+	if why != PeerReported {
 		s.config.NotifyMiss(b.ID)
 	}
 }
@@ -266,7 +266,7 @@
 	switch {
 	case b == nil || b.reach.lost:
 	case b.flows > 0:
-		s.probe(now, b, Told)
+		s.probe(now, b, PeerReported)
 	case now.After(b.suspectUntil):
 		b.suspectUntil = now.Add(minSuspectPeriod)
 	}
@@ -276,7 +276,7 @@
 func (s *Steerer) probeOnHeartbeat(now time.Time, b *backend) {
 	if b.reach.lost {
 		b.reach.nextProbeAt = now
-		s.probe(now, b, Lost)
+		s.probe(now, b, OutOfReach)
 	}
 }
 
--- a/internal/steer/reachability_test.go
+++ b/internal/steer/reachability_test.go
@@ -60,7 +60,7 @@
 
 	BeforeEach(func() {
 		probes, now, seq, ack = &probeRecorder{}, start, 100, 1
-		s = New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, HeartbeatInterval: time.Second, StartProbe: probes.probe, NotifyMiss: probes.notify})
+		s = New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 100, HeartbeatInterval: time.Second, StartProbe: probes.probe, NotifyMiss: probes.notify})
 		s.SetDocument(now, testDocument(1, routeTo(bookingAddr, "booking"), routeTo(documentsAddr, "documents")))
 		s.Learn(now, "c1", reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
 		first := s.Decide(now, synPacket(1000, 7, 0))
@@ -80,7 +80,7 @@
 		request(1000, dead, 8)
 		q := probes.take()
 		Expect(q.ID).To(Equal(s.byTag[dead].ID))
-		Expect(q.Why).To(Equal(Unacked))
+		Expect(q.Why).To(Equal(UnackedData))
 		request(1000, dead, 8)
 		Expect(probes.probes).To(BeEmpty(), "one probe at a time")
 	})
@@ -89,7 +89,7 @@
 		s.Decide(now, synPacket(3000, 7, 0))
 		now = now.Add(2 * openTimeout)
 		s.Decide(now, flowPacket(2000, other, 18, 11, 0))
-		Expect(probes.take().Why).To(Equal(Unopened))
+		Expect(probes.take().Why).To(Equal(UnansweredSYN))
 	})
 
 	It("starts at once when the heartbeats of an unreachable endpoint resume", func() {
@@ -104,7 +104,7 @@
 		heartbeat(2, true)
 		Expect(probes.probes).To(BeEmpty())
 		heartbeat(3, false)
-		Expect(probes.take().Why).To(Equal(Lost))
+		Expect(probes.take().Why).To(Equal(OutOfReach))
 	})
 
 	It("ends flows after two consecutive misses: tracked ones at once, others at their next packet", func() {
@@ -113,7 +113,7 @@
 		request(1000, dead, 8)
 		Expect(miss()).To(BeEmpty())
 		Expect(probes.probes).To(HaveLen(1))
-		Expect(probes.probes[0].Why).To(Equal(Again))
+		Expect(probes.probes[0].Why).To(Equal(Retry))
 		Expect(miss()).To(Equal([]EndedFlow{{Src: synPacket(1000, 0, 0).Src, Dst: bookingAddr, Seq: 1}}))
 
 		d := s.Decide(now, flowPacket(4000, dead, 50, 3, 10))
@@ -141,7 +141,7 @@
 			q := probes.take()
 			now = now.Add(5 * probeDuration)
 			otherResponds()
-			Expect(s.FinishProbe(now, q, Unsure)).To(BeEmpty())
+			Expect(s.FinishProbe(now, q, Inconclusive)).To(BeEmpty())
 		}
 		probes.queueFull = true
 		now = now.Add(time.Second)
@@ -180,7 +180,7 @@
 		for range maxInconclusive { // the next probes are inconclusive
 			q := probes.take()
 			now = now.Add(missValidity)
-			s.FinishProbe(now, q, Unsure)
+			s.FinishProbe(now, q, Inconclusive)
 		}
 		request(1000, dead, 8)
 		Expect(miss()).To(BeEmpty())
@@ -244,18 +244,18 @@
 		}
 		openFlow()
 		s.Learn(now, "c1", reports(report("booking", 9, func(m *wire.EndpointReport) { m.Address = b.Addr.String() })))
-		Expect(append(stall(Unacked), stall(Unacked)...)).To(BeEmpty(), "it is not silent: the other endpoint may have ended")
+		Expect(append(stall(UnackedData), stall(UnackedData)...)).To(BeEmpty(), "it is not silent: the other endpoint may have ended")
 
 		for _, t := range s.reporters {
 			t.silent[b.ID] = true
 		}
 		s.updateSilence(now, b)
 		Expect(s.isSuperseded(b)).To(BeTrue())
-		Expect(append(stall(Unopened), stall(Again)...)).To(BeEmpty(), "no client of an established flow waits")
-		Expect(stall(Unacked)).To(BeEmpty(), "one packet may be lost")
+		Expect(append(stall(UnansweredSYN), stall(Retry)...)).To(BeEmpty(), "no client of an established flow waits")
+		Expect(stall(UnackedData)).To(BeEmpty(), "one packet may be lost")
 		s.markResponsive(now, b)
-		Expect(stall(Unacked)).To(BeEmpty(), "it has answered a client meanwhile")
-		Expect(stall(Unacked)).NotTo(BeEmpty())
+		Expect(stall(UnackedData)).To(BeEmpty(), "it has answered a client meanwhile")
+		Expect(stall(UnackedData)).NotTo(BeEmpty())
 		Expect(s.Decide(now, flowPacket(1000, dead, 8, 1, 10)).Reason).To(Equal(EndpointLost))
 	})
 
@@ -275,7 +275,7 @@
 		Expect(s.byID["documents-3"].isSuspect(now)).To(BeTrue())
 		Expect(s.byID["documents-3"].reach.lost).To(BeFalse())
 		s.PeerMissed(now, s.byTag[other].ID)
-		Expect(probes.take().Why).To(Equal(Told))
+		Expect(probes.take().Why).To(Equal(PeerReported))
 		Expect(request(2000, other, 8).Action).To(Equal(Forward), "a notice alone ends no flow")
 	})
 
@@ -295,7 +295,7 @@
 		now = now.Add(minReprobeDelay)
 		otherResponds()
 		s.Decide(now.Add(sweepInterval), synPacket(6001, 7, 0))
-		Expect(probes.probes).To(ContainElement(And(HaveField("ID", b.ID), HaveField("Why", Lost))))
+		Expect(probes.probes).To(ContainElement(And(HaveField("ID", b.ID), HaveField("Why", OutOfReach))))
 		s.FinishProbe(now, Probe{ID: b.ID}, Reached)
 		probes.probes = nil
 		Expect(b.reach.lost).To(BeFalse())
@@ -316,7 +316,7 @@
 		d := s.Decide(now, flowPacket(4000, dead, 50, 3, 10))
 		Expect(d.Action).To(Equal(Forward))
 		q := probes.take()
-		Expect(q.Why).To(Equal(Lost))
+		Expect(q.Why).To(Equal(OutOfReach))
 		now = now.Add(probeDuration)
 		otherResponds()
 		Expect(s.FinishProbe(now, q, Missed)).To(ConsistOf(HaveField("Src", synPacket(4000, 0, 0).Src)))
@@ -324,7 +324,7 @@
 
 	It("ends only flows through the entry that cannot reach the endpoint", func() {
 		otherProbes := &probeRecorder{}
-		otherEntry := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100, HeartbeatInterval: time.Second, StartProbe: otherProbes.probe, NotifyMiss: otherProbes.notify})
+		otherEntry := New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 100, HeartbeatInterval: time.Second, StartProbe: otherProbes.probe, NotifyMiss: otherProbes.notify})
 		otherEntry.SetDocument(now, testDocument(1, routeTo(bookingAddr, "booking")))
 		otherEntry.Learn(now, "c1", reports(report("booking", 1, nil), report("booking", 2, nil)))
 		otherEntry.Decide(now, flowPacket(1500, dead, 8, 1, 10)) // a flow on the endpoint through the other entry
@@ -337,7 +337,7 @@
 
 		otherEntry.PeerMissed(now, probes.notices[0])
 		q := otherProbes.take()
-		Expect(q.Why).To(Equal(Told))
+		Expect(q.Why).To(Equal(PeerReported))
 		Expect(otherEntry.FinishProbe(now, q, Reached)).To(BeEmpty())
 		Expect(otherEntry.Decide(now, flowPacket(1500, dead, 18, 2, 10)).Reason).To(Equal(Steered))
 		Expect(otherEntry.Decide(now, flowPacket(1000, dead, 18, 2, 10)).Reason).To(Equal(Steered), "routers may move it to the other entry meanwhile")
@@ -365,8 +365,8 @@
 						continue
 					}
 					outcome := Reached // the endpoint accepts connections; a single packet may be lost
-					if q := probes.take(); q.Why != Again {
-						outcome = []Outcome{Reached, Missed, Unsure}[random.IntN(3)]
+					if q := probes.take(); q.Why != Retry {
+						outcome = []Outcome{Reached, Missed, Inconclusive}[random.IntN(3)]
 						Expect(s.FinishProbe(now, q, outcome)).To(BeEmpty())
 					} else {
 						Expect(s.FinishProbe(now, q, outcome)).To(BeEmpty())
--- a/internal/steer/routes.go
+++ b/internal/steer/routes.go
@@ -49,7 +49,7 @@
 // purgeDroppedRoutes removes routes that were dropped longer ago than a flow can live.
 func (s *Steerer) purgeDroppedRoutes(now time.Time) {
 	for addr, at := range s.dropped {
-		if now.Sub(at) >= s.config.MaxFlow {
+		if now.Sub(at) >= s.config.MaxFlowAge {
 			delete(s.dropped, addr)
 			delete(s.sizeStats, addr)
 		}
--- a/internal/steer/steer.go
+++ b/internal/steer/steer.go
@@ -33,7 +33,7 @@
 	// Config holds the static settings of a Steerer.
 	Config struct {
 		Domain            string        // failure domain of this entry
-		MaxFlow           time.Duration // maximum lifetime of a flow
+		MaxFlowAge        time.Duration // maximum lifetime of a flow
 		MaxFlows          int           // maximum number of tracked flows
 		HeartbeatInterval time.Duration // heartbeat period of endpoints
 		// OnSuspect is called when new flows start or stop avoiding an endpoint; may be nil.
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -58,16 +58,16 @@
 
 // testSteerer knows two routes and three endpoints from one control instance.
 func testSteerer() *Steerer {
-	s := New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100})
+	s := New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 100})
 	s.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking"), routeTo(documentsAddr, "documents")))
 	s.Learn(start, "c1", reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
 	return s
 }
 
 // synPacket returns the SYN of a flow to booking, or its n-th retransmission.
-func synPacket(port uint16, seq uint32, copies int) Packet {
-	caller := netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port)
-	return Packet{Src: caller, Dst: bookingAddr, Flags: Syn, Seq: seq, Retransmission: copies}
+func synPacket(port uint16, seq uint32, retransmissions int) Packet {
+	client := netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port)
+	return Packet{Src: client, Dst: bookingAddr, Flags: Syn, Seq: seq, Retransmission: retransmissions}
 }
 
 // flowPacket returns a later packet of the flow that synPacket opens.
@@ -88,7 +88,7 @@
 		Expect(d.ID).To(HavePrefix("booking-"))
 		Expect(d.Tag).To(Equal(Tag(d.ID)))
 
-		other := New(Config{Domain: "almadies", MaxFlow: time.Minute, MaxFlows: 100})
+		other := New(Config{Domain: "almadies", MaxFlowAge: time.Minute, MaxFlows: 100})
 		other.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking")))
 		other.Learn(start, "c1", reports(report("booking", 1, nil), report("booking", 2, nil)))
 		e := other.Decide(start, flowPacket(1000, d.Tag, 8, 1, 10))
--- a/internal/steer/tag.go
+++ b/internal/steer/tag.go
@@ -7,9 +7,9 @@
 	hashKey0 = 0x6f78626f77736164
 	hashKey1 = 0x646c652074616773
 
-	// startToleranceBeats is how many heartbeat periods two start times must differ by for all
+	// startToleranceHeartbeats is how many heartbeat periods two start times must differ by for all
 	// entries to agree on their order.
-	startToleranceBeats = 10
+	startToleranceHeartbeats = 10
 )
 
 // Tag returns the tag of an endpoint's incarnation. It is the same on every entry and never 0.
@@ -39,20 +39,20 @@
 // open flows; if they are about the same age, the lower ID. Ages are estimated from heartbeat
 // sequences, so that entries which have just started agree.
 func (s *Steerer) tagPrecedes(a, b *backend) bool {
-	if tolerance := startToleranceBeats * s.config.HeartbeatInterval; a.startedAt.Sub(b.startedAt).Abs() > tolerance {
+	if tolerance := startToleranceHeartbeats * s.config.HeartbeatInterval; a.startedAt.Sub(b.startedAt).Abs() > tolerance {
 		return a.startedAt.Before(b.startedAt)
 	}
 	return a.ID < b.ID
 }
 
 // releaseTag passes the tag of a removed incarnation to another one with the same tag, if any.
-func (s *Steerer) releaseTag(forgotten *backend) {
-	if s.byTag[forgotten.tag] != forgotten {
+func (s *Steerer) releaseTag(removed *backend) {
+	if s.byTag[removed.tag] != removed {
 		return
 	}
-	delete(s.byTag, forgotten.tag)
+	delete(s.byTag, removed.tag)
 	for _, b := range s.byID {
-		if b.tag == forgotten.tag {
+		if b.tag == removed.tag {
 			b.tagConflict = false
 			s.assignTag(b)
 		}
--- a/internal/steer/tag_test.go
+++ b/internal/steer/tag_test.go
@@ -44,7 +44,7 @@
 	})
 
 	It("passes to the other one after the maximum flow lifetime", func() {
-		s := New(Config{MaxFlows: 10, MaxFlow: time.Minute, HeartbeatInterval: time.Second})
+		s := New(Config{MaxFlows: 10, MaxFlowAge: time.Minute, HeartbeatInterval: time.Second})
 		a, b := incarnation("a", start), incarnation("b", start)
 		for _, x := range []*backend{a, b} {
 			s.byID[x.ID] = x
