--- a/internal/node/announcements.go
+++ b/internal/node/announcements.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// handleAnnouncement handles one datagram. It is ignored while the entry is linked, since
-// control instances are then known from rosters.
+// handleAnnouncement handles one datagram. An announcement is ignored while the entry is linked,
+// since control instances are then known from rosters.
 func (e *Entry) handleAnnouncement(ctx context.Context, raw []byte) {
 	var instance wire.ControlInstance
 	addr, err := netip.AddrPort{}, proto.Unmarshal(raw, &instance)
--- a/internal/node/announcements_test.go
+++ b/internal/node/announcements_test.go
@@ -19,7 +19,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// startEntry runs an entry that listens for announcements, until stop is called; its codec
+// startEntry runs an entry that listens for announcements, until stop is called. Its codec
 // rejects every packet.
 func startEntry(operators netip.AddrPort, seeds ...netip.AddrPort) (e *Entry, stop func()) {
 	e = NewEntry(EntryConfig{
@@ -50,7 +50,7 @@
 	})
 	deadSeed := netip.MustParseAddrPort(unreachableAddr(9))
 
-	ginkgo.It("is announced to by a restarted control instance, from the hints on its disk", func() {
+	ginkgo.It("receives announcements of a restarted control instance, which has its address from the hints on disk", func() {
 		_, stopFirst := startEntry(operators, fleet[0].config.PeerAddr)
 		Eventually(func() []string { return savedEntries(fleet[0]) }, settleTimeout).Should(ConsistOf(operators.String()))
 		stopFirst()
@@ -62,7 +62,7 @@
 		Expect(entry.announcements.received.Load()).To(BeNumerically(">", 0))
 	})
 
-	ginkgo.It("is announced to by a control instance that it was linked to before its own restart", func() {
+	ginkgo.It("receives announcements, after its own restart, of a control instance that it was linked to", func() {
 		_, stopFirst := startEntry(operators, fleet[0].config.PeerAddr)
 		Eventually(fleet[0].entries.count, settleTimeout).Should(Equal(1))
 		stopFirst()
--- a/internal/node/batchlog.go
+++ b/internal/node/batchlog.go
@@ -16,8 +16,8 @@
 	// acknowledgement of a leaving endpoint waits for it.
 	peerBatchDelay = 3 * time.Millisecond
 	// fullBatchDelay is how long changes are collected before their records are sent to
-	// entries. It is far below the time within which an entry needs any of them, and merges
-	// many changes into one frame while a fleet starts.
+	// entries. It merges many changes into one frame while a fleet starts, and is too short to
+	// matter to an entry.
 	fullBatchDelay = 20 * time.Millisecond
 	// summaryBatchDelay is how long changes are collected before summaries of them are sent
 	// to entries that receive the records from another control instance. It gives that
@@ -29,7 +29,7 @@
 	// batchLog encodes endpoint changes into batches that are shared by many links, so that
 	// each change is encoded and compressed only once.
 	batchLog struct {
-		delay    time.Duration
+		delay    time.Duration                    // from a change to the batch that contains it
 		interval time.Duration                    // between batches without a change, 0 to make batches only after changes
 		changes  *notifier                        // notifies of changes to collect
 		collect  func(after uint64) *wire.Reports // returns the changes after a revision
--- a/internal/node/blackhole_test.go
+++ b/internal/node/blackhole_test.go
@@ -56,7 +56,8 @@
 	return c, nil
 }
 
-// blackhole permanently drops traffic of the selected open connections.
+// blackhole permanently drops the traffic of the open connections for which selected returns
+// true.
 func (s *blackholeDialer) blackhole(selected func() bool, dropWrites, dropReads bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/node/compress.go
+++ b/internal/node/compress.go
@@ -23,7 +23,7 @@
 	compressDefault, compressFast = flate.DefaultCompression, flate.BestSpeed
 )
 
-// compressors pools compressors by level, since each allocates more than half a megabyte.
+// compressors pools compressors by level, since each allocates large buffers.
 var compressors = map[int]*sync.Pool{compressDefault: newCompressorPool(compressDefault), compressFast: newCompressorPool(compressFast)}
 
 func newCompressorPool(level int) *sync.Pool {
@@ -40,7 +40,7 @@
 	}
 	raw, err := proto.Marshal(frame)
 	if err != nil {
-		return frame // the sender runs into the same error
+		return frame // sending it returns the same error
 	}
 	var out bytes.Buffer
 	w := compressors[level].Get().(*flate.Writer)
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -31,7 +31,7 @@
 		PeerAddr   netip.AddrPort   // listens for links of entries and peers
 		Front      string           // address for operators and endpoints
 		Seeds      []netip.AddrPort // peer addresses of other control instances
-		FirstStart bool             // the whole fleet starts for the first time
+		FirstStart bool             // whether the whole fleet starts for the first time
 		// OpenFiles opens the data folder.
 		OpenFiles         func() (storage.Files, error)
 		Voters            int           // number of voters to maintain
--- a/internal/node/decisionlog.go
+++ b/internal/node/decisionlog.go
@@ -10,8 +10,7 @@
 )
 
 const (
-	// maxDecisions is the number of decisions an entry keeps for operators: two minutes
-	// at 17 new flows a second, some 0.4 MB.
+	// maxDecisions is the number of decisions that an entry keeps for operators.
 	maxDecisions = 2048
 	// maxDecisionsPerReply bounds the decisions in one reply to an operator.
 	maxDecisionsPerReply = 20
@@ -35,8 +34,8 @@
 
 func newDecisionLog() *decisionLog { return &decisionLog{explain.NewRing[logRecord](maxDecisions)} }
 
-// isRecorded reports whether a decision is logged: all are, except those on packets that
-// follow an existing flow.
+// isRecorded reports whether a decision is logged: all are, except forwarding a packet of an
+// established flow.
 func isRecorded(d steer.Decision) bool {
 	return d.Reason != steer.Steered && d.Reason != steer.Corrected
 }
@@ -71,7 +70,7 @@
 	m := d.decision.Message()
 	m.UnixNano, m.Subject = d.at.UnixNano(), steer.Subject(d.src, d.dst)
 	if d.retransmissions > 0 {
-		m.Hops = append(m.Hops, "the opening packet came again: earlier ones were not answered")
+		m.Hops = append(m.Hops, "this SYN is a retransmission: earlier ones were not answered")
 	}
 	return m
 }
--- a/internal/node/decisionlog_test.go
+++ b/internal/node/decisionlog_test.go
@@ -35,7 +35,7 @@
 		Expect(found[1].NextStep).To(ContainSubstring("did not answer"))
 	})
 
-	ginkgo.It("skips packets that follow an existing flow", func() {
+	ginkgo.It("skips packets of established flows", func() {
 		l := newDecisionLog()
 		l.add(at, packet(1, 0), steer.Decision{Action: steer.Forward, Reason: steer.Steered})
 		Expect(l.forFlow(packet(1, 0).Src, dst)).To(BeEmpty())
--- a/internal/node/dialbackoff.go
+++ b/internal/node/dialbackoff.go
@@ -8,11 +8,11 @@
 
 const (
 	// dialInterval is the time between overlapping attempts while no link is active. A host
-	// without power does not respond, not even later to an attempt that began before it was
-	// up, so that only a new attempt reaches it quickly. It covers several round trips
-	// between failure domains.
+	// that is still starting does not respond to an attempt made before it was up, so only a
+	// new attempt reaches it quickly. The interval covers several round trips between failure
+	// domains.
 	dialInterval = 40 * time.Millisecond
-	// maxDialTimeout bounds the duration of attempts, for slow hosts.
+	// maxDialTimeout bounds the timeout of an attempt; it allows for slow hosts.
 	maxDialTimeout = 500 * time.Millisecond
 	// minDialPause is the pause between two attempts at one address. While other links are
 	// active, it doubles with each attempt up to maxDialPause, so that many entries do not
--- a/internal/node/disk.go
+++ b/internal/node/disk.go
@@ -52,7 +52,7 @@
 		"term", loaded.HardState.Term, "torn", loaded.Torn)
 }
 
-// isWritable reports whether a disk that failed is writable again, which reading alone would
+// isWritable reports whether a disk that failed is writable again, which a successful read does
 // not show. It logs nothing, since the failure has been logged already.
 func isWritable(files storage.Files) bool { return storage.Probe(files) == nil }
 
--- a/internal/node/disk_test.go
+++ b/internal/node/disk_test.go
@@ -53,9 +53,9 @@
 		Eventually(func() uint64 { return stalled.Status().Version }, settleTimeout).Should(Equal(uint64(2)))
 	})
 
-	ginkgo.It("acknowledge orders while the disk of the leader or of a follower is 40 times slower", func() {
+	ginkgo.It("acknowledge orders while the disk of the leader or of a follower is slow", func() {
 		start(45, 3)
-		const slow = 100 * time.Millisecond // 40 times the 5 ms that a write and a sync usually take
+		const slow = 100 * time.Millisecond // far longer than a write and a sync usually take
 		for version, r := range []*runningControl{fleet.leader(), fleet.follower()} {
 			r.disk.SetDelay(slow)
 			fleet.put(uint64(2 + version))
--- a/internal/node/endpointlog.go
+++ b/internal/node/endpointlog.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// endpointLogRate and endpointLogBurst limit the log lines about endpoints. They suffice
-	// for a release, but not for the start of a fleet.
+	// endpointLogRate and endpointLogBurst limit the log lines about endpoints, in lines per
+	// second and lines. They suffice for a rolling release, but not for the start of a fleet.
 	endpointLogRate  = 20
 	endpointLogBurst = 100
 )
@@ -25,7 +25,7 @@
 	return &endpointLog{logger, newLogLimiter(endpointLogRate, endpointLogBurst)}
 }
 
-// logChange logs a change of an endpoint that was last heard the given age ago.
+// logChange logs a change of an endpoint; age is the time since its last heartbeat.
 func (l *endpointLog) logChange(e registry.Endpoint, silent bool, age time.Duration) {
 	dropped, allowed := l.limiter.allow()
 	if !allowed {
--- a/internal/node/endpoints.go
+++ b/internal/node/endpoints.go
@@ -14,8 +14,8 @@
 // of the registry the peers have acknowledged. It is safe for concurrent use.
 type endpointList struct {
 	now              func() time.Time
-	changes          notifier // the registry has changed in a way that matters to entries
-	acknowledgements notifier // a peer has acknowledged a revision
+	changes          notifier // of changes of the registry that matter to entries
+	acknowledgements notifier // of acknowledgements by peers
 	// Batches for entries that receive records, for entries that receive only summaries, and
 	// for peers.
 	fullBatches, summaryBatches, peerBatches *batchLog
@@ -32,7 +32,7 @@
 	}
 	l.fullBatches = &batchLog{delay: fullBatchDelay, changes: &l.changes, collect: l.changesAfter, isEmpty: nothingForEntry}
 	l.summaryBatches = &batchLog{delay: summaryBatchDelay, changes: &l.changes, collect: l.changeSummaryAfter, isEmpty: nothingForEntry}
-	// Peers take each frame as a sign of life, so that empty batches are sent too.
+	// Each frame shows peers that this instance is alive, so empty batches are sent too.
 	l.peerBatches = &batchLog{delay: peerBatchDelay, interval: frameInterval, changes: &l.changes, collect: l.peerChangesAfter, isEmpty: func(*wire.Reports) bool { return false }}
 	return l
 }
@@ -120,8 +120,8 @@
 	return l.read(func(now time.Time, r *registry.Registry) *wire.Reports { return r.PeerChanges(now, revision) })
 }
 
-// acknowledge records the revision that the peer at an address has acknowledged; 0 resets it
-// when the link ends.
+// acknowledge records the revision that the peer at an address has acknowledged; 0, passed when
+// the link ends, resets it.
 func (l *endpointList) acknowledge(address string, revision uint64) {
 	l.mu.Lock()
 	l.acknowledged[address] = revision
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -34,7 +34,7 @@
 	EntryConfig struct {
 		Name       string
 		Domain     string
-		PacketAddr netip.AddrPort // receives callers' packets; resets are sent to the same port of the caller
+		PacketAddr netip.AddrPort // receives clients' packets; resets are sent to the same port of the client
 		// OperatorAddr is the TCP address for operators' commands and the UDP address for
 		// announcements of control instances; the zero value disables both.
 		OperatorAddr      netip.AddrPort
@@ -50,8 +50,8 @@
 		Now               func() time.Time
 	}
 
-	// Entry forwards callers' packets to endpoints, by the document and the endpoint reports
-	// that it receives from control instances.
+	// Entry forwards clients' packets to endpoints, according to the document and the endpoint
+	// reports that it receives from control instances.
 	Entry struct {
 		config            EntryConfig
 		manager           *linkManager
@@ -64,13 +64,13 @@
 		decisions         *decisionLog
 		timings           entryTimings
 		probeQueue        chan steer.Probe
-		suspicions        chan *wire.Doubt // to report to the other entries
+		suspicions        chan *wire.Doubt // to be reported to the other entries
 
 		primaryMu sync.Mutex // serializes choosePrimary; locked before mu
 
 		mu      sync.Mutex
 		steerer *steer.Steerer
-		latest  *document.Document // newest received, applied or about to be
+		latest  *document.Document // newest received, which is applied or about to be applied
 		fetcher *documentFetcher
 		primary *primary
 		links   map[string]*entryLink // by address
--- a/internal/node/entrylink.go
+++ b/internal/node/entrylink.go
@@ -67,8 +67,7 @@
 	return l.stream.Send(frame)
 }
 
-// subscribe asks the control instance for every change of endpoints, or, if brief, for
-// digests only.
+// subscribe subscribes to every change of endpoints, or, if brief, to summaries only.
 func (l *entryLink) subscribe(brief bool) error {
 	digest := l.manager.entry.digest()
 	return l.send(&wire.Frame{Body: &wire.Frame_Subscription{Subscription: &wire.Subscription{Brief: brief, Digest: digest[:]}}})
--- a/internal/node/entrylinks.go
+++ b/internal/node/entrylinks.go
@@ -22,8 +22,8 @@
 	return len(e.links) > 0
 }
 
-// recordSourceState records what the control instance source reports about itself: whether it
-// leads, and whether its list of endpoints is complete.
+// recordSourceState records whether the control instance source leads, and whether its list of
+// endpoints is complete, according to its roster.
 func (e *Entry) recordSourceState(source string, roster *wire.Roster) {
 	now := e.config.Now()
 	e.mu.Lock()
@@ -36,8 +36,8 @@
 	}
 }
 
-// setSourceDomain records the failure domain of the control instance source, which is the
-// first one in its own roster.
+// setSourceDomain records the failure domain of the control instance source, which lists itself
+// first in its roster.
 func (e *Entry) setSourceDomain(source string, roster *wire.Roster) {
 	if len(roster.Instances) == 0 {
 		return
--- a/internal/node/entrylist.go
+++ b/internal/node/entrylist.go
@@ -10,8 +10,8 @@
 )
 
 type (
-	// entryList holds the state of the entries that are linked to a control instance. It
-	// serves only operators' commands and metrics, besides sending suspicions to the entries.
+	// entryList holds the state of the entries that are linked to a control instance, for
+	// operators' commands, for metrics, and for sending suspicions to the entries.
 	entryList struct {
 		now func() time.Time
 
--- a/internal/node/evacuate.go
+++ b/internal/node/evacuate.go
@@ -16,12 +16,12 @@
 	// callers try another instance.
 	stallThreshold = 600 * time.Millisecond
 	// rejectAfterStall is how long evacuation orders are rejected after a stall: until all
-	// orders that arrived during the stall have been read. Their callers have sent them
-	// elsewhere already, and perhaps a contrary order since.
+	// orders that arrived during the stall have been read. Their callers have sent them to
+	// other instances already, and perhaps a contrary order since.
 	rejectAfterStall = time.Second
 	// disconnectWait delays an order before it is proposed, to detect that the caller has
-	// already disconnected: if a network partition delayed the request, the end of the
-	// connection arrives right behind it. Orders have no id or deadline by which to tell a
+	// already disconnected: if a network partition delayed the order, the end of the
+	// connection arrives right after it. Orders have no ID or deadline that would distinguish a
 	// late one from a new one.
 	disconnectWait = 2 * time.Millisecond
 )
--- a/internal/node/failover_bench_test.go
+++ b/internal/node/failover_bench_test.go
@@ -9,8 +9,8 @@
 )
 
 // BenchmarkFirstAck measures the time from a failure to the acknowledgement of the first
-// order after it, by kind of failure. The order is tried at one instance after the other
-// for 0.2 s each. Run it with -benchtime 1x, as each iteration needs a fresh failure:
+// order after it, by kind of failure. The order is sent to one instance after the other until
+// it is acknowledged. Run it with -benchtime 1x, as each iteration needs a fresh failure:
 //
 //	go test ./internal/node -run '^$' -bench FirstAck -benchtime 1x -count 5
 func BenchmarkFirstAck(b *testing.B) {
@@ -22,8 +22,8 @@
 		{"a follower stops", func(_ *testing.B, f controlFleet) { f.follower().stop() }},
 		{"the leader stops", func(_ *testing.B, f controlFleet) { f.leader().stop() }},
 		{"the leader's disk is full", func(_ *testing.B, f controlFleet) { f.leader().disk.SetFull(true) }},
-		{"the leader's disk stands still", func(b *testing.B, f controlFleet) { b.Cleanup(f.leader().disk.Stall()) }},
-		{"a follower's disk stands still", func(b *testing.B, f controlFleet) { b.Cleanup(f.follower().disk.Stall()) }},
+		{"the leader's disk hangs", func(b *testing.B, f controlFleet) { b.Cleanup(f.leader().disk.Stall()) }},
+		{"a follower's disk hangs", func(b *testing.B, f controlFleet) { b.Cleanup(f.follower().disk.Stall()) }},
 		{"the leader restarts with an empty disk", func(b *testing.B, f controlFleet) {
 			lost := f.leader()
 			lost.stop()
--- a/internal/node/feed.go
+++ b/internal/node/feed.go
@@ -34,7 +34,7 @@
 	stream           wire.DRPCDirectory_LinkStream
 	name             string      // of the entry
 	domain           string      // failure domain of the entry
-	documentRequests chan uint64 // document version that the entry has
+	documentRequests chan uint64 // document version that the requesting entry has, 0 for none
 	recordRequests   chan *wire.RecordsWant
 	suspicions       chan *wire.Frame // frames to send
 	subscriptions    chan *wire.Subscription
@@ -184,8 +184,8 @@
 	return f.sendRemainder()
 }
 
-// sendDocument sends the document in force, as a difference from the version that the entry
-// holds if that version is still kept.
+// sendDocument sends the document in force, as a difference from the version that the entry has
+// if that version is still kept.
 func (f *entryFeed) sendDocument(held uint64) error {
 	p := f.control.published.Load()
 	if p.document() == nil {
--- a/internal/node/fetch.go
+++ b/internal/node/fetch.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-// fetchTimeout is how long to wait for a requested document before another control
-// instance is asked: enough for 3,000 routes, some 250 KB, over a link of 2 Mbit/s.
-// A failed link is noticed earlier.
+// fetchTimeout is how long to wait for a requested document before it is requested from another
+// control instance. It allows for a large document on a slow link; a failed link is detected
+// earlier.
 const fetchTimeout = 1500 * time.Millisecond
 
 // documentFetcher chooses the control instance that an entry requests the document from:
-// one at a time, since a document may be large for the link, and always one that offers
+// one at a time, since the transfer of a document may take long, and always one that offers
 // the newest version. Versions superseded during a transfer are never requested.
 type documentFetcher struct {
 	offers          map[string]uint64 // offered version by control instance
--- a/internal/node/fleet_bench_test.go
+++ b/internal/node/fleet_bench_test.go
@@ -32,8 +32,8 @@
 }
 
 // BenchmarkFleet measures the memory and processor time that a control instance uses while a
-// fleet starts, by number of linked entries and of endpoints. The figures include the client
-// ends, which run in this process and discard what they receive. If FLEET_HEAP is set to a
+// fleet starts, by number of linked entries and of endpoints. The figures include the entries'
+// ends of the links, which run in this process and discard the received frames. If FLEET_HEAP is set to a
 // file name, a heap profile is written there. Run it with:
 //
 //	go test ./internal/node -run '^$' -bench Fleet -benchtime 1x
@@ -90,7 +90,7 @@
 	}
 }
 
-// readLink is the client end of a link; it discards received frames until the context is
+// readLink runs the entry's end of a link; it discards received frames until the context is
 // done.
 func readLink(ctx context.Context, address string, n int) {
 	var raw net.Conn
--- a/internal/node/hints.go
+++ b/internal/node/hints.go
@@ -42,8 +42,8 @@
 	return hints
 }
 
-// hintsLoop writes the hints after changes, in a goroutine of its own so that the loop of the
-// log does not wait for the disk.
+// hintsLoop writes the hints after changes. It runs in a goroutine of its own, so that
+// Control.loop does not wait for these writes.
 func (c *Control) hintsLoop(ctx context.Context) error {
 	ticker := time.NewTicker(hintsInterval)
 	defer ticker.Stop()
--- a/internal/node/identity.go
+++ b/internal/node/identity.go
@@ -13,8 +13,8 @@
 
 // loadIdentity reads the identity of the instance, or creates and saves a new one. An id
 // lives only as long as the disk: after the loss of a disk the instance gets a new id at the
-// same address, so that what the old one promised (votes and acknowledgements) is neither
-// attributed to the new one nor broken by it.
+// same address, so that votes and acknowledgements of the old id are neither attributed
+// to the new one nor contradicted by it.
 func loadIdentity(files storage.Files, c ControlConfig) (*wire.Identity, error) {
 	stored := &wire.Identity{}
 	found, err := storage.LoadMessage(files, identityFile, stored)
--- a/internal/node/initiallist.go
+++ b/internal/node/initiallist.go
@@ -14,8 +14,7 @@
 const initialListLifetime = 250 * time.Millisecond
 
 // initialList caches the frames that list all endpoints. All entries request them at once
-// after a power failure, and encoding them separately for each entry would take more than a
-// second of processor time.
+// after a power failure, and encoding them separately for each entry would be slow.
 type initialList struct {
 	endpoints *endpointList
 
@@ -44,7 +43,7 @@
 
 // initialFrames encodes the list of all endpoints. The endpoints of the given failure domain
 // come in a frame of their own before the others: nearly all flows of an entry go to them,
-// and on a slow link the whole list takes several times as long.
+// and the whole list takes much longer on a slow link.
 func initialFrames(all *wire.Reports, domain string) []*wire.Frame {
 	local := &wire.Reports{More: true}
 	remainder := &wire.Reports{Number: all.Number, Whole: all.Whole, Same: all.Same}
--- a/internal/node/initiallist_bench_test.go
+++ b/internal/node/initiallist_bench_test.go
@@ -16,9 +16,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// BenchmarkFirstLists measures the processor time per entry when 295 entries without records
-// request 600 endpoints at once, as after a power failure. It includes the client ends, but
-// not the processing of the list by an entry. Run it with:
+// BenchmarkFirstLists measures the processor time per entry when many entries without records
+// request the endpoint list at once, as after a power failure. It includes the entries' ends of
+// the links, but not the processing of the list by an entry. Run it with:
 //
 //	go test ./internal/node -run '^$' -bench FirstLists -benchtime 1x
 func BenchmarkFirstLists(b *testing.B) {
--- a/internal/node/link.go
+++ b/internal/node/link.go
@@ -14,10 +14,11 @@
 )
 
 const (
-	// frameInterval is the maximum time between two frames from each end of a link.
+	// frameInterval is the interval of the periodic frames on links between control instances,
+	// and of the sweeps of the registry.
 	frameInterval = 200 * time.Millisecond
-	// linkIdleTimeout closes a link on which nothing was received or could be sent. It covers
-	// several frames.
+	// linkIdleTimeout is how long a read or write may block before the link is closed. It covers
+	// several periodic frames.
 	linkIdleTimeout = 1200 * time.Millisecond
 	// maxUnackedTime is how long sent data may remain unacknowledged by TCP.
 	maxUnackedTime = time.Second
--- a/internal/node/linkloop.go
+++ b/internal/node/linkloop.go
@@ -50,7 +50,7 @@
 }
 
 // acquireLoadSlot waits until no other link loads its initial endpoint list, so that the
-// first load gets the full bandwidth and later ones transfer only what differs. It returns
+// first load gets the full bandwidth and later ones transfer only the differences. It returns
 // the function that releases the slot. The wait ends without the slot after
 // maxLoadStartWait if the other load has not started, and after maxLoadWait in any case.
 func (m *linkManager) acquireLoadSlot(ctx context.Context) (finish func()) {
--- a/internal/node/linkmanager.go
+++ b/internal/node/linkmanager.go
@@ -42,7 +42,7 @@
 		failedAt  map[string]time.Time // last failure by address
 		loadSlot  chan struct{}        // held by the link that loads its initial endpoint list
 
-		loadStarted atomic.Bool // the holder of loadSlot has received a first part
+		loadStarted atomic.Bool // the holder of loadSlot has received the first part of the list
 	}
 
 	// managedLink is the link that is maintained to one address.
@@ -178,8 +178,8 @@
 	maps.DeleteFunc(m.failedAt, func(address string, _ time.Time) bool { return !isCandidate[address] })
 }
 
-// preferred returns the candidates whose links should be active, including unusable ones
-// for which others stand in.
+// preferred returns the candidates whose links should be active: unusable ones are included,
+// together with their substitutes.
 func (m *linkManager) preferred(now time.Time, candidates []attachment.Candidate) []string {
 	return m.plan.Choose(candidates, func(address string) bool { return m.usable(now, address) })
 }
--- a/internal/node/linkmanager_test.go
+++ b/internal/node/linkmanager_test.go
@@ -28,6 +28,7 @@
 // unreachableAddr returns the n-th of several addresses that refuse connections.
 func unreachableAddr(n int) string { return fmt.Sprintf("127.0.0.%d:1", n) }
 
+// rosterOf returns a roster that lists instances at the given addresses.
 func rosterOf(addresses ...string) *wire.Roster {
 	r := &wire.Roster{}
 	for _, a := range addresses {
--- a/internal/node/linkserver.go
+++ b/internal/node/linkserver.go
@@ -48,15 +48,14 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			time.Sleep(minDialPause) // out of file descriptors: wait until connections are closed
+			time.Sleep(minDialPause) // probably out of file descriptors: wait until connections are closed
 			continue
 		}
 		go s.serveConn(ctx, linkConn{raw})
 	}
 }
 
-// serveConn serves one connection until it ends. The end that opened the connection logs the
-// reason.
+// serveConn serves one connection until it is closed. The dialing side logs the reason.
 func (s *linkServer) serveConn(ctx context.Context, conn linkConn) {
 	_ = s.server.ServeOne(ctx, conn)
 }
--- a/internal/node/loglimiter.go
+++ b/internal/node/loglimiter.go
@@ -6,7 +6,7 @@
 // safe for concurrent use.
 type logLimiter struct {
 	limiter *rate.Limiter
-	dropped uint64 // since the last line
+	dropped uint64 // since the last allowed line
 }
 
 // newLogLimiter returns a limiter for the given rate in lines per second and burst.
--- a/internal/node/malformed.go
+++ b/internal/node/malformed.go
@@ -9,7 +9,7 @@
 
 const (
 	// malformedLogRate and malformedLogBurst limit the log lines about malformed calls, of
-	// which a faulty client may send many.
+	// which a faulty endpoint may make many, in lines per second and lines.
 	malformedLogRate  = 1
 	malformedLogBurst = 10
 )
--- a/internal/node/operatorapi.go
+++ b/internal/node/operatorapi.go
@@ -74,7 +74,7 @@
 	return reply, nil
 }
 
-// Why refers to the entries, which make the decisions that operators ask about.
+// Why refers operators to the entries, since control instances make no decisions on packets.
 func (a *controlAPI) Why(_ context.Context, r *wire.WhyRequest) (*wire.WhyReply, error) {
 	return &wire.WhyReply{Lines: []string{"a control instance forwards no packets: ask an entry about a " + r.Matter}}, nil
 }
@@ -84,7 +84,8 @@
 	return statsReply(a.control.metrics()), nil
 }
 
-// Status returns the document version in force at the entry, and what drains wait for.
+// Status returns the document version and evacuations in force at the entry, and its drains in
+// progress.
 func (a *entryAPI) Status(context.Context, *wire.StatusRequest) (*wire.StatusReply, error) {
 	e := a.entry
 	now := e.config.Now()
@@ -109,8 +110,8 @@
 	}, nil
 }
 
-// Why returns the recorded decisions on a flow and its present state, or the last refused
-// packets.
+// Why returns the recorded decisions on a flow and its present state, or the last decisions to
+// refuse a packet.
 func (a *entryAPI) Why(_ context.Context, r *wire.WhyRequest) (*wire.WhyReply, error) {
 	if r.Matter == matterRefused {
 		return &wire.WhyReply{Decisions: a.withEntryName(a.entry.decisions.refused())}, nil
@@ -129,8 +130,8 @@
 	return &wire.WhyReply{Decisions: a.withEntryName(a.explain(src, dst))}, nil
 }
 
-// explain returns the recorded decisions on the flow between two addresses, followed by the
-// decision that a packet of the flow would get now.
+// explain returns the recorded decisions on the flow between two addresses, followed by its
+// current state, or the decision that its SYN would get now.
 func (a *entryAPI) explain(src, dst netip.AddrPort) []*wire.Decision {
 	e := a.entry
 	now := e.config.Now()
--- a/internal/node/orders.go
+++ b/internal/node/orders.go
@@ -56,14 +56,15 @@
 	return c.propose(ctx, func(now time.Time, d *directory.Directory) (uint64, bool, error) { return d.Put(now, doc) })
 }
 
-// proposalResult is the result of a call that the loop rejected.
+// proposalResult is the error of an order or a read that was rejected in the loop, with the
+// address of the leader if another instance leads.
 type proposalResult struct {
 	elsewhere string
 	err       error
 }
 
 // propose runs proposeIn in the loop and waits until its proposal is committed. If the caller
-// has given up before the loop gets to it, nothing is proposed: the order may be outdated by
+// has given up before the loop runs proposeIn, nothing is proposed: the order may be outdated by
 // then.
 func (c *Control) propose(ctx context.Context, proposeIn func(now time.Time, d *directory.Directory) (index uint64, done bool, err error)) (elsewhere string, err error) {
 	committed := make(chan bool, 1)
@@ -133,17 +134,17 @@
 	return doc, elsewhere, err
 }
 
-// Malformed counts and logs a call that does not identify an endpoint: the malformed field,
-// and what is wrong with it.
+// Malformed counts and logs a call that does not identify an endpoint. field is the malformed
+// field, and detail says why it is malformed.
 func (c *Control) Malformed(id, field, detail string) {
 	if dropped, ok := c.malformed.record(field); ok {
 		c.config.Log.Warn("no endpoint named", "endpoint", id, "field", field, "error", detail, "left_out", dropped)
 	}
 }
 
-// Heartbeat records the heartbeat of an endpoint. If the endpoint is leaving, it waits until
-// a majority of the voters knows; err is of kind NoQuorum if that takes longer than
-// callTimeout.
+// Heartbeat records the heartbeat of an endpoint. If the endpoint is leaving, Heartbeat waits
+// until a majority of the voters has acknowledged that; the error is of kind NoQuorum if that
+// takes longer than callTimeout.
 func (c *Control) Heartbeat(ctx context.Context, e registry.Endpoint) error {
 	revision := c.endpoints.heartbeat(e)
 	if !e.Leaving {
@@ -152,8 +153,8 @@
 	return c.awaitMajority(ctx, revision)
 }
 
-// Leave records that an endpoint has ended, and waits until a majority of the voters knows.
-// err is as for Heartbeat.
+// Leave records that an endpoint has ended, and waits until a majority of the voters has
+// acknowledged that. The error is as for Heartbeat.
 func (c *Control) Leave(ctx context.Context, id string) error {
 	return c.awaitMajority(ctx, c.endpoints.leave(id))
 }
--- a/internal/node/packets.go
+++ b/internal/node/packets.go
@@ -13,18 +13,18 @@
 	// maxPacketSize is the size of the read buffer in bytes.
 	maxPacketSize = 2048
 	// flowLogRate and flowLogBurst limit the log lines about flows, in lines per second and
-	// lines, to at most 0.1% of a core.
+	// lines, so that logging takes little processor time.
 	flowLogRate  = 100
 	flowLogBurst = 300
 )
 
 // Codec decodes and encodes the datagrams of the network.
 type Codec struct {
-	// Decode parses a caller's packet; false means that it is malformed.
+	// Decode parses a client's packet; false means that it is malformed.
 	Decode func(raw []byte) (steer.Packet, bool)
 	// Forward appends to buf the datagram that carries raw to an endpoint.
 	Forward func(buf, raw []byte, number uint64, tag uint32) []byte
-	// Reset appends to buf a reset for the caller of a packet.
+	// Reset appends to buf a reset for the client that sent p.
 	Reset func(buf []byte, p steer.Packet, seq uint32) []byte
 }
 
@@ -37,7 +37,7 @@
 			return ctx.Err()
 		}
 		if err != nil {
-			continue // such as an ICMP port-unreachable error from an earlier send
+			continue // for example an ICMP port-unreachable error from an earlier send
 		}
 		e.handlePacket(conn, raw[:n], out)
 	}
@@ -58,7 +58,7 @@
 	e.counts.add(d)
 	switch d.Action {
 	case steer.Forward:
-		// Send errors count as packet loss: the caller retransmits.
+		// Send errors count as packet loss: the client retransmits.
 		_, _ = conn.WriteToUDPAddrPort(e.config.Codec.Forward(out, raw, d.Number, d.Tag), d.To)
 	case steer.Reset:
 		e.sendReset(conn, out, p, d.Seq)
@@ -66,14 +66,14 @@
 	e.logDecision(now, p, d)
 }
 
-// sendReset sends a reset for the flow of a packet to its caller. Send errors are ignored:
+// sendReset sends a reset for the flow of a packet to its client. Send errors are ignored:
 // the next packet of the flow triggers another reset.
 func (e *Entry) sendReset(conn *net.UDPConn, buf []byte, p steer.Packet, seq uint32) {
 	client := netip.AddrPortFrom(p.Src.Addr(), e.config.PacketAddr.Port())
 	_, _ = conn.WriteToUDPAddrPort(e.config.Codec.Reset(buf, p, seq), client)
 }
 
-// sampleDecisionTime records the duration of one in timeOneIn decisions.
+// sampleDecisionTime records the duration of one in decisionSampleInterval decisions.
 func (e *Entry) sampleDecisionTime(start time.Time) {
 	if e.untimedPackets++; e.untimedPackets >= decisionSampleInterval {
 		e.untimedPackets = 0
@@ -81,9 +81,9 @@
 	}
 }
 
-// logDecision stores a decision for operators and writes a log line for it. Packets that
-// follow an existing flow are skipped. Lines beyond the rate limit are dropped; the next
-// line has their number.
+// logDecision stores a decision for operators and writes a log line for it, except for packets
+// of established flows. Lines beyond the rate limit are dropped; the next line contains their
+// number.
 func (e *Entry) logDecision(now time.Time, p steer.Packet, d steer.Decision) {
 	if !isRecorded(d) {
 		return
--- a/internal/node/peers.go
+++ b/internal/node/peers.go
@@ -17,9 +17,9 @@
 	// dropped, which the log tolerates.
 	maxQueuedMessages = 128
 	// fullRosterPeriod is the period, in rosters, at which all instances are listed. The
-	// other rosters list only the sender, as a sign of life: if all were complete, traffic
-	// would grow with the cube of the number of instances. What a peer reports of other
-	// instances is still younger than the time after which a voter counts as lost.
+	// other rosters list only the sender, to show that it is alive: if all were complete,
+	// traffic would grow with the cube of the number of instances. The period is shorter than
+	// the time after which a voter counts as lost.
 	fullRosterPeriod = 5
 )
 
@@ -179,7 +179,7 @@
 	})
 	err = l.send(ctx, stream)
 	closeLink()
-	<-receiverDone // so that no late acknowledgement follows the reset below
+	<-receiverDone // so that no late acknowledgement overwrites the reset below
 	l.control.endpoints.acknowledge(l.address, 0)
 	log.Warn("peer lost", "peer", l.address, "error", err)
 	return err
--- a/internal/node/primary.go
+++ b/internal/node/primary.go
@@ -8,8 +8,8 @@
 )
 
 // primary chooses the control instance that sends an entry every change of endpoints. The
-// others send digests only, which reveal soon what the primary has missed without the cost
-// of sending every change several times.
+// others send only summaries, by which the entry detects records that the primary has missed,
+// without the cost of sending every change several times.
 type primary struct {
 	entry   string            // name of the entry; ranks control instances differently for each entry
 	domain  string            // failure domain of the entry
--- a/internal/node/probes.go
+++ b/internal/node/probes.go
@@ -12,7 +12,7 @@
 const (
 	// During a probe, this process checks every pauseCheckInterval that it has not been
 	// paused for more than the probe's timeout divided by maxPauseDivisor: after a longer
-	// pause, a timeout says nothing about the endpoint.
+	// pause, a timeout is no evidence against the endpoint.
 	pauseCheckInterval = 5 * time.Millisecond
 	maxPauseDivisor    = 3
 	// maxConcurrentProbes bounds both the running and the queued probes.
--- a/internal/node/probes_test.go
+++ b/internal/node/probes_test.go
@@ -39,7 +39,7 @@
 		Eventually(func() int { return len(e.probeQueue) }, settleTimeout).Should(BeZero())
 	})
 
-	// steppingClock returns a clock that advances by step at each read, and counts the reads.
+	// steppingClock returns a clock that advances by step and increments reads at each read.
 	steppingClock := func(step time.Duration, reads *int) func() time.Time {
 		return func() time.Time {
 			*reads++
--- a/internal/node/published.go
+++ b/internal/node/published.go
@@ -13,12 +13,12 @@
 // entry that lags further behind receives the whole document.
 const maxKeptDocuments = 8
 
-// publishedState is the state of the replicated log that is sent to entries: the last of
-// documents is the one in force, which confirmed refers to, and the others are earlier
-// versions that entries may still have. evacuations is as of the same log index. Each frame
-// with a document contains both, so that no entry applies a document without the evacuations
-// acknowledged before it. A publishedState is immutable, except that frames is filled on
-// demand.
+// publishedState is the state of the replicated log that is sent to entries. The last of
+// documents is the one in force; the others are earlier versions that entries may still have.
+// confirmed is whether the document in force is known to be current. evacuations is as of the
+// same log index: each frame with a document contains both, so that no entry applies a document
+// without the evacuations acknowledged before it. A publishedState is immutable, except that
+// frames is filled on demand.
 type publishedState struct {
 	documents   []*document.Document
 	evacuations *evacuation.Set
@@ -34,8 +34,8 @@
 	return p.documents[len(p.documents)-1]
 }
 
-// frame returns the document frame for an entry that holds the given version. It is encoded
-// only once.
+// frame returns the document frame for an entry that has the version held. It is encoded only
+// once.
 func (p *publishedState) frame(held uint64) *wire.Frame {
 	base := p.find(held)
 	if base == nil {
--- a/internal/node/roster.go
+++ b/internal/node/roster.go
@@ -7,9 +7,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// maxRosterAge is the age up to which a roster is sent to peers as proof that this instance
-// is alive: five times the interval between rosters. While the loop waits for its disk, or
-// has none, it makes no new roster, so that peers consider the instance silent and replace it
+// maxRosterAge is the age up to which a roster is sent to peers to show that this instance is
+// alive: five times the interval between rosters. While the loop waits for its disk, or the disk
+// has failed, it makes no new roster, so that peers consider the instance silent and replace it
 // as a voter.
 const maxRosterAge = 5 * frameInterval
 
--- a/internal/node/suspicions.go
+++ b/internal/node/suspicions.go
@@ -16,8 +16,8 @@
 	// suspicionRepeatInterval is the minimum time between two reports of an unanswered probe
 	// of the same endpoint.
 	suspicionRepeatInterval = 2 * time.Second
-	// maxPendingSuspicions bounds a batch: a tenth of the endpoints of the largest fleet,
-	// which may fail at once.
+	// maxPendingSuspicions bounds the suspicions in a batch; it allows for many endpoints of a
+	// large fleet that fail at once.
 	maxPendingSuspicions = 5500
 )
 
@@ -142,9 +142,9 @@
 	}
 }
 
-// handleSuspicion handles a suspicion from an entry. One report of an
-// unanswered probe is enough to forward it, since the other entries then probe the endpoint
-// themselves; failed requests are forwarded once several entries have reported them.
+// handleSuspicion handles a suspicion from an entry. One report of an unanswered probe is
+// forwarded at once, since the other entries then probe the endpoint themselves; failed requests
+// are forwarded once several entries have reported them.
 func (c *Control) handleSuspicion(from *entryFeed, d *wire.Doubt) {
 	if !d.Hung {
 		c.suspicions.add(d)
--- a/internal/node/timings.go
+++ b/internal/node/timings.go
@@ -55,8 +55,8 @@
 	t.sync.WriteText(w)
 }
 
-// observeSince records the time since start, unless err is set: callers count failures
-// themselves.
+// observeSince records the time since start, unless err is set: timings cover only successful
+// operations.
 func observeSince(t *telemetry.Timing, now func() time.Time, start time.Time, err error) {
 	if err == nil {
 		t.Observe(now().Sub(start))
--- a/internal/node/updates.go
+++ b/internal/node/updates.go
@@ -37,8 +37,8 @@
 	if link == nil {
 		return
 	}
-	// If the link has failed, its reader calls removeSource, which sends another
-	// request.
+	// If the link has failed, its reader calls removeSource, which requests the document from
+	// another control instance.
 	_ = link.send(&wire.Frame{Body: &wire.Frame_Want{Want: &wire.DocumentWant{Held: held}}})
 }
 
@@ -58,7 +58,7 @@
 		return
 	}
 	// After a restart of all control instances no document is confirmed until a leader is
-	// elected. Callers are served meanwhile, but the entry does not report itself ready.
+	// elected. Clients are served meanwhile, but the entry does not report itself ready.
 	e.applyDocument(doc, frame.Confirmed)
 	if frame.Confirmed {
 		e.markConfirmed(doc.Version())
@@ -66,8 +66,8 @@
 	e.requestDocument()
 }
 
-// applyEvacuations keeps new flows off the evacuated failure domains, unless the set is
-// not newer than the one in force.
+// applyEvacuations applies the evacuations received from source if they are newer than those in
+// force.
 func (e *Entry) applyEvacuations(source string, m *wire.Evacuations) {
 	set := evacuation.FromMessage(m)
 	e.mu.Lock()
@@ -78,7 +78,7 @@
 	}
 }
 
-// markConfirmed makes the entry ready once the document in force is known to be current.
+// markConfirmed makes the entry ready, since the document in force is known to be current.
 func (e *Entry) markConfirmed(version uint64) {
 	if !e.confirmed.Swap(true) {
 		e.config.Log.Info("ready", "version", version)
--- a/internal/steer/backend.go
+++ b/internal/steer/backend.go
@@ -14,8 +14,9 @@
 	// The period doubles with each failure.
 	minSuspectPeriod = time.Second
 	maxSuspectPeriod = 4 * time.Second
-	// openFlowLoad is the load of an idle open flow, relative to a request in progress. It must
-	// stay small beside remotePenalty, or long flows would cross failure domains.
+	// openFlowLoad is the load of an idle open flow, relative to a request in progress. It is
+	// much smaller than remotePenalty, so that idle flows alone don't push new flows to other
+	// failure domains.
 	openFlowLoad = 0.02
 	// coldPenalty is the additional load of an endpoint that is still warming up.
 	coldPenalty = 0.3
@@ -25,18 +26,18 @@
 	remoteBulkPenalty = 1.0
 )
 
-// backend is an incarnation of an endpoint and what this entry has observed of it.
+// backend is an incarnation of an endpoint with the observations of this entry.
 type backend struct {
 	registry.Endpoint
 	tag         uint32
-	digestPart  uint64    // bit of its part of the digest
+	digestPart  uint64    // bit of the part of the digest that covers it
 	sum         uint64    // checksum that the digest includes, 0 before the first
 	startedAt   time.Time // estimated from the heartbeat sequence
 	warmUntil   time.Time
-	learnedAt   time.Time // when this entry first heard of it
+	learnedAt   time.Time // when this entry first received a record of it
 	goneAt      time.Time
-	leavingAt   time.Time // when this entry heard that it is leaving
-	silent      bool      // to every control instance that knows it
+	leavingAt   time.Time // when this entry learned that it is leaving
+	silent      bool      // reported as silent by every control instance that knows it
 	silentAt    time.Time // since when it is silent
 	tagConflict bool      // another incarnation holds the same tag
 
@@ -49,7 +50,7 @@
 	reach     reachability
 	ejection  ejection
 	responses *responseCounts // counts of its service
-	position  *poolPosition   // nil while it gets no new flows
+	position  *poolPosition   // nil if it is in no pool
 }
 
 // clearFailures records that the endpoint answers. It reports whether the endpoint was suspect
--- a/internal/steer/bench_test.go
+++ b/internal/steer/bench_test.go
@@ -30,7 +30,7 @@
 	}
 }
 
-// benchmarkSteerer knows 120 endpoints of one service.
+// benchmarkSteerer returns a Steerer with a document and endpoints of one service.
 func benchmarkSteerer() *Steerer {
 	s := New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 10_000})
 	s.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking")))
--- a/internal/steer/cold.go
+++ b/internal/steer/cold.go
@@ -7,9 +7,9 @@
 )
 
 // excludedWhileCold reports whether the endpoint gets no new flows because it is cold and its
-// service limits the rate of cold endpoints. The limit applies to the sum over all entries,
-// which don't know each other's rates, so no entry sends such an endpoint any new flow until it
-// is warm.
+// service limits the request rate of cold endpoints. The limit applies to the sum over all
+// entries, which don't know each other's rates, so no entry places new flows on such an endpoint
+// until it is warm.
 func (s *Steerer) excludedWhileCold(now time.Time, b *backend) bool {
 	return b.isCold(now) && s.coldRates[b.Service] > 0
 }
--- a/internal/steer/cold_test.go
+++ b/internal/steer/cold_test.go
@@ -21,7 +21,7 @@
 		Expect(faults).To(BeEmpty())
 		s.SetDocument(start, d)
 	}
-	// coldReport reports an endpoint that has just started in a failure domain.
+	// coldReport returns the report of an endpoint that has just started in a failure domain.
 	coldReport := func(n int, domain string) *wire.EndpointReport {
 		m := fleetReport(n, domain)
 		m.WarmNanos = int64(coldFor)
@@ -37,7 +37,7 @@
 	}
 
 	It("get no new flow from any entry until they are warm, under three times the usual load", func() {
-		const entries, flows = 30, 50 // flows per second at each entry: 12 for each endpoint of the failure domain
+		const entries, flows = 30, 50 // flows at each entry
 		placed := map[string]int{}
 		for range entries {
 			s := fleet(4)
--- a/internal/steer/convergence_test.go
+++ b/internal/steer/convergence_test.go
@@ -38,8 +38,8 @@
 	return t
 }
 
-// heartbeat has a control instance receive a heartbeat of an endpoint, which may say that it
-// leaves.
+// heartbeat has a control instance receive a heartbeat of an endpoint, which may report that the
+// endpoint is leaving.
 func (t *convergenceTest) heartbeat(at, n int, leaving bool) {
 	id := fmt.Sprint("i-", n)
 	t.sequences[id]++
@@ -50,14 +50,14 @@
 	})
 }
 
-// exchange sends what a control instance heard to the other one.
+// exchange sends the changes at a control instance to the other one.
 func (t *convergenceTest) exchange(from int) {
 	reports := t.registries[from].PeerChanges(t.now, t.sentToPeer[from])
 	t.sentToPeer[from] = reports.Number
 	t.registries[1-from].Merge(t.now, reports)
 }
 
-// sync sends the entry what a control instance has not sent it yet.
+// sync sends the entry the changes that a control instance has not sent it yet.
 func (t *convergenceTest) sync(from int) {
 	r, source := t.registries[from], fmt.Sprint("c", from)
 	var reports *wire.Reports
@@ -82,7 +82,7 @@
 	t.entry.RemoveSource(t.now, fmt.Sprint("c", from))
 }
 
-// step takes one random step.
+// step takes one random step of the test.
 func (t *convergenceTest) step(r *rapid.T) {
 	at, n := rapid.IntRange(0, 1).Draw(r, "at"), rapid.IntRange(0, 3).Draw(r, "endpoint")
 	switch rapid.IntRange(0, 7).Draw(r, "step") {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Guards against an entry that misses reports: whatever the delays, it must learn all that its
-// control instance knows, and call an endpoint silent only if all its sources do.
+// Guards against an entry that misses reports: whatever the delays, it must learn all endpoints
+// that a control instance knows, and consider one silent only if all control instances do.
 func TestEntryConvergesWithControlInstances(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		g := gomega.NewWithT(r)
@@ -138,7 +138,7 @@
 	})
 }
 
-// compare checks that the entry knows what a control instance knows.
+// compare checks that the entry has the same endpoint records as a control instance.
 func (t *convergenceTest) compare(g *gomega.WithT, with int) {
 	for _, m := range t.registries[with].Changes(t.now, 0).Endpoints {
 		b := t.entry.byID[m.Id]
@@ -153,7 +153,7 @@
 	}
 }
 
-// silent reports whether both control instances call an endpoint silent.
+// silent reports whether both control instances report an endpoint as silent.
 func (t *convergenceTest) silent(id string) bool {
 	for _, r := range t.registries {
 		for _, m := range r.Records(t.now, []string{id}).Endpoints {
--- a/internal/steer/counts.go
+++ b/internal/steer/counts.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// Counts holds the sizes of a Steerer's tables and its document version.
+// Counts holds the number of flows and endpoints of a Steerer, the number of endpoints in each
+// state, and the document version.
 type Counts struct {
 	Flows, Endpoints, Silent, Suspect, Lost, Ejected int
 	Version                                          uint64
--- a/internal/steer/decision.go
+++ b/internal/steer/decision.go
@@ -13,12 +13,12 @@
 const (
 	Placed       Reason = iota // new flow, placed on a chosen endpoint
 	Repeated                   // retransmitted SYN, to the endpoint chosen before
-	Replaced                   // retransmitted SYN, to another endpoint, as the first does not answer
+	Replaced                   // retransmitted SYN, to another endpoint than the first, which did not answer
 	Steered                    // forwarded by tag
 	Corrected                  // forwarded by the tag of the endpoint that the flow was established with
-	NoTable                    // no document, or not all endpoints, known yet
+	NoTable                    // the document or the full list of endpoints has not been received yet
 	NoRoute                    // no route for the address
-	RouteDropped               // the document in force dropped the route
+	RouteDropped               // the route was removed by a newer document
 	NoEndpoint                 // no endpoint accepts the flow
 	UnknownTag                 // no known endpoint has the tag
 	EndpointGone               // the endpoint of the flow has ended
@@ -43,7 +43,7 @@
 		Action Action
 		Reason Reason
 		To     netip.AddrPort // address of the endpoint
-		Number uint64         // identifies the endpoint's incarnation in the header put before the packet
+		Number uint64         // identifies the endpoint's incarnation in the header prepended to the packet
 		Tag    uint32         // tag to write into the packet
 		Seq    uint32         // sequence number of a reset
 		// ID of the endpoint and version of the document, for logs.
--- a/internal/steer/evacuation.go
+++ b/internal/steer/evacuation.go
@@ -9,8 +9,8 @@
 )
 
 // SetEvacuations stops new flows to the failure domains of a set. Established flows stay, as
-// their packets are forwarded by tag. A set that is not newer than the current one is ignored,
-// whoever sends it. It reports whether the set was applied.
+// their packets are forwarded by tag. A set that is not newer than the current one is ignored.
+// SetEvacuations reports whether the set was applied.
 func (s *Steerer) SetEvacuations(set *evacuation.Set) bool {
 	if set.Revision() <= s.evacuations.Revision() {
 		return false
@@ -33,15 +33,14 @@
 	return b.acceptsFlows() && !s.isExcluded(now, b)
 }
 
-// isExcluded reports whether new flows must not go to the endpoint, whatever state it reports
-// itself.
+// isExcluded reports whether new flows must not go to the endpoint although it would accept
+// them.
 func (s *Steerer) isExcluded(now time.Time, b *backend) bool {
 	return s.isEvacuated(b) || s.excludedWhileCold(now, b)
 }
 
 // noEndpointReason returns why no endpoint accepts a new flow of a route. If all candidates are
-// evacuated, the evacuation takes precedence over serving, and the reset tells the client that
-// nothing was executed.
+// evacuated, the flow is reset, so that the client learns that no request was executed.
 func (s *Steerer) noEndpointReason(r *route) Reason {
 	for _, share := range r.Shares {
 		if p := s.pools[share.Service]; p != nil && len(p[evacuatedTier]) > 0 {
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -13,12 +13,13 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// setOf returns the evacuation set of a revision and some failure domains.
+// setOf returns the evacuation set of some failure domains with a revision.
 func setOf(revision uint64, domains ...string) *evacuation.Set {
 	return evacuation.FromMessage(&wire.Evacuations{Revision: revision, Domains: domains})
 }
 
-// threeDomains reports a service with some endpoints in each of three failure domains.
+// threeDomains returns the reports of a service with some endpoints in each of three failure
+// domains.
 func threeDomains(each int) []*wire.EndpointReport {
 	var all []*wire.EndpointReport
 	for n := range 3 * each {
--- a/internal/steer/explain.go
+++ b/internal/steer/explain.go
@@ -133,8 +133,8 @@
 	return list
 }
 
-// verdict returns what counts for and against an endpoint, including the exclusions of this
-// entry.
+// verdict describes the load and state of an endpoint, including its exclusion from new flows
+// by this entry.
 func (s *Steerer) verdict(now time.Time, b *backend, bulk bool) string {
 	verdict := b.verdict(now, s.config.Domain, bulk)
 	if now.Before(b.ejection.until) {
@@ -149,7 +149,7 @@
 	return verdict
 }
 
-// verdict returns what counts for and against the endpoint by its own state.
+// verdict describes the load and state of the endpoint.
 func (b *backend) verdict(now time.Time, domain string, bulk bool) string {
 	switch {
 	case b.Gone:
@@ -164,13 +164,13 @@
 		verdict += ", in failure domain " + b.Domain
 	}
 	if b.isCold(now) {
-		verdict += ", still slow"
+		verdict += ", still warming up"
 	}
 	if b.reach.lost {
 		verdict += ", avoided: it accepts no connection from here"
 	}
 	if b.silent {
-		verdict += ", avoided: no control instance hears it"
+		verdict += ", avoided: no control instance receives its heartbeats"
 	}
 	if now.Before(b.suspectUntil) {
 		verdict += fmt.Sprintf(", avoided for %s: it left flows without an answer", b.suspectUntil.Sub(now).Round(time.Millisecond))
--- a/internal/steer/flow.go
+++ b/internal/steer/flow.go
@@ -14,8 +14,8 @@
 	defaultIdleTimeout = 15 * time.Second
 )
 
-// flow is the state kept for load estimates and for retransmitted SYNs; forwarding by tag does
-// not need it.
+// flow is the state of a tracked flow, for load estimates and for retransmitted SYNs.
+// Forwarding by tag does not need it.
 type flow struct {
 	key                flowKey
 	backend            *backend
@@ -26,12 +26,12 @@
 	reassigned         bool          // SYNs went to two endpoints
 	awaiting           bool          // a request waits for its response
 	requestEnd         uint32        // sequence number after the last request
-	requestAt          time.Time     // when the end of the last request was first seen
+	requestAt          time.Time     // when the last request was first seen in full
 	lastAck            uint32        // acknowledgement number of the last packet
 	responseStart      uint32        // acknowledgement number at the last request
 	idleElement        *list.Element // in Steerer.idleOrder
 	sawRetransmitFirst bool          // the first SYN seen here was a retransmission
-	pendingElement     *list.Element // in Steerer.pendingOpens, nil once answered or counted
+	pendingElement     *list.Element // in Steerer.pendingOpens, nil once answered or counted as unanswered
 }
 
 // trackOpening starts tracking a flow that was placed.
@@ -41,8 +41,8 @@
 	f.pendingElement = s.pendingOpens.PushBack(f)
 }
 
-// trackEstablished starts tracking an established flow that came through another entry, or was
-// placed before this one restarted.
+// trackEstablished starts tracking an established flow that was placed by another entry, or by
+// this one before a restart.
 func (s *Steerer) trackEstablished(now time.Time, p Packet, b *backend) *flow {
 	f := s.addFlow(now, p, b)
 	f.established, f.requestEnd, f.lastAck = true, p.Seq, p.Ack
@@ -98,7 +98,7 @@
 		f.requestEnd, f.requestAt, f.responseStart = end, now, p.Ack
 		f.setAwaiting(true)
 		s.trackRequest(f)
-	} else if f.awaiting && now.Sub(f.requestAt) >= openTimeout { // earlier, the packets may just be reordered
+	} else if f.awaiting && now.Sub(f.requestAt) >= openTimeout { // before that, packets may just be reordered
 		s.probe(now, f.backend, UnackedData)
 	}
 }
@@ -137,7 +137,7 @@
 	}
 }
 
-// clearPending removes a flow from the list of those without a first answer.
+// clearPending removes a flow from the list of flows without a first answer.
 func (s *Steerer) clearPending(f *flow) {
 	if f.pendingElement != nil {
 		s.pendingOpens.Remove(f.pendingElement)
@@ -182,7 +182,7 @@
 	}
 }
 
-// countFailedOpens counts flows that were not answered in time against their endpoints.
+// countFailedOpens records a failure of the endpoint for each flow not answered in time.
 func (s *Steerer) countFailedOpens(now time.Time) {
 	for e := s.pendingOpens.Front(); e != nil; e = s.pendingOpens.Front() {
 		f := e.Value.(*flow)
--- a/internal/steer/learn.go
+++ b/internal/steer/learn.go
@@ -8,8 +8,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Learn applies the endpoint reports of a control instance, source. It returns the IDs of the
-// endpoints whose records differ there and must be requested.
+// Learn applies the endpoint reports of the control instance source. It returns the IDs of the
+// endpoints whose records are missing or outdated here and must be requested from it.
 func (s *Steerer) Learn(now time.Time, source string, reports *wire.Reports) (missing []string) {
 	if reports.Whole {
 		s.MarkSourceReady(now, source)
@@ -35,7 +35,7 @@
 	return missing
 }
 
-// learnSilence records whether a control instance calls an endpoint silent.
+// learnSilence records whether a control instance reports an endpoint as silent.
 func (s *Steerer) learnSilence(now time.Time, r *reporter, id string, silent bool) {
 	b := s.byID[id]
 	if b == nil {
@@ -67,8 +67,9 @@
 	return true
 }
 
-// learnMatchingParts handles the parts of the digest that match a control instance's. It hears
-// all endpoints of these parts that it has not called silent.
+// learnMatchingParts handles the parts of the digest that match that of a control instance: the
+// instance knows all endpoints of these parts. Once it is ready, those that it has not reported
+// as silent count as alive.
 func (s *Steerer) learnMatchingParts(now time.Time, r *reporter, parts uint64) {
 	if parts == 0 {
 		return
@@ -80,8 +81,9 @@
 	}
 }
 
-// MarkSourceReady records that a control instance, source, has been up long enough to hear every
-// endpoint. It hears all endpoints that it has not called silent.
+// MarkSourceReady records that the control instance source has been up long enough to receive a
+// heartbeat of every live endpoint. From now on, endpoints that it knows and has not reported as
+// silent count as alive.
 func (s *Steerer) MarkSourceReady(now time.Time, source string) {
 	for _, id := range s.reporterOf(source).markReady() {
 		if b := s.byID[id]; b != nil {
@@ -90,11 +92,11 @@
 	}
 }
 
-// Digest returns the digest of all known endpoints, which lets a control instance leave out
-// what this entry knows.
+// Digest returns the digest of all known endpoints, which lets a control instance omit records
+// that this entry has.
 func (s *Steerer) Digest() registry.Digest { return s.digest }
 
-// RemoveSource drops what a control instance that is out of reach said about silence.
+// RemoveSource drops the silence reports of a control instance that is out of reach.
 func (s *Steerer) RemoveSource(now time.Time, source string) {
 	delete(s.reporters, source)
 	for _, b := range s.byID {
@@ -111,8 +113,8 @@
 	s.digest.Toggle(b.ID, b.sum)
 }
 
-// applyReport applies the report of one endpoint. That an endpoint has ended is final;
-// otherwise the highest sequence wins.
+// applyReport applies the report of one endpoint. The end of an endpoint is final; otherwise the
+// report with the highest sequence wins.
 func (s *Steerer) applyReport(now time.Time, e registry.Endpoint) {
 	b := s.byID[e.ID]
 	switch {
@@ -133,13 +135,13 @@
 	}
 	if b.Leaving && b.leavingAt.IsZero() {
 		b.leavingAt = now
-		s.markReachable(b) // it was heard just now, and may refuse connections from now on
+		s.markReachable(b) // the report shows that it is alive; it may refuse connections from now on
 	}
 	b.warmUntil = now.Add(e.Warmup)
 	s.updatePool(b)
 }
 
-// addBackend adds an incarnation.
+// addBackend adds an incarnation and returns it.
 func (s *Steerer) addBackend(now time.Time, e registry.Endpoint) *backend {
 	b := &backend{
 		Endpoint: e, tag: Tag(e.ID), digestPart: registry.PartBit(e.ID), learnedAt: now,
@@ -147,15 +149,15 @@
 	}
 	s.byID[e.ID] = b
 	if !e.Addr.IsValid() {
-		return b // known only as ended, and kept so that older reports do not revive it
+		return b // first reported as ended; kept so that older reports do not revive it
 	}
 	s.byAddr[e.Addr] = append(s.byAddr[e.Addr], b)
 	s.assignTag(b)
 	return b
 }
 
-// updateSilence recomputes whether an endpoint is silent to every control instance that knows
-// it.
+// updateSilence recomputes whether every control instance that knows an endpoint reports it as
+// silent.
 func (s *Steerer) updateSilence(now time.Time, b *backend) {
 	known, silent := 0, 0
 	for _, r := range s.reporters {
@@ -173,9 +175,9 @@
 	}
 }
 
-// purgeEndedBackends removes incarnations that ended longer ago than a flow can live. A crashed
-// endpoint is never reported as ended; it is removed once it has been silent, and answered no
-// client, for that long.
+// purgeEndedBackends removes incarnations that ended longer ago than the maximum age of a flow.
+// A crashed endpoint is never reported as ended; it is removed once it has been silent, and has
+// answered no client, for that long.
 func (s *Steerer) purgeEndedBackends(now time.Time) {
 	for _, b := range s.byID {
 		if b.Gone && now.Sub(b.goneAt) >= s.config.MaxFlowAge || !b.Gone && s.presumedCrashed(now, b) {
@@ -184,8 +186,8 @@
 	}
 }
 
-// presumedCrashed reports whether an incarnation that was never reported as ended has certainly
-// ended.
+// presumedCrashed reports whether an incarnation has been silent for so long that none of its
+// flows can be left.
 func (s *Steerer) presumedCrashed(now time.Time, b *backend) bool {
 	return b.silent && b.flows == 0 && now.Sub(b.silentAt) >= s.config.MaxFlowAge && now.Sub(b.reach.lastResponseAt) >= s.config.MaxFlowAge
 }
@@ -209,8 +211,9 @@
 }
 
 // LearnDigest compares the digest of a control instance that sends only checksums. It reports
-// whether this entry must request what differs: a part that differed last time too and has not
-// changed there since. Parts that change all the time do not count.
+// whether this entry must request the records that differ: whether any part differs as it did
+// in the previous digest. A part that the control instance has changed since does not count, as
+// its records may still be in flight.
 func (s *Steerer) LearnDigest(now time.Time, source string, digest registry.Digest) (behind bool) {
 	r := s.reporterOf(source)
 	for i, sum := range digest {
--- a/internal/steer/learn_test.go
+++ b/internal/steer/learn_test.go
@@ -32,7 +32,7 @@
 		Expect(s.pools["booking"][remoteTier]).To(BeEmpty())
 	})
 
-	It("call an endpoint silent only if every control instance that knows it does", func() {
+	It("mark an endpoint as silent only if every control instance that knows it does", func() {
 		silent := func(m *wire.EndpointReport) { m.Silent = true }
 		s.Learn(start, "c2", reports(report("booking", 1, silent)))
 		Expect(s.byID["booking-1"].silent).To(BeFalse())
@@ -43,19 +43,19 @@
 		Expect(s.byID["booking-1"].silent).To(BeFalse())
 	})
 
-	It("do not count an endpoint as heard by a control instance that has just started", func() {
+	It("do not count an endpoint as alive because of a control instance that has just started", func() {
 		silent := func(m *wire.EndpointReport) { m.Silent = true }
 		s.Learn(start, "c1", reports(report("booking", 1, silent)))
 		s.Learn(start, "c2", &wire.Reports{Endpoints: []*wire.EndpointReport{report("booking", 1, nil), report("booking", 2, nil)}})
 		Expect(s.byID["booking-1"].silent).To(BeTrue())
 		Expect(s.byID["booking-2"].silent).To(BeFalse())
 		s.Learn(start, "c2", &wire.Reports{Whole: true, Endpoints: []*wire.EndpointReport{report("booking", 1, silent)}})
-		Expect(s.byID["booking-1"].silent).To(BeTrue(), "c2 has not heard it since its start")
+		Expect(s.byID["booking-1"].silent).To(BeTrue(), "c2 has received no heartbeat of it since its start")
 		s.Learn(start, "c1", reports(report("booking", 2, silent)))
-		Expect(s.byID["booking-2"].silent).To(BeFalse(), "c2 is ready and has not called it silent")
+		Expect(s.byID["booking-2"].silent).To(BeFalse(), "c2 is ready and has not reported it as silent")
 	})
 
-	It("drop a crashed endpoint after the maximum flow lifetime, and accept it again", func() {
+	It("drop a crashed endpoint after the maximum age of a flow, and accept it again", func() {
 		silent := func(m *wire.EndpointReport) { m.Silent = true }
 		s.Learn(start, "c1", reports(report("booking", 1, silent)))
 		s.Learn(start, "c2", reports(report("booking", 1, silent)))
@@ -76,20 +76,20 @@
 		Expect(s.pools["booking"][localTier]).To(HaveLen(listed))
 	})
 
-	It("count the endpoints of a matching digest as heard by a ready control instance", func() {
+	It("count the endpoints of a matching digest as alive if the control instance is ready", func() {
 		silent := func(m *wire.EndpointReport) { m.Silent = true }
 		s.Learn(start, "c2", reports(report("booking", 1, silent)))
 		s.Learn(start, "c3", &wire.Reports{Same: ^uint64(0), Endpoints: []*wire.EndpointReport{report("booking", 2, silent)}})
 		s.RemoveSource(start, "c1")
-		Expect(s.byID["booking-1"].silent).To(BeTrue(), "c3 is not ready and may not have heard it itself")
+		Expect(s.byID["booking-1"].silent).To(BeTrue(), "c3 is not ready and may have received no heartbeat of it")
 		s.MarkSourceReady(start, "c3")
-		Expect(s.byID["booking-1"].silent).To(BeFalse(), "c3 hears it")
+		Expect(s.byID["booking-1"].silent).To(BeFalse(), "c3 is ready and has not reported it as silent")
 		Expect(s.byID["booking-2"].silent).To(BeTrue(), "only c3 knows it now")
 		s.RemoveSource(start, "c3")
 		Expect(s.byID["booking-1"].silent).To(BeTrue())
 	})
 
-	It("find missing endpoints by checksums, and count the others as heard", func() {
+	It("find missing endpoints by checksums, and count the others as alive", func() {
 		r := registry.New(registry.Config{HeartbeatPeriod: time.Second}, start)
 		r.Merge(start, reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
 		before := r.LastChange()
@@ -105,13 +105,13 @@
 		Expect(s.Learn(start, "c2", brief)).To(BeEmpty())
 		Expect(s.byID["booking-4"].silent).To(BeTrue(), "c2 is not ready")
 		s.MarkSourceReady(start, "c2")
-		Expect(s.byID["booking-4"].silent).To(BeFalse(), "c2 knows it and has not called it silent")
+		Expect(s.byID["booking-4"].silent).To(BeFalse(), "c2 knows it and has not reported it as silent")
 	})
 
 	It("are requested when a digest differs in a part that has stopped changing", func() {
 		r := registry.New(registry.Config{HeartbeatPeriod: time.Second}, start)
 		r.Merge(start, reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil), report("booking", 7, nil), report("booking", 8, nil)))
-		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse(), "the report may be on its way")
+		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse(), "the report may be in flight")
 		r.Merge(start, reports(report("booking", 7, func(m *wire.EndpointReport) { m.Gone = true })))
 		behind := s.LearnDigest(start, "c2", r.Digest())
 		Expect(behind).To(BeTrue(), "the other endpoint is in a part that has not changed")
@@ -126,7 +126,7 @@
 		Expect(s.LearnDigest(start, "c2", r.Digest())).To(BeFalse())
 	})
 
-	It("apply lists of IDs that became silent or are heard again", func() {
+	It("apply lists of IDs that became silent or sent heartbeats again", func() {
 		s.MarkSourceReady(start, "c1")
 		s.Learn(start, "c1", reports(report("booking", 1, nil)))
 		s.Learn(start, "c1", &wire.Reports{Silent: []string{"booking-1", "unknown"}})
@@ -155,7 +155,7 @@
 		Expect(missing()).To(BeEmpty())
 	})
 
-	It("drop an ended incarnation after the maximum flow lifetime", func() {
+	It("drop an ended incarnation after the maximum age of a flow", func() {
 		s.Learn(start, "c1", reports(report("booking", 1, func(m *wire.EndpointReport) { m.Gone = true })))
 		s.Decide(start.Add(time.Minute+time.Second), synPacket(1000, 7, 0))
 		Expect(s.byID).NotTo(HaveKey("booking-1"))
--- a/internal/steer/outage.go
+++ b/internal/steer/outage.go
@@ -7,10 +7,11 @@
 	// with none answering in between, before new flows avoid the failure domain. Fewer may be
 	// crashes or lost packets.
 	outageThreshold = 3
-	// outageAvoidPeriod is how long new flows avoid the failure domain before one probes it.
+	// outageAvoidPeriod is how long new flows avoid the failure domain before a single one is
+	// sent there to probe it.
 	outageAvoidPeriod = time.Second
-	// leaderTimeout is how long after it last heard the leader an entry still counts as in
-	// touch with the operator's orders.
+	// leaderTimeout is how long after the last sign of a leader an entry still counts as
+	// connected to it, and so as up to date with evacuations.
 	leaderTimeout = 1200 * time.Millisecond
 )
 
@@ -34,8 +35,9 @@
 	}
 }
 
-// noteProbeFlow is called when a new flow goes to an endpoint. If its failure domain was
-// avoided, this flow probes it, and others avoid it for another period.
+// noteProbeFlow is called when a new flow is sent to an endpoint. If the failure domain of the
+// endpoint was avoided, the flow serves as a probe, and other flows avoid the failure domain for
+// another period.
 func (s *Steerer) noteProbeFlow(now time.Time, b *backend) {
 	if o := s.outages[b.Domain]; o != nil && !o.avoidUntil.IsZero() {
 		o.avoidUntil = now.Add(outageAvoidPeriod)
@@ -51,10 +53,10 @@
 	return o != nil && now.Before(o.avoidUntil)
 }
 
-// NoteLeader records that a control instance showed that it holds the leader's lease.
+// NoteLeader records that a control instance has reported that it holds the leader's lease.
 func (s *Steerer) NoteLeader(now time.Time) { s.leaderSeenAt = now }
 
 // isIsolated reports whether this entry has lost contact with the leader, and so cannot know
-// whether an evacuation still applies. If it reaches no other failure domain either, its
-// clients are served by evacuated endpoints rather than not at all.
+// whether an evacuation is still in force. If it reaches no endpoint outside the evacuated
+// failure domains either, it places flows on evacuated endpoints rather than nowhere.
 func (s *Steerer) isIsolated(now time.Time) bool { return now.Sub(s.leaderSeenAt) > leaderTimeout }
--- a/internal/steer/outage_test.go
+++ b/internal/steer/outage_test.go
@@ -8,9 +8,9 @@
 )
 
 var _ = Describe("a failure domain out of reach", func() {
-	// simulate opens 6 flows a second and answers those that reach a failure domain for which
-	// cut is false; SYNs are retransmitted as clients do. It returns, by second, how many flows
-	// were answered, and how many at the first SYN.
+	// simulate opens flows, retransmits their SYNs as clients do, and answers those that reach a
+	// failure domain for which cut is false. It returns, by second, how many flows were answered,
+	// and how many at the first SYN.
 	simulate := func(s *Steerer, begin time.Time, seconds int, cut func(domain string) bool) (answered, firstTry []int) {
 		const perSecond = 6
 		for second := range seconds {
--- a/internal/steer/outlier.go
+++ b/internal/steer/outlier.go
@@ -12,8 +12,8 @@
 	// excludes services that are slow as a whole and entries that receive no responses.
 	minPeerResponses = 3
 	minPeerRatio     = 3
-	// maxPendingRequests bounds the requests that are checked for hanging; those beyond it are
-	// not checked.
+	// maxPendingRequests bounds the requests that are tracked to detect hanging ones; further
+	// ones are ignored.
 	maxPendingRequests = 4000
 	// outlierReportInterval is the minimum time between two reports of an endpoint.
 	outlierReportInterval = 500 * time.Millisecond
@@ -27,7 +27,7 @@
 )
 
 // ejection is the state of an endpoint as an outlier: one that leaves requests without an
-// answer, or answers them by errors.
+// answer, or answers them with errors.
 type ejection struct {
 	nextReport time.Time // earliest time of the next report
 	until      time.Time // new flows avoid the endpoint until then
@@ -44,7 +44,7 @@
 	pendingRequest struct {
 		flow     *flow
 		sentAt   time.Time
-		baseline responseCounts // counts of its service when it was sent
+		baseline responseCounts // counts of the endpoint's service when the request was sent
 	}
 )
 
@@ -111,8 +111,8 @@
 	s.pendingRequests = rest
 }
 
-// checkHung reports the endpoint of a hung request if it is an outlier. It returns whether the
-// request has hung and needs no further check.
+// checkHung returns whether a request has hung and needs no further check. If the endpoint of
+// the hung request is an outlier, it is reported.
 func (s *Steerer) checkHung(now time.Time, r pendingRequest) bool {
 	if now.Sub(r.sentAt) < s.hangTimeout(r.flow) {
 		return false
--- a/internal/steer/outlier_test.go
+++ b/internal/steer/outlier_test.go
@@ -30,7 +30,7 @@
 type pendingResponse struct {
 	at    time.Time
 	entry *Steerer
-	p     Packet // of the client, acknowledging the response
+	p     Packet // the client's packet that acknowledges the response
 }
 
 func newOutlierFleet(entries, endpoints int) *outlierFleet {
@@ -57,7 +57,7 @@
 	}
 }
 
-// run simulates some seconds with perSecond requests at each entry, each on its own flow.
+// run simulates a number of seconds with perSecond requests at each entry, each on its own flow.
 func (f *outlierFleet) run(seconds, perSecond int) {
 	const step = 10 * time.Millisecond
 	begin := f.now
--- a/internal/steer/pool.go
+++ b/internal/steer/pool.go
@@ -9,8 +9,8 @@
 	// fullScanLimit is the longest list of endpoints that is scanned whole for a new flow.
 	fullScanLimit = 32
 	// sampleSize is how many endpoints of a longer list are sampled. In a large fleet an entry
-	// tracks few flows per endpoint, so most loads are equal and a small sample holds one of
-	// the least loaded.
+	// tracks few flows per endpoint, so most loads are equal and a small sample is likely to
+	// contain one of the least loaded.
 	sampleSize = 16
 	// maxSampleSize bounds the sample while all endpoints in it are suspect.
 	maxSampleSize = 128
@@ -22,7 +22,7 @@
 const (
 	localTier     poolTier = iota // in the entry's own failure domain
 	remoteTier                    // in other failure domains
-	evacuatedTier                 // in evacuated failure domains, which get no new flows
+	evacuatedTier                 // in evacuated failure domains, used only by an isolated entry
 
 	tierCount
 )
@@ -31,7 +31,7 @@
 	// poolTier is the index of a list in a pool.
 	poolTier int
 
-	// pool holds the endpoints of a service that accept new flows, by tier.
+	// pool holds the endpoints of a service that accept flows, by tier.
 	pool [tierCount][]*backend
 
 	// poolPosition is the place of a backend in a pool.
@@ -99,11 +99,11 @@
 	b.position = nil
 }
 
-// choose returns the endpoint for a new flow. The service is drawn by the route's weights. Of
-// its endpoints the least loaded one that is not avoided is taken, or the least loaded one if
-// all are avoided. Long lists are sampled, identically for all retransmissions of a SYN, so
-// that the cost does not grow with the service. onConsider, if not nil, is called for each
-// endpoint considered.
+// choose returns the endpoint for a new flow, nil if there is none. The service is drawn by the
+// route's weights. Of its endpoints, the least loaded one that is not avoided is taken, or the
+// least loaded one if all are avoided. Long lists are sampled, so that the cost does not grow
+// with the size of the service; all retransmissions of a SYN get the same sample. onConsider, if
+// not nil, is called for each endpoint considered.
 func (s *Steerer) choose(now time.Time, r *route, p Packet, avoid *backend, onConsider func(*backend)) *backend {
 	hash := p.hash()
 	pool := s.pools[r.service(hash)]
--- a/internal/steer/pool_test.go
+++ b/internal/steer/pool_test.go
@@ -13,8 +13,8 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// irregularFleet reports a service over five failure domains, whose endpoints alternate in runs
-// of irregular length.
+// irregularFleet returns the reports of a service over five failure domains, whose endpoints
+// alternate in runs of irregular length.
 func irregularFleet(count int) []*wire.EndpointReport {
 	domains := []string{"plateau", "almadies", "diamniadio", "yoff", "pikine"}
 	var all []*wire.EndpointReport
@@ -30,7 +30,7 @@
 	return all
 }
 
-// fleetReport reports one of up to thousands of endpoints.
+// fleetReport returns the report of the n-th endpoint of a large fleet.
 func fleetReport(n int, domain string) *wire.EndpointReport {
 	return report("booking", n, func(m *wire.EndpointReport) {
 		m.Domain, m.Address = domain, fmt.Sprintf("10.%d.%d.%d:80", n>>16, n>>8&255, n&255)
@@ -75,8 +75,7 @@
 		return ids
 	}
 
-	// A binomial count deviates by more than five standard deviations with a probability below
-	// one in a million.
+	// The bound of five standard deviations makes a failure by chance negligibly rare.
 	DescribeTable("gives endpoints of equal load the same share, whatever their order", func(count int) {
 		fleet := irregularFleet(count)
 		equals := localIDs(fleet)
@@ -163,7 +162,7 @@
 		}
 	})
 
-	It("is the same at entries with the same knowledge, and so for all retransmissions of a SYN", func() {
+	It("is the same at entries with the same endpoint records, and so for all retransmissions of a SYN", func() {
 		fleet := irregularFleet(480)
 		one, other := fleetSteerer(fleet), fleetSteerer(fleet)
 		for n := range 50 {
--- a/internal/steer/reachability.go
+++ b/internal/steer/reachability.go
@@ -26,9 +26,8 @@
 	// missValidity is how long after a miss a flow may be reset without another probe. The
 	// endpoint may recover within it, but its flows have then been disrupted already.
 	missValidity = 1200 * time.Millisecond
-	// stallThreshold is how many probes after retransmitted data a superseded endpoint's
-	// address must accept, without an answer of the endpoint in between, before the endpoint
-	// counts as ended; a packet of a live one may be lost.
+	// stallThreshold is how many consecutive stalls, see recordStall, a superseded endpoint must
+	// have before it counts as ended; a single one may be a lost packet.
 	stallThreshold = 2
 )
 
@@ -45,7 +44,7 @@
 const (
 	Reached      Outcome = iota // the connection was accepted
 	Missed                      // the connection was not accepted in time
-	Inconclusive                // this entry was too slow to tell
+	Inconclusive                // this entry was paused during the probe, so that the result is not meaningful
 
 	// OutcomeCount is the number of outcomes.
 	OutcomeCount
@@ -80,7 +79,7 @@
 		Seq      uint32 // sequence number that the client expects next
 	}
 
-	// reachability is what an entry knows of whether it can reach an endpoint.
+	// reachability is the state of an endpoint as reachable or not from this entry.
 	reachability struct {
 		probing        bool      // a probe is in progress
 		misses         int       // consecutive missed probes
@@ -90,7 +89,7 @@
 		nextProbeAt    time.Time // earliest time of the next probe
 		lastResponseAt time.Time // when the endpoint last answered a client
 		nextNoticeAt   time.Time // earliest time of the next notice to other entries
-		replaced       bool      // ended: another incarnation is live at its address
+		replaced       bool      // has ended, as another incarnation answers at its address
 		stalls         int       // consecutive stalls, see recordStall
 	}
 )
@@ -127,9 +126,9 @@
 	}
 }
 
-// markReplaced records that b answered a SYN, sent at a time when other incarnations at its
-// address were already known. Those have ended, since an address is reused only after that.
-// This is noticed before their heartbeats time out.
+// markReplaced records that b answered a SYN that was sent when other incarnations at its address
+// were already known. Those have ended, since an address is reused only after the end of the
+// previous incarnation. This detects the end before the heartbeats time out.
 func (s *Steerer) markReplaced(b *backend, sent time.Time) {
 	for _, other := range s.byAddr[b.Addr] {
 		if other == b || other.Gone || other.reach.replaced || !sent.After(other.learnedAt) {
@@ -171,9 +170,9 @@
 	return Decision{Action: Reset, Reason: EndpointLost, Seq: p.Ack, ID: b.ID}
 }
 
-// FinishProbe processes the outcome of a probe and returns the flows that it ends. A miss is
-// ignored unless another endpoint has answered since the probe began, because the fault may be
-// at this entry.
+// FinishProbe processes the outcome of a probe and returns the flows that it ends. A miss counts
+// as inconclusive unless another endpoint has answered since the probe began, because the fault
+// may be at this entry.
 func (s *Steerer) FinishProbe(now time.Time, p Probe, outcome Outcome) []EndedFlow {
 	b := s.byID[p.ID]
 	if b == nil || b.Gone {
@@ -202,17 +201,18 @@
 	return s.recordMiss(now, b, p.Why)
 }
 
-// isSuperseded reports whether, by heartbeats, the endpoint has ended and another one is live
-// at its address. This alone ends no flow.
+// isSuperseded reports whether, judging by heartbeats, the endpoint has ended and another one is
+// live at its address. This alone ends no flow.
 func (s *Steerer) isSuperseded(b *backend) bool {
 	return b.silent && slices.ContainsFunc(s.byAddr[b.Addr], func(other *backend) bool {
 		return other != b && !other.Gone && !other.silent && !other.reach.replaced
 	})
 }
 
-// recordStall handles a probe that was accepted at a contested address after a client
-// retransmitted data. If the endpoint is superseded, its flows are ended after stallThreshold
-// such probes rather than left to time out.
+// recordStall handles a probe that was accepted at a contested address. If the endpoint is
+// superseded and the probe was started because a client retransmitted data, this is a stall:
+// another endpoint probably accepted the connection. After stallThreshold stalls without an
+// answer of the endpoint in between, its flows are ended rather than left to time out.
 func (s *Steerer) recordStall(b *backend, p Probe) []EndedFlow {
 	if p.Why != UnackedData || b.reach.lastResponseAt.After(p.startedAt) || !s.isSuperseded(b) {
 		return nil
@@ -247,7 +247,7 @@
 	return s.endFlows(b)
 }
 
-// notifyMiss notifies other entries of a miss, unless one of them reported it.
+// notifyMiss notifies other entries of a miss, unless the probe was started by such a notice.
 func (s *Steerer) notifyMiss(now time.Time, b *backend, why Evidence) {
 	if s.config.NotifyMiss == nil || now.Before(b.reach.nextNoticeAt) {
 		return
--- a/internal/steer/reachability_test.go
+++ b/internal/steer/reachability_test.go
@@ -218,7 +218,7 @@
 			s.Decide(now, flowPacket(first.Src.Port(), successor.tag, first.Seq+1, 1, 0))
 		}
 		b.learnedAt = now
-		answerSYN(synPacket(7000, 7, 0), 0) // sent in the moment that it became known
+		answerSYN(synPacket(7000, 7, 0), 0) // sent at the moment when b became known
 		Expect(b.reach.replaced).To(BeFalse())
 		answerSYN(synPacket(7001, 7, 0), 1) // an earlier SYN may have been answered
 		Expect(b.reach.replaced).To(BeFalse())
@@ -340,11 +340,11 @@
 		Expect(q.Why).To(Equal(PeerReported))
 		Expect(otherEntry.FinishProbe(now, q, Reached)).To(BeEmpty())
 		Expect(otherEntry.Decide(now, flowPacket(1500, dead, 18, 2, 10)).Reason).To(Equal(Steered))
-		Expect(otherEntry.Decide(now, flowPacket(1000, dead, 18, 2, 10)).Reason).To(Equal(Steered), "routers may move it to the other entry meanwhile")
+		Expect(otherEntry.Decide(now, flowPacket(1000, dead, 18, 2, 10)).Reason).To(Equal(Steered), "routers may have moved the flow to the other entry")
 		Expect(otherEntry.Counts(now).Lost).To(BeZero())
 	})
 
-	It("never ends flows of an endpoint that accepts connections, whatever clients retransmit", func() {
+	It("never ends flows of an endpoint that accepts connections, whatever packets clients retransmit", func() {
 		for seed := range uint64(100) {
 			random := rand.New(rand.NewPCG(seed, 5))
 			probes.probes = nil
--- a/internal/steer/reporter.go
+++ b/internal/steer/reporter.go
@@ -2,14 +2,14 @@
 
 import "oxbowsaddle/internal/registry"
 
-// reporter is what one control instance has said about silent endpoints. One that has just
-// started may know endpoints that it has not heard itself. Until it is ready only its reports
-// of silence count, so that after a power loss it does not report endpoints that are down as
-// heard.
+// reporter holds which endpoints one control instance has reported as silent. An instance that
+// has just started may know endpoints from which it has received no heartbeat itself. Until it is
+// ready, only its reports of silence count, so that after a power failure endpoints that are down
+// do not count as alive.
 type reporter struct {
 	ready       bool
-	silent      map[string]bool // by endpoint ID, where its view counts
-	unconfirmed map[string]bool // IDs of endpoints that it knows but may not have heard
+	silent      map[string]bool // whether it reports an endpoint as silent, by ID; absent if its view does not count
+	unconfirmed map[string]bool // IDs of endpoints that it knows but may have received no heartbeat from
 	digest      registry.Digest // its last digest
 	// differed holds which parts of the last digest differed from this entry's.
 	differed [len(registry.Digest{})]bool
@@ -25,7 +25,7 @@
 	return r
 }
 
-// setSilent records whether it calls an endpoint silent.
+// setSilent records whether the control instance reports an endpoint as silent.
 func (r *reporter) setSilent(id string, silent bool) {
 	delete(r.unconfirmed, id)
 	switch {
@@ -37,8 +37,8 @@
 	}
 }
 
-// markKnown records that it knows an endpoint. It reports whether this changes its view of the
-// endpoint's silence.
+// markKnown records that the control instance knows an endpoint. It reports whether this changes
+// its view of the endpoint's silence.
 func (r *reporter) markKnown(id string) bool {
 	if _, said := r.silent[id]; said || r.unconfirmed[id] {
 		return false
@@ -47,8 +47,8 @@
 	return r.ready
 }
 
-// markReady records that it has had time to hear every endpoint. It returns the endpoints whose
-// view counts from now on.
+// markReady records that the control instance has had time to receive a heartbeat of every live
+// endpoint. It returns the IDs of the endpoints on which its view counts from now on.
 func (r *reporter) markReady() (ids []string) {
 	r.ready = true
 	for id := range r.unconfirmed {
--- a/internal/steer/response_size.go
+++ b/internal/steer/response_size.go
@@ -56,10 +56,10 @@
 	return st
 }
 
-// noteResponseSize handles the end of the response to a flow's last request, at the client's
-// acknowledgement number ack. A response that is short for its route is probably an error, and
+// noteResponseSize handles the end of the response to a flow's last request; ack is the client's
+// acknowledgement number there. A response that is short for its route is probably an error, and
 // its endpoint is reported as an outlier. If many are short, the responses of the route have
-// changed and the averages follow.
+// changed, and short ones are added to the averages too.
 func (s *Steerer) noteResponseSize(now time.Time, f *flow, ack uint32) {
 	bytes := float64(int32(ack - f.responseStart))
 	if f.requestAt.IsZero() || f.reassigned || bytes <= 1 {
--- a/internal/steer/response_size_test.go
+++ b/internal/steer/response_size_test.go
@@ -23,7 +23,7 @@
 		s = fleetSteerer(threeDomains(40))
 		s.config.ReportOutlier = func(id string) { reported[id]++ }
 	})
-	// request sends a request on a new flow and has it answered by so many bytes.
+	// request sends a request on a new flow and has it answered with the given number of bytes.
 	n := 0
 	request := func(bytes func(id string) uint32) {
 		n++
--- a/internal/steer/roundtrip.go
+++ b/internal/steer/roundtrip.go
@@ -19,8 +19,8 @@
 	timeoutRoundTrips = 4
 )
 
-// roundTrip estimates the time from a SYN to the client's next packet. It includes the client's
-// round trip, so it is an upper bound for that to the endpoint.
+// roundTrip estimates the time from a SYN to the client's next packet. It includes the round trip
+// to the client, so it is an upper bound of the round trip to the endpoint.
 type roundTrip struct {
 	mean, deviation time.Duration
 }
--- a/internal/steer/routes.go
+++ b/internal/steer/routes.go
@@ -46,7 +46,8 @@
 	return s.document.Version()
 }
 
-// purgeDroppedRoutes removes routes that were dropped longer ago than a flow can live.
+// purgeDroppedRoutes removes the records of routes that were dropped longer ago than the maximum
+// age of a flow.
 func (s *Steerer) purgeDroppedRoutes(now time.Time) {
 	for addr, at := range s.dropped {
 		if now.Sub(at) >= s.config.MaxFlowAge {
--- a/internal/steer/routes_test.go
+++ b/internal/steer/routes_test.go
@@ -24,7 +24,7 @@
 		Expect(s.Decide(start, synPacket(1001, 7, 0)).Reason).To(Equal(Placed))
 	})
 
-	It("are dropped for the maximum flow lifetime, then forgotten", func() {
+	It("are remembered as dropped for the maximum age of a flow", func() {
 		d := s.Decide(start, synPacket(1000, 7, 0))
 		s.SetDocument(start, testDocument(2, routeTo(documentsAddr, "documents")))
 		Expect(s.Decide(start.Add(time.Minute-time.Second), flowPacket(1000, d.Tag, 8, 55, 10)).Reason).To(Equal(RouteDropped))
--- a/internal/steer/steer.go
+++ b/internal/steer/steer.go
@@ -1,7 +1,8 @@
 // Package steer decides how an entry, the load-balancer instance that receives packets of
-// clients, forwards them. The SYN of a flow is placed on an endpoint by what is known of the
-// endpoints. Every later packet carries a tag that names the endpoint, so any entry can forward
-// it without per-flow state.
+// clients, forwards them. The SYN of a flow is placed on an endpoint according to the load and
+// state of the endpoints. Every later packet carries a tag that identifies the endpoint, so any
+// entry can forward it without per-flow state.
+//
 // The package does no I/O, and takes the current time as an argument. A Steerer is not safe for
 // concurrent use.
 package steer
@@ -22,10 +23,11 @@
 	sweepInterval = 20 * time.Millisecond
 	// purgeInterval is how often ended incarnations and dropped routes are purged.
 	purgeInterval = time.Second
-	// goneGracePeriod is how long packets are still forwarded to an endpoint that has ended,
-	// since it may answer them. After that they are reset.
+	// goneGracePeriod is how long packets are still forwarded to an endpoint that has been
+	// reported as ended, since it may still answer them. After that their flows are reset.
 	goneGracePeriod = 500 * time.Millisecond
-	// reassignAttempt is the SYN retransmission from which on another endpoint is always tried.
+	// reassignAttempt is the number of the SYN retransmission from which on another endpoint is
+	// always tried.
 	reassignAttempt = 2
 )
 
@@ -33,7 +35,7 @@
 	// Config holds the static settings of a Steerer.
 	Config struct {
 		Domain            string        // failure domain of this entry
-		MaxFlowAge        time.Duration // maximum lifetime of a flow
+		MaxFlowAge        time.Duration // maximum age of a flow
 		MaxFlows          int           // maximum number of tracked flows
 		HeartbeatInterval time.Duration // heartbeat period of endpoints
 		// OnSuspect is called when new flows start or stop avoiding an endpoint; may be nil.
@@ -45,7 +47,7 @@
 		// may be nil.
 		NotifyMiss func(id string)
 		// ReportOutlier reports, without blocking, an endpoint that leaves requests without an
-		// answer or answers them by errors while others of its service respond; may be nil.
+		// answer or answers them with errors while others of its service respond; may be nil.
 		ReportOutlier func(id string)
 	}
 
@@ -62,7 +64,7 @@
 		dropped   map[netip.AddrPort]time.Time // time when each route was dropped
 		byID      map[string]*backend
 		byTag     map[uint32]*backend
-		byAddr    map[netip.AddrPort][]*backend // incarnations that claim each address
+		byAddr    map[netip.AddrPort][]*backend // incarnations by address
 		pools     map[string]*pool              // by service
 		reporters map[string]*reporter          // by name of the control instance
 		synced    bool                          // a control instance has reported every endpoint
@@ -78,7 +80,7 @@
 		nextPurge       time.Time                     // time of the next purge
 		lost            map[*backend]bool             // backends that are out of reach
 		outages         map[string]*outage            // by failure domain of the endpoint
-		leaderSeenAt    time.Time                     // when the leader was last heard
+		leaderSeenAt    time.Time                     // time of the last sign of the leader
 		roundTrips      map[string]*roundTrip         // by failure domain of the endpoint
 		lastResponseAt  time.Time                     // when any endpoint last answered
 		randSource      *rand.PCG                     // source of random, reseeded for each flow that is placed
@@ -206,8 +208,8 @@
 	return f
 }
 
-// shouldReassign reports whether a retransmitted SYN goes to another endpoint: new flows
-// exclude or avoid the first one, or enough retransmissions went unanswered.
+// shouldReassign reports whether a retransmitted SYN goes to another endpoint: because new flows
+// must not go to the first one or avoid it, or because enough retransmissions went unanswered.
 func (s *Steerer) shouldReassign(now time.Time, f *flow, p Packet) bool {
 	return !f.established && (p.Retransmission >= reassignAttempt || !s.isEligible(now, f.backend) || s.isAvoided(now, f.backend))
 }
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -56,7 +56,7 @@
 	return &wire.Reports{Whole: true, Endpoints: endpoints}
 }
 
-// testSteerer knows two routes and three endpoints from one control instance.
+// testSteerer returns a Steerer with two routes, and three endpoints from one control instance.
 func testSteerer() *Steerer {
 	s := New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 100})
 	s.SetDocument(start, testDocument(1, routeTo(bookingAddr, "booking"), routeTo(documentsAddr, "documents")))
@@ -130,7 +130,7 @@
 		Expect(d.Reason).To(Equal(UnknownTag))
 	})
 
-	It("resets what has no route, and drops everything before the first document", func() {
+	It("resets SYNs to an address without a route, and drops all packets before the first document", func() {
 		p := synPacket(1000, 7, 0)
 		p.Dst = netip.MustParseAddrPort("198.18.0.9:443")
 		Expect(s.Decide(start, p).Action).To(Equal(Reset))
@@ -169,7 +169,7 @@
 		Expect(s.Decide(start, flowPacket(1000, d.Tag, 8, 1, 10)).Reason).To(Equal(Steered))
 	})
 
-	It("resets a flow that no endpoint accepts, but not before it knows all endpoints", func() {
+	It("resets a flow that no endpoint accepts, but not before it has the full list of endpoints", func() {
 		leave := func(m *wire.EndpointReport) { m.Sequence, m.Leaving = 2, true }
 		s.Learn(start, "c1", reports(report("booking", 1, leave), report("booking", 2, leave)))
 		Expect(s.Decide(start, synPacket(1000, 7, 0))).To(Equal(Decision{Action: Reset, Reason: NoEndpoint, Version: 1}))
--- a/internal/steer/tag.go
+++ b/internal/steer/tag.go
@@ -3,7 +3,8 @@
 import "github.com/dchest/siphash"
 
 const (
-	// Keys of the hash of tags and SYNs. All entries must use the same.
+	// hashKey0 and hashKey1 are the keys of the hash of endpoint IDs and of SYNs. All entries
+	// must use the same.
 	hashKey0 = 0x6f78626f77736164
 	hashKey1 = 0x646c652074616773
 
@@ -18,8 +19,8 @@
 	return max(1, uint32(h^h>>32))
 }
 
-// assignTag resolves conflicts between incarnations whose IDs hash to the same tag, identically
-// on all entries. The others get no flows.
+// assignTag gives an incarnation its tag. If several have IDs that hash to the same tag, all
+// entries give it to the same one; the others are marked as in conflict and get no flows.
 func (s *Steerer) assignTag(b *backend) {
 	holder := s.byTag[b.tag]
 	switch {
@@ -35,9 +36,9 @@
 	s.updatePool(b)
 }
 
-// tagPrecedes reports whether a takes a shared tag before b. The older one does, as it may have
-// open flows; if they are about the same age, the lower ID. Ages are estimated from heartbeat
-// sequences, so that entries which have just started agree.
+// tagPrecedes reports whether a takes precedence over b for a shared tag. The older one does, as
+// it may have open flows; if they are about the same age, the one with the lower ID. Ages are
+// estimated from heartbeat sequences, so that entries that have just started agree with others.
 func (s *Steerer) tagPrecedes(a, b *backend) bool {
 	if tolerance := startToleranceHeartbeats * s.config.HeartbeatInterval; a.startedAt.Sub(b.startedAt).Abs() > tolerance {
 		return a.startedAt.Before(b.startedAt)
--- a/internal/steer/tag_test.go
+++ b/internal/steer/tag_test.go
@@ -10,8 +10,7 @@
 )
 
 var _ = Describe("a tag shared by two incarnations", func() {
-	// learnBoth returns which incarnation holds the tag at an entry that learned of them in
-	// this order.
+	// learnBoth returns which incarnation has the tag at an entry that adds them in this order.
 	learnBoth := func(first, second *backend) string {
 		s := New(Config{MaxFlows: 10, HeartbeatInterval: time.Second})
 		for _, b := range []*backend{first, second} {
@@ -43,7 +42,7 @@
 		Expect(learnBoth(b, a)).To(Equal("b"))
 	})
 
-	It("passes to the other one after the maximum flow lifetime", func() {
+	It("passes to the other one after the maximum age of a flow", func() {
 		s := New(Config{MaxFlows: 10, MaxFlowAge: time.Minute, HeartbeatInterval: time.Second})
 		a, b := incarnation("a", start), incarnation("b", start)
 		for _, x := range []*backend{a, b} {
