--- a/internal/node/fleet_bench_test.go
+++ b/internal/node/fleet_bench_test.go
@@ -33,8 +33,8 @@
 
 // BenchmarkFleet measures the memory and processor time that a control instance uses while a
 // fleet starts, by number of linked entries and of endpoints. The figures include the entries'
-// ends of the links, which run in this process and discard the received frames. If FLEET_HEAP is set to a
-// file name, a heap profile is written there. Run it with:
+// ends of the links, which run in this process and discard the received frames. If FLEET_HEAP is
+// set to a file name, a heap profile is written there. Run it with:
 //
 //	go test ./internal/node -run '^$' -bench Fleet -benchtime 1x
 func BenchmarkFleet(b *testing.B) {
--- a/internal/node/operatorapi.go
+++ b/internal/node/operatorapi.go
@@ -117,7 +117,7 @@
 		return &wire.WhyReply{Decisions: a.withEntryName(a.entry.decisions.refused())}, nil
 	}
 	if r.Matter != matterFlow {
-		return &wire.WhyReply{Lines: []string{"this entry explains only flows and refused packets; look for what was " + r.Matter + " in its log"}}, nil
+		return &wire.WhyReply{Lines: []string{"this entry explains only flows and refused packets; look for the " + r.Matter + " in its log"}}, nil
 	}
 	src, err := netip.ParseAddrPort(r.Source)
 	if err != nil {
--- a/internal/steer/evacuation.go
+++ b/internal/steer/evacuation.go
@@ -39,8 +39,8 @@
 	return s.isEvacuated(b) || s.excludedWhileCold(now, b)
 }
 
-// noEndpointReason returns why no endpoint accepts a new flow of a route. If all candidates are
-// evacuated, the flow is reset, so that the client learns that no request was executed.
+// noEndpointReason returns why no endpoint accepts a new flow of a route: because candidates are
+// evacuated, because they are cold and limited in rate, or because there are none.
 func (s *Steerer) noEndpointReason(r *route) Reason {
 	for _, share := range r.Shares {
 		if p := s.pools[share.Service]; p != nil && len(p[evacuatedTier]) > 0 {
--- a/internal/steer/flow.go
+++ b/internal/steer/flow.go
@@ -7,8 +7,8 @@
 
 const (
 	// openTimeout is how long a SYN may go without a further packet of the client before it
-	// counts as unanswered: several round trips, and less than the 200 ms after which clients
-	// retransmit.
+	// counts as unanswered. It covers several round trips, and is below the retransmission
+	// timeout of clients.
 	openTimeout = 80 * time.Millisecond
 	// defaultIdleTimeout is the idle timeout of flows while no document sets one.
 	defaultIdleTimeout = 15 * time.Second
--- a/internal/steer/learn_test.go
+++ b/internal/steer/learn_test.go
@@ -96,8 +96,8 @@
 		s.Learn(start, "c2", r.Missing(start, s.Digest()))
 		r.Merge(start, reports(report("booking", 4, nil)))
 		brief := r.ChangeSummary(start, before)
-		lacking := s.Learn(start, "c2", brief)
-		Expect(lacking).To(ConsistOf("booking-4"))
+		missing := s.Learn(start, "c2", brief)
+		Expect(missing).To(ConsistOf("booking-4"))
 		Expect(s.byID).NotTo(HaveKey("booking-4"))
 
 		s.Learn(start, "c1", reports(report("booking", 4, func(m *wire.EndpointReport) { m.Silent = true })))
--- a/internal/steer/roundtrip.go
+++ b/internal/steer/roundtrip.go
@@ -4,8 +4,8 @@
 
 const (
 	// minProbeTimeout and maxProbeTimeout bound how long an endpoint has to accept a
-	// connection. The minimum allows for hosts that are briefly busy; the maximum stays below
-	// the 200 ms after which clients retransmit.
+	// connection. The minimum allows for hosts that are briefly busy; the maximum is below the
+	// retransmission timeout of clients.
 	minProbeTimeout = 50 * time.Millisecond
 	maxProbeTimeout = 180 * time.Millisecond
 	// defaultProbeTimeout applies until a round trip has been measured.
