--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -34,7 +34,7 @@
 	EntryConfig struct {
 		Name       string
 		Domain     string
-		PacketAddr netip.AddrPort // receives callers' packets; resets are sent to the same port of the caller
+		PacketAddr netip.AddrPort // receives clients' packets; resets are sent to the same port of the client
 		// OperatorAddr is the TCP address for operators' commands and the UDP address for
 		// announcements of control instances; the zero value disables both.
 		OperatorAddr      netip.AddrPort
@@ -50,11 +50,11 @@
 		Now               func() time.Time
 	}
 
-	// Entry forwards callers' packets to endpoints, by the document and the endpoint reports
-	// that it receives from control instances.
+	// Entry forwards clients' packets to endpoints, according to the document and the endpoint
+	// reports that it receives from control instances.
 	Entry struct {
 		config            EntryConfig
-		uplinks           *linkManager
+		manager           *linkManager
 		confirmed         atomic.Bool
 		endpointsReceived atomic.Bool // by any control instance
 		stopping          atomic.Bool
@@ -64,13 +64,13 @@
 		decisions         *decisionLog
 		timings           entryTimings
 		probeQueue        chan steer.Probe
-		suspicions        chan *wire.Doubt // to report to the other entries
+		suspicions        chan *wire.Doubt // to be reported to the other entries
 
 		primaryMu sync.Mutex // serializes choosePrimary; locked before mu
 
 		mu      sync.Mutex
 		steerer *steer.Steerer
-		latest  *document.Document // newest received, applied or about to be
+		latest  *document.Document // newest received, which is applied or about to be applied
 		fetcher *documentFetcher
 		primary *primary
 		links   map[string]*entryLink // by address
@@ -91,13 +91,13 @@
 		suspicions:     make(chan *wire.Doubt, maxConcurrentProbes),
 	}
 	e.steerer = steer.New(steer.Config{
-		Domain: c.Domain, MaxFlow: c.MaxFlowAge, MaxFlows: maxFlows, HeartbeatInterval: c.HeartbeatInterval,
+		Domain: c.Domain, MaxFlowAge: c.MaxFlowAge, MaxFlows: maxFlows, HeartbeatInterval: c.HeartbeatInterval,
 		OnSuspect: func(id string, suspect bool) {
 			c.Log.Warn("endpoint suspected", "endpoint", id, "suspect", suspect)
 		},
-		StartProbe: e.queueProbe, NotifyMiss: e.reportUnanswered, ReportOutlier: e.reportHung,
+		StartProbe: e.queueProbe, NotifyMiss: e.reportUnanswered, ReportOutlier: e.reportOutlier,
 	})
-	e.uplinks = newLinkManager(e)
+	e.manager = newLinkManager(e)
 	return e
 }
 
@@ -111,7 +111,7 @@
 	group, ctx := errgroup.WithContext(ctx)
 	stop := context.AfterFunc(ctx, func() { _ = conn.Close() })
 	defer stop()
-	e.uplinks.setSeeds(ctx, e.config.Seeds)
+	e.manager.setSeeds(ctx, e.config.Seeds)
 	group.Go(func() error { return e.packetLoop(ctx, conn) })
 	group.Go(func() error { return e.probeLoop(ctx, conn) })
 	group.Go(func() error { return e.suspicionLoop(ctx) })
@@ -151,4 +151,4 @@
 func (e *Entry) Ready() bool { return e.confirmed.Load() && !e.stopping.Load() }
 
 // SetSeeds replaces the seeds after a change of the settings.
-func (e *Entry) SetSeeds(ctx context.Context, seeds []netip.AddrPort) { e.uplinks.setSeeds(ctx, seeds) }
+func (e *Entry) SetSeeds(ctx context.Context, seeds []netip.AddrPort) { e.manager.setSeeds(ctx, seeds) }
--- a/internal/node/linkmanager_test.go
+++ b/internal/node/linkmanager_test.go
@@ -28,6 +28,7 @@
 // unreachableAddr returns the n-th of several addresses that refuse connections.
 func unreachableAddr(n int) string { return fmt.Sprintf("127.0.0.%d:1", n) }
 
+// rosterOf returns a roster that lists instances at the given addresses.
 func rosterOf(addresses ...string) *wire.Roster {
 	r := &wire.Roster{}
 	for _, a := range addresses {
@@ -48,7 +49,7 @@
 // unlinkedEntryWithClock is unlinkedEntry with the given clock.
 func unlinkedEntryWithClock(ctx context.Context, now func() time.Time) *Entry {
 	e := NewEntry(EntryConfig{Name: "e1", Domain: "here", Dial: hangingDial, Log: log.New(io.Discard), Now: now})
-	e.uplinks.setSeeds(ctx, []netip.AddrPort{netip.MustParseAddrPort(unreachableAddr(1)), netip.MustParseAddrPort(unreachableAddr(2))})
+	e.manager.setSeeds(ctx, []netip.AddrPort{netip.MustParseAddrPort(unreachableAddr(1)), netip.MustParseAddrPort(unreachableAddr(2))})
 	return e
 }
 
@@ -61,7 +62,7 @@
 		ctx, cancel = context.WithCancel(context.Background())
 		ginkgo.DeferCleanup(cancel)
 		now = time.Unix(1000, 0)
-		m = unlinkedEntryWithClock(ctx, func() time.Time { return now }).uplinks
+		m = unlinkedEntryWithClock(ctx, func() time.Time { return now }).manager
 	})
 	linked := func() []string {
 		m.mu.Lock()
--- a/internal/node/probes_test.go
+++ b/internal/node/probes_test.go
@@ -39,7 +39,7 @@
 		Eventually(func() int { return len(e.probeQueue) }, settleTimeout).Should(BeZero())
 	})
 
-	// steppingClock returns a clock that advances by step at each read, and counts the reads.
+	// steppingClock returns a clock that advances by step and increments reads at each read.
 	steppingClock := func(step time.Duration, reads *int) func() time.Time {
 		return func() time.Time {
 			*reads++
@@ -58,7 +58,7 @@
 	ginkgo.It("are inconclusive if this process was paused during the probe", func() {
 		clockReads := 0
 		e.config.Now = steppingClock(20*time.Millisecond, &clockReads)
-		Expect(e.runProbe(context.Background(), steer.Probe{ID: "a", Addr: addr, Timeout: 50 * time.Millisecond})).To(Equal(steer.Unsure))
+		Expect(e.runProbe(context.Background(), steer.Probe{ID: "a", Addr: addr, Timeout: 50 * time.Millisecond})).To(Equal(steer.Inconclusive))
 	})
 
 	ginkgo.It("succeed when the connection is accepted, without data", func() {
--- a/internal/steer/convergence_test.go
+++ b/internal/steer/convergence_test.go
@@ -16,21 +16,21 @@
 // convergenceTest has two control instances that exchange reports, and an entry that gets full
 // reports from one of them and checksums from the other.
 type convergenceTest struct {
-	now        time.Time
-	registries [2]*registry.Registry
-	lastSent   [2]uint64 // last number sent to the other control instance
-	entry      *Steerer
-	connected  [2]bool
-	lastTold   [2]uint64 // last number sent to the entry
-	primary    int
-	sequences  map[string]uint64
-	leaving    map[string]bool // once true, always true for an endpoint
+	now         time.Time
+	registries  [2]*registry.Registry
+	sentToPeer  [2]uint64 // last number sent to the other control instance
+	entry       *Steerer
+	connected   [2]bool
+	sentToEntry [2]uint64 // last number sent to the entry
+	primary     int
+	sequences   map[string]uint64
+	leaving     map[string]bool // once true, always true for an endpoint
 }
 
 func newConvergenceTest() *convergenceTest {
 	t := &convergenceTest{
 		now: start, sequences: map[string]uint64{}, leaving: map[string]bool{},
-		entry: New(Config{Domain: "plateau", MaxFlow: time.Hour, MaxFlows: 10, HeartbeatInterval: time.Second}),
+		entry: New(Config{Domain: "plateau", MaxFlowAge: time.Hour, MaxFlows: 10, HeartbeatInterval: time.Second}),
 	}
 	for i := range t.registries {
 		t.registries[i] = registry.New(registry.Config{HeartbeatPeriod: time.Second}, start)
@@ -38,8 +38,8 @@
 	return t
 }
 
-// heartbeat has a control instance receive a heartbeat of an endpoint, which may say that it
-// leaves.
+// heartbeat has a control instance receive a heartbeat of an endpoint, which may report that the
+// endpoint is leaving.
 func (t *convergenceTest) heartbeat(at, n int, leaving bool) {
 	id := fmt.Sprint("i-", n)
 	t.sequences[id]++
@@ -50,14 +50,14 @@
 	})
 }
 
-// exchange sends what a control instance heard to the other one.
+// exchange sends the changes at a control instance to the other one.
 func (t *convergenceTest) exchange(from int) {
-	reports := t.registries[from].PeerChanges(t.now, t.lastSent[from])
-	t.lastSent[from] = reports.Number
+	reports := t.registries[from].PeerChanges(t.now, t.sentToPeer[from])
+	t.sentToPeer[from] = reports.Number
 	t.registries[1-from].Merge(t.now, reports)
 }
 
-// sync sends the entry what a control instance has not sent it yet.
+// sync sends the entry the changes that a control instance has not sent it yet.
 func (t *convergenceTest) sync(from int) {
 	r, source := t.registries[from], fmt.Sprint("c", from)
 	var reports *wire.Reports
@@ -66,23 +66,23 @@
 		t.connected[from] = true
 		reports = r.Missing(t.now, t.entry.Digest())
 	case from == t.primary:
-		reports = r.Changes(t.now, t.lastTold[from])
+		reports = r.Changes(t.now, t.sentToEntry[from])
 	default:
-		reports = r.ChangeSummary(t.now, t.lastTold[from])
+		reports = r.ChangeSummary(t.now, t.sentToEntry[from])
 	}
-	t.lastTold[from] = reports.Number
-	if lacking := t.entry.Learn(t.now, source, reports); len(lacking) > 0 {
-		t.entry.Learn(t.now, source, r.Records(t.now, lacking))
+	t.sentToEntry[from] = reports.Number
+	if missing := t.entry.Learn(t.now, source, reports); len(missing) > 0 {
+		t.entry.Learn(t.now, source, r.Records(t.now, missing))
 	}
 }
 
 // disconnect closes the entry's connection to a control instance.
 func (t *convergenceTest) disconnect(from int) {
 	t.connected[from] = false
-	t.entry.ForgetSource(t.now, fmt.Sprint("c", from))
+	t.entry.RemoveSource(t.now, fmt.Sprint("c", from))
 }
 
-// step takes one random step.
+// step takes one random step of the test.
 func (t *convergenceTest) step(r *rapid.T) {
 	at, n := rapid.IntRange(0, 1).Draw(r, "at"), rapid.IntRange(0, 3).Draw(r, "endpoint")
 	switch rapid.IntRange(0, 7).Draw(r, "step") {
@@ -108,8 +108,8 @@
 	}
 }
 
-// Guards against an entry that misses reports: whatever the delays, it must learn all that its
-// control instance knows, and call an endpoint silent only if all its sources do.
+// Guards against an entry that misses reports: whatever the delays, it must learn all endpoints
+// that a control instance knows, and consider one silent only if all control instances do.
 func TestEntryConvergesWithControlInstances(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		g := gomega.NewWithT(r)
@@ -138,7 +138,7 @@
 	})
 }
 
-// compare checks that the entry knows what a control instance knows.
+// compare checks that the entry has the same endpoint records as a control instance.
 func (t *convergenceTest) compare(g *gomega.WithT, with int) {
 	for _, m := range t.registries[with].Changes(t.now, 0).Endpoints {
 		b := t.entry.byID[m.Id]
@@ -153,7 +153,7 @@
 	}
 }
 
-// silent reports whether both control instances call an endpoint silent.
+// silent reports whether both control instances report an endpoint as silent.
 func (t *convergenceTest) silent(id string) bool {
 	for _, r := range t.registries {
 		for _, m := range r.Records(t.now, []string{id}).Endpoints {
--- a/internal/steer/explain_test.go
+++ b/internal/steer/explain_test.go
@@ -13,7 +13,7 @@
 var _ = Describe("an explanation", func() {
 	var s *Steerer
 	BeforeEach(func() {
-		s = New(Config{Domain: "plateau", MaxFlow: time.Minute, MaxFlows: 100})
+		s = New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 100})
 		s.SetDocument(start, testDocument(4, routeTo(bookingAddr, "booking")))
 		s.Learn(start, "c1", reports(report("booking", 1, nil), report("booking", 2, nil), report("documents", 3, nil)))
 	})
@@ -64,8 +64,8 @@
 		d := explain(start, 1000)
 		Expect(d.Endpoint).To(Equal("booking-4"))
 		Expect(verdict(d, "booking-1")).To(Equal("is leaving and takes no new flow"))
-		Expect(verdict(d, "booking-2")).To(HaveSuffix("avoided: no control instance hears it"))
-		Expect(verdict(d, "booking-4")).To(HaveSuffix(", in failure domain almadies, still slow"))
+		Expect(verdict(d, "booking-2")).To(HaveSuffix("avoided: no control instance receives its heartbeats"))
+		Expect(verdict(d, "booking-4")).To(HaveSuffix(", in failure domain almadies, still warming up"))
 		Expect(verdict(d, "booking-5")).To(HavePrefix("has ended"))
 		Expect(s.Drains(start.Add(time.Second))).To(ConsistOf(&wire.DrainStatus{Service: "booking", Endpoint: "booking-1", SinceNanos: int64(time.Second)}))
 	})
--- a/internal/steer/outlier.go
+++ b/internal/steer/outlier.go
@@ -12,8 +12,8 @@
 	// excludes services that are slow as a whole and entries that receive no responses.
 	minPeerResponses = 3
 	minPeerRatio     = 3
-	// maxPendingRequests bounds the requests that are checked for hanging; those beyond it are
-	// not checked.
+	// maxPendingRequests bounds the requests that are tracked to detect hanging ones; further
+	// ones are ignored.
 	maxPendingRequests = 4000
 	// outlierReportInterval is the minimum time between two reports of an endpoint.
 	outlierReportInterval = 500 * time.Millisecond
@@ -27,7 +27,7 @@
 )
 
 // ejection is the state of an endpoint as an outlier: one that leaves requests without an
-// answer, or answers them by errors.
+// answer, or answers them with errors.
 type ejection struct {
 	nextReport time.Time // earliest time of the next report
 	until      time.Time // new flows avoid the endpoint until then
@@ -44,12 +44,12 @@
 	pendingRequest struct {
 		flow     *flow
 		sentAt   time.Time
-		baseline responseCounts // counts of its service when it was sent
+		baseline responseCounts // counts of the endpoint's service when the request was sent
 	}
 )
 
 // pending reports whether the request still waits for its response.
-func (a pendingRequest) pending() bool { return a.flow.awaiting && a.flow.requestAt.Equal(a.sentAt) }
+func (r pendingRequest) pending() bool { return r.flow.awaiting && r.flow.requestAt.Equal(r.sentAt) }
 
 // trackRequest records a request that was sent on a flow.
 func (s *Steerer) trackRequest(f *flow) {
@@ -94,13 +94,13 @@
 func (s *Steerer) reportHungRequests(now time.Time) {
 	expired := 0
 	var kept []pendingRequest
-	for _, a := range s.pendingRequests {
-		if now.Sub(a.sentAt) < minHangTime {
+	for _, r := range s.pendingRequests {
+		if now.Sub(r.sentAt) < minHangTime {
 			break
 		}
 		expired++
-		if a.pending() && !s.checkHung(now, a) {
-			kept = append(kept, a)
+		if r.pending() && !s.checkHung(now, r) {
+			kept = append(kept, r)
 		}
 	}
 	if expired == 0 {
@@ -111,15 +111,15 @@
 	s.pendingRequests = rest
 }
 
-// checkHung reports the endpoint of a hung request if it is an outlier. It returns whether the
-// request has hung and needs no further check.
-func (s *Steerer) checkHung(now time.Time, a pendingRequest) bool {
-	if now.Sub(a.sentAt) < s.hangTimeout(a.flow) {
+// checkHung returns whether a request has hung and needs no further check. If the endpoint of
+// the hung request is an outlier, it is reported.
+func (s *Steerer) checkHung(now time.Time, r pendingRequest) bool {
+	if now.Sub(r.sentAt) < s.hangTimeout(r.flow) {
 		return false
 	}
-	b := a.flow.backend
+	b := r.flow.backend
 	counts := s.responseCountsOf(b)
-	outlier := counts.peersResponsive(a.baseline)
+	outlier := counts.peersResponsive(r.baseline)
 	counts.late++
 	if outlier {
 		s.reportOutlier(now, b)
