--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -110,7 +110,7 @@
 	return errors.Join(send(ctx, client), closeConn())
 }
 
-// query is what a query command needs to run.
+// query holds the connection, the arguments and the output of a query command.
 type query struct {
 	client wire.DRPCControlClient
 	args   []string
--- a/internal/cmd/cmd_demo.go
+++ b/internal/cmd/cmd_demo.go
@@ -21,8 +21,8 @@
 	var compare, verbose bool
 	var folder string
 	c := &cobra.Command{
-		Use: "demo", Short: "run 8 entry instances with simulated callers and backend servers on loopback",
-		Long: "Runs everything in one process and reports what the callers and backend servers have counted. The last line\n" +
+		Use: "demo", Short: "run 8 entry instances with simulated clients and backend servers on loopback",
+		Long: "Runs everything in one process and reports what the clients and backend servers have counted. The last line\n" +
 			"is JSON. The exit code is not 0 if a guarantee was violated.",
 		Args: exactArgs(0),
 		RunE: func(c *cobra.Command, _ []string) error {
@@ -79,11 +79,11 @@
 		}
 		reports = append(reports, report)
 	}
-	var broken error
+	var violations error
 	for _, r := range reports {
 		r.WriteTable(c.OutOrStdout())
 		if r.Placement != instance.PlacementModulo {
-			broken = errors.Join(broken, r.Err())
+			violations = errors.Join(violations, r.Err())
 		}
 	}
 	for _, r := range reports {
@@ -93,5 +93,5 @@
 		}
 		fmt.Fprintln(c.OutOrStdout(), string(line))
 	}
-	return broken
+	return violations
 }
--- a/internal/cmd/cmd_evacuate.go
+++ b/internal/cmd/cmd_evacuate.go
@@ -10,11 +10,11 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// maxRedirects bounds the number of instances that are asked: an entry refers
-// to a control instance, that one to the leader, which may have changed since.
-const maxRedirects = 3
+// maxAttempts bounds the number of instances that a command asks: an entry
+// redirects to a control instance, which redirects to the leader.
+const maxAttempts = 3
 
-// cmdEvacuate stops new flows to the endpoints of a failure domain, or undoes that.
+// cmdEvacuate stops new flows to the endpoints of a failure domain, or resumes them.
 func cmdEvacuate() *cobra.Command {
 	var conn connectionFlags
 	var undo bool
@@ -46,7 +46,7 @@
 func (conn *connectionFlags) evacuate(ctx context.Context, r *wire.EvacuateRequest) error {
 	next := *conn
 	var reply *wire.EvacuateReply
-	for range maxRedirects {
+	for range maxAttempts {
 		err := next.call(ctx, func(ctx context.Context, client wire.DRPCControlClient) (err error) {
 			reply, err = client.Evacuate(ctx, r)
 			return fault.Wrap(fault.Unreachable, err)
--- a/internal/cmd/cmd_evacuate_test.go
+++ b/internal/cmd/cmd_evacuate_test.go
@@ -27,7 +27,7 @@
 	return f.reply, nil
 }
 
-// serve starts the server on a loopback address, which it returns.
+// serve starts the server and returns its loopback address.
 func (f *fakeControl) serve(t *testing.T) string {
 	t.Helper()
 	g := gomega.NewWithT(t)
@@ -58,7 +58,7 @@
 	g.Expect(leader.requests[0].Undo).To(gomega.BeTrue())
 }
 
-// Redirects that form a loop end after maxRedirects requests, and only the
+// Redirects that form a loop end after maxAttempts requests, and only the
 // reply "not current" is a redirect.
 func TestEvacuateStopsRedirecting(t *testing.T) {
 	g := gomega.NewWithT(t)
@@ -67,11 +67,11 @@
 	var out, errOut bytes.Buffer
 	code := Main([]string{"evacuate", "plateau", "--addr", loop.reply.Elsewhere}, &out, &errOut)
 	g.Expect(code).To(gomega.Equal(fault.NotCurrent.Answer().ExitCode()))
-	g.Expect(loop.requests).To(gomega.HaveLen(maxRedirects))
+	g.Expect(loop.requests).To(gomega.HaveLen(maxAttempts))
 
 	unknown := &fakeControl{reply: &wire.EvacuateReply{Kind: fault.NotFound.Name(), Detail: "no such", Elsewhere: loop.reply.Elsewhere}}
 	code = Main([]string{"evacuate", "nowhere", "--addr", unknown.serve(t)}, &out, &errOut)
 	g.Expect(code).To(gomega.Equal(fault.NotFound.Answer().ExitCode()))
 	g.Expect(errOut.String()).To(gomega.ContainSubstring("no such"))
-	g.Expect(loop.requests).To(gomega.HaveLen(maxRedirects), "a final answer is not redirected")
+	g.Expect(loop.requests).To(gomega.HaveLen(maxAttempts), "a final answer is not redirected")
 }
--- a/internal/cmd/cmd_history.go
+++ b/internal/cmd/cmd_history.go
@@ -41,7 +41,7 @@
 	})
 }
 
-// findChange returns the accepted change that made a revision.
+// findChange returns the accepted change that created a revision.
 func findChange(ctx context.Context, client wire.DRPCControlClient, revision string) (*wire.HistoryEntry, error) {
 	number, err := strconv.ParseUint(revision, 10, 64)
 	if err != nil {
--- a/internal/cmd/cmd_platform.go
+++ b/internal/cmd/cmd_platform.go
@@ -20,7 +20,7 @@
 func cmdPlatform() *cobra.Command {
 	c := &cobra.Command{Use: "platform", Short: "run a process on the users' platform"}
 	c.AddCommand(
-		newPlatformRole("entry", "run an entry instance, which forwards packets between callers and endpoints", runEntry),
+		newPlatformRole("entry", "run an entry instance, which forwards packets between clients and endpoints", runEntry),
 		newPlatformRole("control", "run a control instance, which stores the configuration document and the list of endpoints", runControl),
 		cmdPlatformCheck(),
 	)
--- a/internal/cmd/cmd_settings.go
+++ b/internal/cmd/cmd_settings.go
@@ -8,7 +8,7 @@
 	"oxbowsaddle/internal/settings"
 )
 
-// cmdSettings has the commands on settings files.
+// cmdSettings groups the commands on settings files.
 func cmdSettings() *cobra.Command {
 	check := &cobra.Command{
 		Use: "check FILE", Short: "check a settings file and list every error with its line", Args: exactArgs(1),
--- a/internal/cmd/cmd_status.go
+++ b/internal/cmd/cmd_status.go
@@ -66,7 +66,7 @@
 		}
 	}
 	if text == "" {
-		return "all known members have applied it, but this instance has not been told yet"
+		return "all known members have applied it, but this instance has not been notified yet"
 	}
 	return text
 }
@@ -86,7 +86,7 @@
 			time.Duration(m.SilentNanos).Round(time.Millisecond), m.Leased, m.Leaving)
 	}
 	for _, d := range s.Drains {
-		fmt.Fprintf(w, "  leaving %s/%s for %s: %s are waited for\n", d.Service, d.Endpoint,
+		fmt.Fprintf(w, "  leaving %s/%s for %s: waiting for %s\n", d.Service, d.Endpoint,
 			time.Duration(d.SinceNanos).Round(time.Second), remainingWork(d))
 	}
 	for _, o := range s.Objects {
@@ -102,8 +102,8 @@
 	return strings.Join(s.Evacuated, ", ")
 }
 
-// remainingWork tells what a draining endpoint still holds. Buckets are counted
-// only where packets carry no tag that identifies their endpoint.
+// remainingWork describes the flows that a draining endpoint still serves. It
+// includes buckets only where packets carry no tag that identifies their endpoint.
 func remainingWork(d *wire.DrainStatus) string {
 	if d.Buckets == 0 {
 		return fmt.Sprintf("%d flows", d.Flows)
--- a/internal/cmd/cmd_team.go
+++ b/internal/cmd/cmd_team.go
@@ -11,7 +11,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// cmdTeam has the commands on teams; plan submits a change as a dry run.
+// cmdTeam groups the commands on teams; plan submits a change as a dry run.
 func cmdTeam() *cobra.Command {
 	var flags changeFlags
 	plan := &cobra.Command{
--- a/internal/cmd/cmd_template.go
+++ b/internal/cmd/cmd_template.go
@@ -80,7 +80,7 @@
 		return fault.Wrap(fault.Internal, err)
 	}
 	for _, s := range intent.Specs() {
-		low, high, preset := s.Min, s.Max, s.DefaultValue
+		low, high, defaultValue := s.Min, s.Max, s.DefaultValue
 		p := body.Parameters[s.Name]
 		if p.Min != nil {
 			low = p.Min.Number()
@@ -89,9 +89,9 @@
 			high = p.Max.Number()
 		}
 		if p.Default != nil {
-			preset = p.Default.Number()
+			defaultValue = p.Default.Number()
 		}
-		fmt.Fprintf(w, "%-15s %s to %s, default %s\n    %s\n", s.Name, s.Format(low), s.Format(high), s.Format(preset), s.Doc)
+		fmt.Fprintf(w, "%-15s %s to %s, default %s\n    %s\n", s.Name, s.Format(low), s.Format(high), s.Format(defaultValue), s.Doc)
 	}
 	return nil
 }
--- a/internal/cmd/cmd_why.go
+++ b/internal/cmd/cmd_why.go
@@ -20,7 +20,7 @@
 	Members  []*wire.MemberStatus `json:"members"`
 }
 
-// cmdWhy explains decisions and what is being waited for.
+// cmdWhy explains decisions, lag and drains.
 func cmdWhy() *cobra.Command {
 	c := &cobra.Command{Use: "why", Short: "explain where a flow or request went, recent refusals, lag, or a drain"}
 	c.AddCommand(
@@ -79,7 +79,7 @@
 			fmt.Fprintln(c.OutOrStdout(), line)
 		}
 		if len(reply.Decisions) == 0 {
-			return fault.New(fault.NotFound, "no instance has kept a decision on this, and it cannot be worked out again")
+			return fault.New(fault.NotFound, "no instance has recorded a decision on this, and it cannot be recomputed")
 		}
 		return nil
 	})
@@ -88,7 +88,7 @@
 func printDecision(w io.Writer, d *wire.Decision) {
 	origin := ""
 	if d.Recomputed {
-		origin = " (worked out now)" // recomputed, not recorded when it was made
+		origin = " (worked out now)" // recomputed now, because no record of it was kept
 	}
 	fmt.Fprintf(w, "%s %s: %s: %s%s, because %s, by index %d, in use %d\n", time.Unix(0, d.UnixNano).UTC().Format(time.RFC3339Nano),
 		d.Entry, d.Subject, d.Action, origin, d.Reason, d.Index, d.Active)
@@ -129,7 +129,7 @@
 	})
 }
 
-// printLag lists the members that lag and what each of them holds up.
+// printLag lists the members that lag and what each of them delays.
 func printLag(w io.Writer, s *wire.StatusReply) error {
 	if !s.ByLeader {
 		return fault.New(fault.NotCurrent, "%s reaches no leader; it was last confirmed %s ago and serves by index %d", s.Name,
@@ -140,16 +140,16 @@
 		printMemberLag(w, member, s)
 	}
 	if len(lagging) == 0 {
-		fmt.Fprintf(w, "nobody lags: all %d entries have applied %d, in use is %d\n", len(s.Members), s.Commit, s.Active)
+		fmt.Fprintf(w, "no entry lags: all %d have applied %d, in use is %d\n", len(s.Members), s.Commit, s.Active)
 	}
 	return nil
 }
 
-// printMemberLag tells what one member has not applied yet.
+// printMemberLag describes what one member has not applied yet.
 func printMemberLag(w io.Writer, m *wire.MemberStatus, s *wire.StatusReply) {
 	sinceHeartbeat := time.Duration(m.SilentNanos).Round(time.Millisecond)
 	if !m.Leased {
-		fmt.Fprintf(w, "%s in %s holds no lease, silent for %s; it decides nothing new. Look at its network and its log.\n", m.Name, m.Domain, sinceHeartbeat)
+		fmt.Fprintf(w, "%s in %s holds no lease, silent for %s; it decides nothing new. Check its network and its log.\n", m.Name, m.Domain, sinceHeartbeat)
 		return
 	}
 	if m.Evacuations < s.Evacuations {
@@ -187,5 +187,5 @@
 		return
 	}
 	fmt.Fprintf(w, "%s has been leaving for %s and gets no new work; up to %s still use it or are not counted yet\n"+
-		"next: wait, or lower drain_deadline of the team to cut them\n", d.Endpoint, time.Duration(d.SinceNanos).Round(time.Second), remainingWork(d))
+		"next: wait, or lower drain_deadline of the team to end them sooner\n", d.Endpoint, time.Duration(d.SinceNanos).Round(time.Second), remainingWork(d))
 }
--- a/internal/cmd/platform_http.go
+++ b/internal/cmd/platform_http.go
@@ -16,7 +16,7 @@
 	// headerTimeout bounds reading the header of a request.
 	headerTimeout = 2 * time.Second
 	// httpRequestTimeout bounds reading a request and writing its response. It is
-	// long enough for a configuration of some 15,000 routes at 2 Mbit/s.
+	// long enough for a large configuration on a slow link.
 	httpRequestTimeout = 12 * time.Second
 	// idleTimeout closes idle connections. It is longer than the heartbeat period
 	// of endpoints, so that they can reuse theirs.
--- a/internal/cmd/platform_http_test.go
+++ b/internal/cmd/platform_http_test.go
@@ -9,8 +9,8 @@
 	"github.com/onsi/gomega"
 )
 
-// A request that stalls after its header must be ended by the server's own
-// timeout, since the peer may never close the connection.
+// The server's own timeout must end a request that stalls after its header, since
+// the peer may never close the connection.
 func TestServerEndsStalledRequest(t *testing.T) {
 	g := gomega.NewWithT(t)
 	server := newHTTPServer(http.NewServeMux())
--- a/internal/cmd/platform_process.go
+++ b/internal/cmd/platform_process.go
@@ -22,14 +22,14 @@
 
 const (
 	// settingsPollInterval is how often the settings file is checked for changes
-	// that no SIGHUP has announced.
+	// without a SIGHUP.
 	settingsPollInterval = time.Second
 	// heapShare is the share of the memory limit given to the Go runtime; the rest
 	// is for memory that the runtime does not count.
 	heapShare = 0.7
 )
 
-// platformProcess is what entry and control processes have in common.
+// platformProcess holds what entry and control processes have in common.
 type platformProcess struct {
 	settings platform.Settings
 	path     string // of the settings file
--- a/internal/cmd/scenario_test.go
+++ b/internal/cmd/scenario_test.go
@@ -19,7 +19,7 @@
 	"oxbowsaddle/internal/standin"
 )
 
-// fleet builds the binary and runs one process of it per instance.
+// fleet runs one process of the built binary per instance.
 type fleet struct {
 	t            *testing.T
 	binary       string
@@ -138,7 +138,7 @@
 	return path
 }
 
-// Runs the operator commands against three processes: accept, resend, conflicting
+// Runs the operator commands against real processes: accept, resend, conflicting
 // changes, loss of the leader, change of control instances, why, planned stop.
 func TestOperatorWorkflow(t *testing.T) {
 	g := gomega.NewWithT(t)
--- a/internal/demo/demo.go
+++ b/internal/demo/demo.go
@@ -18,15 +18,15 @@
 )
 
 const (
-	warmUp           = 3 * time.Second         // before the first event
-	coolDown         = 1500 * time.Millisecond // between the end of the traffic and that of the run
-	fabricDetection  = 300 * time.Millisecond  // until the fabric stops using a killed entry
-	stopTimeout      = 8 * time.Second
-	feedInterval     = 400 * time.Millisecond
-	feedsPerEndpoint = 60 // long-lived flows per endpoint of the first service
+	warmUp              = 3 * time.Second         // before the first event
+	coolDown            = 1500 * time.Millisecond // between the end of the traffic and that of the run
+	fabricDetectionTime = 300 * time.Millisecond  // until the fabric stops sending to a killed entry
+	stopTimeout         = 8 * time.Second
+	feedInterval        = 400 * time.Millisecond
+	feedsPerEndpoint    = 60 // long-lived flows per endpoint of the first service
 )
 
-// Report is the result of a run, as counted by callers and backend servers.
+// Report is the result of a run, as counted by clients and backend servers.
 // For the counts see standin.Counts.
 type Report struct {
 	Example          string             `json:"user"`
@@ -58,10 +58,10 @@
 // them.
 func EventNames() []string { return []string{"drain", "join", "kill", "restart", "cut"} }
 
-// BrokenGuarantees returns the guarantees that the run violated, each with its
+// ViolatedGuarantees returns the guarantees that the run violated, each with its
 // count.
-func (r Report) BrokenGuarantees() []string {
-	var broken []string
+func (r Report) ViolatedGuarantees() []string {
+	var violated []string
 	for _, p := range []struct {
 		name  string
 		count int
@@ -70,10 +70,10 @@
 		{"ran_twice", r.RanTwice}, {"false_not_run", r.FalseNotRun}, {"late_new", r.LateNew}, {"incomplete", r.Incomplete},
 	} {
 		if p.count > 0 {
-			broken = append(broken, fmt.Sprintf("%s %d", p.name, p.count))
+			violated = append(violated, fmt.Sprintf("%s %d", p.name, p.count))
 		}
 	}
-	return broken
+	return violated
 }
 
 // Run runs the demo and returns its report.
@@ -100,28 +100,28 @@
 	fleet            *fleet
 	rng              *rand.Rand
 	started          time.Time
-	events           []string             // those that happened, with their times
+	events           []string             // triggered events, with their times
 	imbalanceSamples map[string][]float64 // by service
-	drained          string               // endpoint that was told to leave
+	drained          string               // name of the draining endpoint, or empty
 }
 
 func (r *run) run(ctx context.Context) (Report, error) {
 	traffic, stopTraffic := context.WithCancel(ctx)
 	defer stopTraffic()
-	var callers sync.WaitGroup
+	var clients sync.WaitGroup
 	trafficEnd := r.started.Add(r.fleet.config.Duration)
-	r.startTraffic(traffic, &callers, trafficEnd.Add(-coolDown))
+	r.startTraffic(traffic, &clients, trafficEnd.Add(-coolDown))
 	if err := r.runEvents(ctx, trafficEnd); err != nil {
 		return Report{}, err
 	}
-	callersDone := make(chan struct{})
-	go callerWait{&callers, callersDone}.run()
-	const callerTimeout = 12 * time.Second
+	clientsDone := make(chan struct{})
+	go clientWait{&clients, clientsDone}.run()
+	const clientTimeout = 12 * time.Second
 	select {
-	case <-callersDone:
-	case <-time.After(callerTimeout):
+	case <-clientsDone:
+	case <-time.After(clientTimeout):
 		stopTraffic()
-		<-callersDone
+		<-clientsDone
 	}
 	return r.report(), nil
 }
@@ -162,7 +162,7 @@
 }
 
 // sampleImbalance records, for each service with enough flows, the ratio of the
-// highest to the mean number of flows per endpoint. A leaving endpoint is left out.
+// highest to the mean number of flows per endpoint. It ignores a leaving endpoint.
 func (r *run) sampleImbalance() {
 	r.fleet.mu.Lock()
 	defer r.fleet.mu.Unlock()
@@ -238,18 +238,18 @@
 	return r.fleet.submit(ctx, []*wire.Object{r.fleet.serviceObject(service)})
 }
 
-// kill ends a random entry, but the first, without a planned stop and restarts
-// it later with empty memory.
+// kill ends a random entry other than the first without a planned stop, and
+// restarts it later without its state.
 func (r *run) kill(ctx context.Context) error {
-	victim := r.fleet.settings.Instances[1+r.rng.IntN(len(r.fleet.settings.Instances)-1)].Name
+	name := r.fleet.settings.Instances[1+r.rng.IntN(len(r.fleet.settings.Instances)-1)].Name
 	r.fleet.recorder.RecordUnplannedEvent()
 	r.fleet.mu.Lock()
-	inst := r.fleet.instances[victim]
+	inst := r.fleet.instances[name]
 	r.fleet.mu.Unlock()
 	inst.Kill()
-	time.Sleep(fabricDetection)
-	r.fleet.fabric.RemoveEntry(victim)
-	go delayedRestart{r.fleet, victim}.run(ctx)
+	time.Sleep(fabricDetectionTime)
+	r.fleet.fabric.RemoveEntry(name)
+	go delayedRestart{r.fleet, name}.run(ctx)
 	return nil
 }
 
@@ -353,8 +353,8 @@
 
 // Err returns an error that lists the violated guarantees, or nil.
 func (r Report) Err() error {
-	if broken := r.BrokenGuarantees(); len(broken) > 0 {
-		return fault.New(fault.PromiseBroken, "%s", strings.Join(broken, ", "))
+	if violated := r.ViolatedGuarantees(); len(violated) > 0 {
+		return fault.New(fault.PromiseBroken, "%s", strings.Join(violated, ", "))
 	}
 	return nil
 }
--- a/internal/demo/events.go
+++ b/internal/demo/events.go
@@ -10,7 +10,7 @@
 	// downtime is how long a killed instance stays down.
 	downtime = 3 * time.Second
 	// partitionDuration is how long a failure domain stays cut off: long enough
-	// for it to begin to serve without the others.
+	// for its entries to begin to serve on their own.
 	partitionDuration = 6 * time.Second
 )
 
@@ -27,9 +27,9 @@
 		domain string
 	}
 
-	// callerWait closes done when all callers have ended.
-	callerWait struct {
-		callers *sync.WaitGroup
+	// clientWait closes done when all clients have ended.
+	clientWait struct {
+		clients *sync.WaitGroup
 		done    chan<- struct{}
 	}
 )
@@ -50,7 +50,7 @@
 	d.fleet.setPartitioned(d.domain, false)
 }
 
-func (w callerWait) run() {
-	w.callers.Wait()
+func (w clientWait) run() {
+	w.clients.Wait()
 	close(w.done)
 }
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -1,6 +1,6 @@
 // Package demo runs a whole fleet in one process on loopback sockets, with
-// simulated callers, backend servers and network fabric, and reports what
-// callers and backend servers have seen.
+// simulated clients, backend servers and network fabric, and reports what
+// clients and backend servers have seen.
 package demo
 
 import (
@@ -39,8 +39,8 @@
 		Now       func() time.Time
 	}
 
-	// fleet is the 8 instances of an example with the callers, backend servers and
-	// fabric around them.
+	// fleet holds the instances of an example, with the simulated clients, backend
+	// servers and fabric.
 	fleet struct {
 		config      Config
 		settings    settings.Settings
@@ -49,15 +49,15 @@
 		teamName    string
 		fabric      *standin.Fabric
 		recorder    *standin.Recorder
-		callers     *standin.Callers
+		clients     *standin.Callers
 		mu          sync.Mutex
 		instances   map[string]*instance.Instance
 		backends    map[string]map[string]*standin.Backend // by service and name
 		group       sync.WaitGroup
 		runErrors   []error
 		changeCount int
-		partitioned atomic.Pointer[string] // failure domain that is cut off, or nil
-		domainOf    map[netip.AddrPort]string
+		partitioned atomic.Pointer[string]    // failure domain that is cut off, or nil
+		domainOf    map[netip.AddrPort]string // failure domain, by address
 		templates   map[string]json.RawMessage
 	}
 )
@@ -71,7 +71,7 @@
 	if f.fabric, err = standin.NewFabric(netip.MustParseAddrPort("127.0.0.1:0"), config.Seed); err != nil {
 		return nil, err
 	}
-	f.callers = standin.NewCallers(f.fabric, f.recorder, config.Now)
+	f.clients = standin.NewCallers(f.fabric, f.recorder, config.Now)
 	if err := errors.Join(f.readSettings(), f.readIntent()); err != nil {
 		return f, err
 	}
@@ -138,8 +138,8 @@
 			}
 		}
 	}
-	// Flows of the demo send often, so a short idle timeout doesn't end them, and it
-	// lets changes of endpoints complete within the run.
+	// Flows of the demo send often, so a short idle timeout doesn't end them. It lets
+	// drains complete within the run.
 	parameters, _ := f.team["parameters"].(map[string]any)
 	if parameters == nil {
 		parameters = map[string]any{}
@@ -169,8 +169,8 @@
 	return nil
 }
 
-// addBackend starts a backend server and returns its endpoint as it goes into
-// the configuration.
+// addBackend starts a backend server and returns the configuration of its
+// endpoint.
 func (f *fleet) addBackend(service string, spec intent.Service, endpoint intent.Endpoint, warmup time.Duration) (map[string]any, error) {
 	var addresses []netip.AddrPort
 	for _, class := range spec.Classes {
@@ -195,7 +195,7 @@
 	}, nil
 }
 
-// start starts an instance; the fabric uses it as soon as it is ready.
+// start starts an instance; the fabric sends to it as soon as it is ready.
 func (f *fleet) start(ctx context.Context, name string) error {
 	logger, err := telemetry.NewLogger(f.config.Log, f.config.LogLevel, name)
 	if err != nil {
@@ -268,7 +268,7 @@
 	})
 }
 
-// setPartitioned cuts a failure domain off from the others and from the callers,
+// setPartitioned cuts a failure domain off from the others and from the clients,
 // or reconnects it.
 func (f *fleet) setPartitioned(domain string, on bool) {
 	var names []string
@@ -337,11 +337,11 @@
 }
 
 func submitOnce(ctx context.Context, addr netip.AddrPort, change *wire.Change) (*wire.SubmitReply, error) {
-	client, done, err := instance.Dial(ctx, addr, settings.TLS{})
+	client, closeConn, err := instance.Dial(ctx, addr, settings.TLS{})
 	if err != nil {
 		return nil, err
 	}
-	defer func() { _ = done() }()
+	defer func() { _ = closeConn() }()
 	return client.Submit(ctx, change)
 }
 
--- a/internal/demo/traffic.go
+++ b/internal/demo/traffic.go
@@ -16,7 +16,7 @@
 	requestDeadline  = 3 * time.Second
 )
 
-// startTraffic starts callers for every class, which run until the given time:
+// startTraffic starts clients for every class, which run until the given time:
 // long feeds on the flow classes of the first service, short downloads on those
 // of the others, and requests on work classes.
 func (r *run) startTraffic(ctx context.Context, group *sync.WaitGroup, until time.Time) {
@@ -45,36 +45,36 @@
 		group.Go(func() {
 			time.Sleep(delay)
 			remaining := until.Sub(r.fleet.config.Now())
-			r.fleet.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: feedInterval, Duration: remaining})
+			r.fleet.clients.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: feedInterval, Duration: remaining})
 		})
 	}
 }
 
-// startDownloads starts n callers that open one short flow after the other.
+// startDownloads starts n clients that open one short flow after the other.
 func (r *run) startDownloads(ctx context.Context, group *sync.WaitGroup, until time.Time, class intent.Class, n int) {
 	for range n {
 		group.Go(func() {
 			for r.fleet.config.Now().Before(until) && ctx.Err() == nil {
 				duration := downloadDuration/2 + rand.N(downloadDuration)
-				r.fleet.callers.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: downloadDuration / 10, Duration: duration})
+				r.fleet.clients.Flow(ctx, standin.FlowConfig{To: class.Address, Interval: downloadDuration / 10, Duration: duration})
 			}
 		})
 	}
 }
 
-// startRequests starts one caller per three slots of the service, at least two;
-// each sends one request after the other.
+// startRequests starts clients in proportion to the slots of the service; each
+// sends one request after the other.
 func (r *run) startRequests(ctx context.Context, group *sync.WaitGroup, until time.Time, service string, spec intent.Service, class intent.Class) {
 	slots := 0
 	for _, e := range spec.Endpoints {
 		slots += e.Slots
 	}
 	blockwise := service != r.firstService()
-	callers := max(slots/3, 2)
-	for range callers {
+	clientCount := max(slots/3, 2)
+	for range clientCount {
 		group.Go(func() {
 			for r.fleet.config.Now().Before(until) && ctx.Err() == nil {
-				r.fleet.callers.Request(ctx, standin.RequestConfig{
+				r.fleet.clients.Request(ctx, standin.RequestConfig{
 					Class: class.Name, To: class.Address, NonRepeatable: !class.Repeatable, Deadline: requestDeadline, Blockwise: blockwise,
 				})
 				time.Sleep(rand.N(10 * time.Millisecond))
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -33,7 +33,7 @@
 )
 
 type (
-	// Answer is how a command reports errors of one kind.
+	// Answer describes how a command reports errors of one kind.
 	Answer struct {
 		name     string
 		exitCode int
@@ -43,7 +43,7 @@
 	kindKey struct{}
 )
 
-// answers has the answer of every kind.
+// answers holds the answer of every kind.
 var answers = [kindCount]Answer{
 	Internal:           {"internal", 1, "report this with the log line of the same time"},
 	Usage:              {"usage", 2, "run the command with --help"},
@@ -56,10 +56,10 @@
 	AddressInUse:       {"address in use", 9, "free the address or set another one in the settings"},
 	DataFolder:         {"data folder", 10, "make sure that the data folder is writable and has free space; no accepted change was lost"},
 	DamagedLog:         {"damaged log", 11, "move the data folder away and start the instance with an empty one; it catches up from the others"},
-	PromiseBroken:      {"promise broken", 12, "the report names the broken promise; report it together with the seed"},
+	PromiseBroken:      {"promise broken", 12, "the report names the violated guarantee; send it together with the seed"},
 	NotFound:           {"not found", 13, "check the name with `oxbowsaddle status`"},
 	NeedsConfirmation:  {"needs confirmation", 14, "read the warning; repeat with --confirm if it is meant"},
-	HandoverUnfinished: {"handover unfinished", 15, "stop entries one after the other, or raise times.stop_timeout; the second holders serve the flows that were left"},
+	HandoverUnfinished: {"handover unfinished", 15, "stop entries one after the other, or raise times.stop_timeout; the second holders serve the remaining flows"},
 }
 
 // Name returns the short name of the kind.
@@ -100,8 +100,7 @@
 	return Internal
 }
 
-// FromName returns the kind with this name; replies between processes carry the
-// name.
+// FromName returns the kind with this name, which replies between processes carry.
 func FromName(name string) (Kind, error) {
 	for k := range kindCount {
 		if answers[k].name == name {
--- a/internal/slopes/fleet.go
+++ b/internal/slopes/fleet.go
@@ -37,7 +37,7 @@
 	dataFolder       string
 	lightInstances   []*lightInstance
 	controlInstances []*instance.Instance
-	target           int // index of the control instance that gets the calls
+	target           int // index of the control instance that call connects to
 	now              func() time.Time
 }
 
@@ -47,7 +47,7 @@
 	name         string
 	domain       string
 	appliedIndex atomic.Uint64 // last index of the log that was applied
-	activeIndex  atomic.Uint64 // index up to which changes are in use
+	activeIndex  atomic.Uint64 // index up to which changes are in effect
 }
 
 // startFleet starts a fleet. It may return a fleet together with an error; the
--- a/internal/slopes/fleet_bench_test.go
+++ b/internal/slopes/fleet_bench_test.go
@@ -11,7 +11,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// newBenchFleet starts a fleet with eight light instances for a benchmark.
+// newBenchFleet starts a fleet for a benchmark and waits until it is ready.
 func newBenchFleet(b *testing.B) *fleet {
 	b.Helper()
 	f, err := startFleet(8, time.Now)
@@ -29,8 +29,8 @@
 	return &wire.Object{Kind: "template", Name: fmt.Sprint("t", n), Body: []byte(`{"parameters":{}}`)}
 }
 
-// BenchmarkAccept measures how fast three control instances accept changes,
-// logged on disk: one change at a time, and sixteen concurrently. Run it with
+// BenchmarkAccept measures how fast the control instances accept changes, which
+// they log on disk: one change at a time, and concurrently. Run it with
 // -benchtime 1x.
 func BenchmarkAccept(b *testing.B) {
 	const changes, concurrency = 300, 16
@@ -100,7 +100,7 @@
 	}
 }
 
-// BenchmarkCatchUp measures how long a new entry takes to apply 500 earlier
+// BenchmarkCatchUp measures how long a new entry takes to apply many earlier
 // changes. Run it with -benchtime 1x.
 func BenchmarkCatchUp(b *testing.B) {
 	const changes = 500
--- a/internal/slopes/measure.go
+++ b/internal/slopes/measure.go
@@ -19,14 +19,13 @@
 )
 
 const (
-	endpointsPerService = 4   // about that of a fleet of full size: 55,000 endpoints, 15,000 services
+	endpointsPerService = 4   // typical of a large fleet
 	membershipEndpoints = 400 // fixed number of endpoints where the number of entries varies
 )
 
 var startTime = time.Unix(1_700_000_000, 0)
 
-// measurements returns what each slope measures: its name, its parameter, the
-// unit of the cost, the values of the parameter, and the function.
+// measurements returns the measurement of every slope.
 func measurements() []measurement {
 	return []measurement{
 		{"decision_flows", "flows cached", "ns", []int{10_000, 50_000, 200_000, 1_000_000}, decisionByFlows},
@@ -133,7 +132,7 @@
 	list := make([]*packet.Packet, 0, min(flows, maxPackets))
 	var d packet.Decoder
 	for n := range min(flows, maxPackets) {
-		inner, err := packet.Build(packet.NewTuple(callerAddr(n), serviceAddr(n%services), packet.TCP), flags, 1, 1, nil)
+		inner, err := packet.Build(packet.NewTuple(clientAddr(n), serviceAddr(n%services), packet.TCP), flags, 1, 1, nil)
 		if err != nil {
 			return nil, err
 		}
@@ -146,7 +145,7 @@
 	return list, nil
 }
 
-func callerAddr(n int) netip.AddrPort {
+func clientAddr(n int) netip.AddrPort {
 	var ip [4]byte
 	binary.BigEndian.PutUint32(ip[:], uint32(11<<24+n/50_000))
 	return netip.AddrPortFrom(netip.AddrFrom4(ip), uint16(1024+n%50_000))
@@ -157,7 +156,7 @@
 func fillFlows(e *flow.Engine, flows int) error {
 	var d packet.Decoder
 	for n := 50_000; n < flows; n++ {
-		inner, err := packet.Build(packet.NewTuple(callerAddr(n), serviceAddr(0), packet.TCP), packet.NewFlags(false, true, false, false), 1, 1, nil)
+		inner, err := packet.Build(packet.NewTuple(clientAddr(n), serviceAddr(0), packet.TCP), packet.NewFlags(false, true, false, false), 1, 1, nil)
 		if err != nil {
 			return err
 		}
@@ -346,7 +345,7 @@
 	return ctl, s.Index(), err
 }
 
-// tickTime measures controller ticks that are one millisecond apart.
+// tickTime measures a controller tick, at a later time in each call.
 func tickTime(m *meter, ctl *controller.Controller) float64 {
 	now := startTime
 	return m.timePerCall(func() {
--- a/internal/soak/entry.go
+++ b/internal/soak/entry.go
@@ -128,8 +128,8 @@
 	})
 }
 
-// sendProbes tells every other entry that this one is reachable and whether it
-// holds a lease.
+// sendProbes sends every other entry a probe, which carries whether this one holds
+// a lease.
 func (e *instance) sendProbes() {
 	sim := e.sim
 	leased := sim.now.Before(e.member.LeaseUntil())
@@ -145,7 +145,7 @@
 }
 
 // receive handles a packet. The source is the address of the sending endpoint, or
-// zero for a packet from a caller or another entry; relay is nil unless another
+// zero for a packet from a client or another entry; relay is nil unless another
 // entry relayed the packet.
 func (e *instance) receive(source netip.AddrPort, inner []byte, relay *packet.Relay) {
 	e.updateView()
@@ -159,7 +159,7 @@
 	for _, s := range e.entry.TakeSends(sim.now) {
 		switch s.Target {
 		case entry.ToFabric:
-			sim.deliverToCaller(e.domain, s.Inner)
+			sim.deliverToClient(e.domain, s.Inner)
 		case entry.ToBackend:
 			sim.deliverToBackend(e, s.Endpoint, s.Inner)
 		case entry.ToPeer:
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -114,7 +114,7 @@
 // Stop begins a planned stop: the entry hands its state over before it ends.
 func (sim *Sim) Stop(name string) { sim.entries[name].member.AnnounceStop() }
 
-// Pause suspends an entry; what arrives meanwhile is handled afterwards.
+// Pause suspends an entry; it handles messages that arrive meanwhile afterwards.
 func (sim *Sim) Pause(name string, d time.Duration) {
 	sim.entries[name].pausedUntil = sim.now.Add(d)
 }
--- a/internal/soak/mix.go
+++ b/internal/soak/mix.go
@@ -49,7 +49,7 @@
 	}
 }
 
-// injectEntryFault injects a fault of an entry or its domain, or repairs some.
+// injectEntryFault injects a fault of an entry or its domain, or recovers some.
 func (sim *Sim) injectEntryFault(kind int, name string) {
 	switch kind {
 	case 5:
@@ -94,9 +94,9 @@
 	return n
 }
 
-// checkConverged checks that no domain is marked as partitioned or returned, that
-// every entry has a lease and follows the log, and that no entry has violated an
-// invariant.
+// checkConverged checks that the controller lists no domain as partitioned or not
+// yet recovered, that every entry has a lease and follows the log, and that no
+// entry has counted an invariant violation.
 func (sim *Sim) checkConverged() {
 	if sim.state.Table().Uncertain() {
 		sim.violationf("after recovery: partitioned %v, returned %v, returned with loss %v", sim.state.Table().Partitioned(), sim.state.Table().Returned(), sim.state.Table().ReturnedWithLoss())
--- a/internal/soak/mix_test.go
+++ b/internal/soak/mix_test.go
@@ -16,8 +16,8 @@
 	trace  = flag.String("soak.trace", "", "file for the trace of every step")
 	rounds = flag.Int("soak.rounds", 25, "number of random faults in a run")
 
-	// regressionSeeds holds the seeds that failed before, whose fixes are described
-	// in docs/design/flows.md, and 1178, the seed of TestDeterministicReplay.
+	// regressionSeeds holds seeds that failed before, whose fixes are described in
+	// docs/design/flows.md, and the seed of TestDeterministicReplay.
 	regressionSeeds = []uint64{36, 797, 1089, 1102, 1178, 1242}
 )
 
--- a/internal/soak/requests.go
+++ b/internal/soak/requests.go
@@ -21,7 +21,7 @@
 )
 
 type (
-	// requester is a caller of a work class. It sends one request at a time and
+	// requester is a client of a work class. It sends one request at a time and
 	// retransmits it until it has a final answer.
 	requester struct {
 		sim           *Sim
@@ -36,16 +36,16 @@
 		requestNumber int
 	}
 
-	// requestRecord is what the backend servers and the caller have seen of a
+	// requestRecord is what the backend servers and the client have seen of a
 	// request, independent of what the entries report.
 	requestRecord struct {
-		runs       int
-		toldNotRun bool
-		repeatable bool
+		runs           int
+		answeredNotRun bool
+		repeatable     bool
 	}
 )
 
-// AddRequester starts a caller that sends requests.
+// AddRequester starts a client that sends requests.
 func (sim *Sim) AddRequester(domain string, repeatable bool) {
 	addr := issueAddr
 	if repeatable {
@@ -70,7 +70,7 @@
 }
 
 // transmit sends a request to a random entry and schedules its retransmission. It
-// gives the request up shortly before the end of its lifetime.
+// gives up shortly before the end of the request's lifetime.
 func (r *requester) transmit(requestNumber int) {
 	sim := r.sim
 	if r.requestNumber != requestNumber || r.answered {
@@ -101,12 +101,12 @@
 }
 
 // receive checks an answer: it must belong to a request of this simulation, carry
-// that request's result, and not say "not run" of a request that has run.
+// that request's result, and not report a request as not run that has run.
 func (r *requester) receive(p *packet.Packet) {
 	sim := r.sim
 	m, err := work.Decode(p.Payload())
 	if err != nil {
-		sim.violationf("a caller received a malformed CoAP message")
+		sim.violationf("a client received a malformed CoAP message")
 		return
 	}
 	if !m.IsAnswer() || len(m.Token) != 8 {
@@ -115,12 +115,12 @@
 	token := binary.BigEndian.Uint64(m.Token)
 	record := sim.requests[token]
 	if record == nil {
-		sim.violationf("a caller received an answer to an unknown request")
+		sim.violationf("a client received an answer to an unknown request")
 		return
 	}
 	switch m.Code {
 	case codes.ServiceUnavailable:
-		record.toldNotRun = true
+		record.answeredNotRun = true
 		if record.runs > 0 {
 			sim.report.FalseNotRun++
 			sim.violationf("request %d was answered as not run, but has run", token)
@@ -161,7 +161,7 @@
 		sim.report.RanTwice++
 		sim.violationf("request %d ran %d times", token, record.runs)
 	}
-	if record.toldNotRun {
+	if record.answeredNotRun {
 		sim.report.FalseNotRun++
 		sim.violationf("request %d ran after it was answered as not run", token)
 	}
--- a/internal/soak/scenario_bench_test.go
+++ b/internal/soak/scenario_bench_test.go
@@ -56,13 +56,13 @@
 	}
 }
 
-// measureEvent returns the report of a simulation with 600 callers in which one
+// measureEvent returns the report of a simulation with many clients in which one
 // event happens.
 func measureEvent(modulo bool, run func(s *Sim)) Report {
 	sim := New(Config{Seed: 7, Domains: 3, Entries: 8, Endpoints: 14, Balance: 0.8, IdleTimeout: 1500 * time.Millisecond, Modulo: modulo})
 	sim.Run(3 * time.Second)
 	for i := range 600 {
-		sim.AddCaller(fmt.Sprintf("d%d", i%3))
+		sim.AddClient(fmt.Sprintf("d%d", i%3))
 	}
 	sim.Run(2 * time.Second)
 	run(sim)
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// newSim returns a running simulation with 60 callers of flows and 12 of requests.
+// newSim returns a running simulation with clients of flows and of requests.
 func newSim(seed uint64) *Sim {
 	sim := New(Config{Seed: seed, Domains: 3, Entries: 8, Endpoints: 6, Balance: 0.5, IdleTimeout: 1500 * time.Millisecond})
 	sim.Run(3 * time.Second)
 	for i := range 60 {
-		sim.AddCaller(fmt.Sprintf("d%d", i%3))
+		sim.AddClient(fmt.Sprintf("d%d", i%3))
 	}
 	for i := range 12 {
 		sim.AddRequester(fmt.Sprintf("d%d", i%3), i%3 == 2)
@@ -34,7 +34,7 @@
 	return r
 }
 
-// Checks the invariants in fixed sequences of faults, for three seeds each.
+// Checks the invariants in fixed sequences of faults, each with several seeds.
 func TestScenarios(t *testing.T) {
 	scenarios := map[string]func(sim *Sim){
 		"no faults": func(s *Sim) { s.Run(3 * time.Second) },
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -29,14 +29,14 @@
 		runningRequests int
 	}
 
-	// caller opens one TCP flow at a time.
-	caller struct {
+	// client opens one TCP flow at a time.
+	client struct {
 		sim        *Sim
 		domain     string
 		tuple      packet.Tuple
 		port       uint16
 		index      int
-		state      callerState
+		state      clientState
 		endpoint   uint32 // ID of the endpoint that accepted the flow
 		seq        uint32
 		endsAt     time.Time
@@ -44,14 +44,14 @@
 		synsSent   int
 	}
 
-	callerState int
+	clientState int
 )
 
 const (
-	callerOpening callerState = iota
-	callerOpen
-	callerClosing
-	callerDone
+	clientOpening clientState = iota
+	clientOpen
+	clientClosing
+	clientDone
 )
 
 // deliverToBackend sends a packet from an entry to an endpoint. It checks that a
@@ -79,18 +79,18 @@
 func (b *backend) receive(inner []byte, via string) {
 	sim := b.sim
 	p := decode(inner, nil)
-	_, held := b.flows[p.Tuple()]
+	_, open := b.flows[p.Tuple()]
 	switch {
 	case p.Flags().Opens():
-		if !held {
+		if !open {
 			b.checkNewFlow(p, via)
 		}
 		b.flows[p.Tuple()] = sim.now
 		b.sendAnswer(p.Tuple(), packet.NewFlags(true, true, false, false))
-	case held && p.Flags().Ends():
+	case open && p.Flags().Ends():
 		delete(b.flows, p.Tuple())
 		b.sendAnswer(p.Tuple(), packet.NewFlags(false, true, true, false))
-	case held:
+	case open:
 		b.flows[p.Tuple()] = sim.now
 		b.sendAnswer(p.Tuple(), packet.NewFlags(false, true, false, false))
 	default:
@@ -104,14 +104,14 @@
 	since, leaving := b.sim.leavingSince[b.name]
 	for _, domain := range []string{b.domain, b.sim.entries[via].domain} {
 		if reconnected := b.sim.reconnectedAt[domain]; reconnected.After(since) {
-			since = reconnected // a partitioned domain learns of it only after the reconnection
+			since = reconnected // a partitioned domain learns of the drain only after it is reconnected
 		}
 	}
 	if !leaving || b.sim.now.Sub(since) <= maxDrainDelay || b.sim.partitioned[b.domain] {
 		return
 	}
-	for _, c := range b.sim.callers {
-		if c.tuple == p.Tuple() && c.state == callerOpening {
+	for _, c := range b.sim.clients {
+		if c.tuple == p.Tuple() && c.state == clientOpening {
 			b.sim.report.NewAfterDrain++
 			b.sim.violationf("%s received a new flow %v after it began to leave, via %s", b.name, b.sim.now.Sub(since), via)
 		}
@@ -121,8 +121,8 @@
 // checkFlowEndpoint checks that a packet of an established flow reaches the
 // endpoint that the flow is established with.
 func (sim *Sim) checkFlowEndpoint(p *packet.Packet, b *backend, via string) {
-	for _, c := range sim.callers {
-		if c.tuple == p.Tuple() && c.state == callerOpen && c.endpoint != b.id {
+	for _, c := range sim.clients {
+		if c.tuple == p.Tuple() && c.state == clientOpen && c.endpoint != b.id {
 			sim.report.Split++
 			sim.violationf("a packet of flow %v on endpoint %d reached endpoint %d via %s", p.Tuple().Src(), c.endpoint, b.id, via)
 		}
@@ -130,7 +130,7 @@
 }
 
 // sendAnswer answers a packet of a flow. The payload is the endpoint's ID, which
-// tells these answers from those of entries.
+// distinguishes its answers from those of entries.
 func (b *backend) sendAnswer(t packet.Tuple, f packet.Flags) {
 	inner, err := packet.Build(t.Reverse(), f, 1, 1, []byte{byte(b.id)})
 	if err != nil {
@@ -152,30 +152,30 @@
 	})
 }
 
-// AddCaller starts a caller that opens flows one after the other.
-func (sim *Sim) AddCaller(domain string) {
-	c := &caller{sim: sim, domain: domain, index: len(sim.callers), port: 1000}
-	sim.callers = append(sim.callers, c)
+// AddClient starts a client that opens flows one after the other.
+func (sim *Sim) AddClient(domain string) {
+	c := &client{sim: sim, domain: domain, index: len(sim.clients), port: 1000}
+	sim.clients = append(sim.clients, c)
 	sim.schedule(time.Duration(sim.rng.IntN(500))*time.Millisecond, c.openFlow)
 }
 
 // openFlow starts a new flow from the next port.
-func (c *caller) openFlow() {
+func (c *client) openFlow() {
 	sim := c.sim
 	c.port++
 	src := netip.AddrPortFrom(netip.MustParseAddr(fmt.Sprintf("10.0.%d.%d", c.index/200, c.index%200+1)), c.port)
 	c.tuple = packet.NewTuple(src, netip.MustParseAddrPort(serviceAddr), packet.TCP)
-	c.state, c.endpoint, c.seq, c.synsSent = callerOpening, 0, 1, 0
+	c.state, c.endpoint, c.seq, c.synsSent = clientOpening, 0, 1, 0
 	c.flowNumber++
 	c.endsAt = sim.now.Add(minFlowDuration + time.Duration(sim.rng.ExpFloat64()*float64(2*time.Second)))
 	sim.report.Flows++
 	c.sendSYN(c.flowNumber)
 }
 
-// sendSYN sends SYN, and again until the flow is accepted. After maxSYNs it gives
-// the flow up and opens another.
-func (c *caller) sendSYN(flowNumber int) {
-	if c.flowNumber != flowNumber || c.state != callerOpening {
+// sendSYN sends a SYN and retransmits it until the flow is accepted. After maxSYNs
+// it gives up and opens another flow.
+func (c *client) sendSYN(flowNumber int) {
+	if c.flowNumber != flowNumber || c.state != clientOpening {
 		return
 	}
 	if c.synsSent++; c.synsSent > maxSYNs {
@@ -189,13 +189,13 @@
 
 // sendData sends a packet of an open flow and schedules the next, or closes the
 // flow if its time is over.
-func (c *caller) sendData(flowNumber int) {
+func (c *client) sendData(flowNumber int) {
 	sim := c.sim
-	if c.flowNumber != flowNumber || c.state != callerOpen {
+	if c.flowNumber != flowNumber || c.state != clientOpen {
 		return
 	}
 	if sim.now.After(c.endsAt) {
-		c.state = callerClosing
+		c.state = clientClosing
 		c.send(packet.NewFlags(false, true, true, false))
 		sim.report.Ended++
 		sim.schedule(time.Duration(sim.rng.IntN(300))*time.Millisecond, c.openFlow)
@@ -206,7 +206,7 @@
 }
 
 // send sends a packet of the flow to a random reachable entry.
-func (c *caller) send(f packet.Flags) {
+func (c *client) send(f packet.Flags) {
 	sim := c.sim
 	c.seq++
 	inner, err := packet.Build(c.tuple, f, c.seq, 1, nil)
@@ -221,10 +221,10 @@
 	sim.send(c.domain, e.domain, func() { e.runUnpaused(func() { e.receive(netip.AddrPort{}, inner, nil) }) })
 }
 
-// deliverToCaller sends an answer to the caller that its tuple belongs to.
-func (sim *Sim) deliverToCaller(domain string, inner []byte) {
+// deliverToClient sends an answer to the client whose tuple it carries.
+func (sim *Sim) deliverToClient(domain string, inner []byte) {
 	p := decode(inner, nil)
-	for _, c := range sim.callers {
+	for _, c := range sim.clients {
 		if c.tuple == p.Tuple().Reverse() {
 			sim.send(domain, c.domain, func() { c.receive(p) })
 		}
@@ -237,20 +237,20 @@
 }
 
 // receive handles a packet from a backend server, or an RST from an entry.
-func (c *caller) receive(p *packet.Packet) {
+func (c *client) receive(p *packet.Packet) {
 	if c.tuple != p.Tuple().Reverse() {
 		return
 	}
 	switch {
-	case p.Flags().Resets() && c.state == callerOpen && len(p.Payload()) == 0:
-		c.sim.report.ResetByEntry++ // no payload: sent by an entry, as no entry knew the flow
+	case p.Flags().Resets() && c.state == clientOpen && len(p.Payload()) == 0:
+		c.sim.report.ResetByEntry++ // no payload: sent by an entry that found no record of the flow
 		c.openFlow()
-	case p.Flags().Resets() && c.state == callerOpen:
+	case p.Flags().Resets() && c.state == clientOpen:
 		c.sim.report.ResetByBackend++
 		c.sim.violationf("flow %v on endpoint %d was reset by a backend server", c.tuple.Src(), c.endpoint)
 		c.openFlow()
-	case p.Flags().Accepts() && c.state == callerOpening:
-		c.state = callerOpen
+	case p.Flags().Accepts() && c.state == clientOpening:
+		c.state = clientOpen
 		c.endpoint = uint32(p.Payload()[0])
 		c.sendData(c.flowNumber)
 	}
--- a/internal/soak/world.go
+++ b/internal/soak/world.go
@@ -1,7 +1,7 @@
 // Package soak simulates a fleet of entries under faults and checks invariants,
 // such as that an established flow stays on its endpoint and a request doesn't run
 // twice. It drives the real decision cores in one goroutine, with simulated
-// callers, backend servers, network and clock. The network delays, loses and
+// clients, backend servers, network and clock. The network delays, loses and
 // duplicates messages and partitions domains; nothing else is simulated. A run
 // depends on its seed alone, so a failure can be replayed.
 package soak
@@ -31,7 +31,7 @@
 	leaseDuration     = 1500 * time.Millisecond
 	clockMargin       = 150 * time.Millisecond
 	leaderDomain      = "d0"            // domain of the controller; never partitioned
-	maxDrainDelay     = 3 * time.Second // until a leaving endpoint gets nothing new
+	maxDrainDelay     = 3 * time.Second // until a leaving endpoint must get no new flows or requests
 	lossPerMille      = 10
 	duplicatePerMille = 10
 )
@@ -48,7 +48,7 @@
 	// eventQueue is a heap of events, the earliest first.
 	eventQueue []event
 
-	// Sim is a simulated fleet with its callers and backend servers.
+	// Sim is a simulated fleet with its clients and backend servers.
 	Sim struct {
 		rng            *rand.Rand
 		now            time.Time
@@ -61,17 +61,17 @@
 		entryNames     []string             // for a deterministic order
 		backends       map[uint32]*backend
 		backendsByAddr map[netip.AddrPort]*backend
-		callers        []*caller
+		clients        []*client
 		requesters     []*requester
 		requests       map[uint64]*requestRecord // by token
 		lastToken      uint64
 		partitioned    map[string]bool      // domains cut off from the others
-		reconnectedAt  map[string]time.Time // domains, by when their last partition ended
+		reconnectedAt  map[string]time.Time // end of the last partition, by domain
 		changeCount    int
 		report         Report
 		config         Config
-		leavingSince   map[string]time.Time // endpoint names, by when the drain began
-		trace          func(line string)    // receives every step, to examine a replayed failure; may be nil
+		leavingSince   map[string]time.Time // start of the drain, by endpoint name
+		trace          func(line string)    // receives every step, to examine a failure; may be nil
 	}
 
 	// Config configures a simulation.
@@ -80,17 +80,17 @@
 		Domains     int
 		Entries     int
 		Endpoints   int
-		Callers     int
+		Clients     int
 		Balance     float64 // "balance" parameter of the team
 		IdleTimeout time.Duration
 		Modulo      bool // stateless baseline: hash modulo the live endpoints
 	}
 
-	// Report counts events as seen by callers, backend servers and entries. Split
+	// Report counts events as seen by clients, backend servers and entries. Split
 	// counts packets that reached another endpoint than that of their established
 	// flow, Crossed packets and answers that reached another service or request,
 	// NewAfterDrain new flows and requests on an endpoint that began to leave more
-	// than maxDrainDelay ago, NotOpened flows whose caller gave up, and FalseNotRun
+	// than maxDrainDelay ago, NotOpened flows whose client gave up, and FalseNotRun
 	// requests that were answered as not run although they ran. Relayed and
 	// Forwarded count decisions of entries, Answers the answers by response code, and
 	// Reasons the decisions by reason.
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -36,7 +36,7 @@
 		Slots       int
 		Connections int
 		ServiceTime time.Duration
-		Warmup      time.Duration                 // requests take warmupSlowdown times as long until then
+		Warmup      time.Duration                 // time after the start in which requests take warmupSlowdown times as long
 		Blocks      uint32                        // in the response to a GET; 0 is a single message
 		Pick        func() (netip.AddrPort, bool) // entry to send a packet to
 		Recorder    *Recorder
@@ -45,7 +45,7 @@
 
 	// Backend simulates one endpoint of a backend server. It receives Geneve
 	// packets, accepts TCP flows, and runs CoAP requests in a fixed number of
-	// slots, with cancellation and deadlines. Its health reports are delayed.
+	// slots, with cancellation and deadlines. Its health reports may be out of date.
 	Backend struct {
 		config       BackendConfig
 		conn         *net.UDPConn
@@ -54,8 +54,8 @@
 		started      time.Time
 		mu           sync.Mutex
 		flows        map[packet.Tuple]bool  // open
-		running      map[string]*time.Timer // by caller and token
-		seen         map[string]bool        // by caller, message id and token, to drop duplicates (RFC 7252 section 4.5)
+		running      map[string]*time.Timer // by client and token
+		seen         map[string]bool        // by client, message ID and token, to drop duplicates (RFC 7252 section 4.5)
 		reportDown   bool                   // regardless of its real state
 		cachedHealth healthReport
 		cachedAt     time.Time
@@ -152,7 +152,7 @@
 func (b *Backend) serve() {
 	var d packet.Decoder
 	var p packet.Packet
-	buffer := make([]byte, packetSize)
+	buffer := make([]byte, maxPacketBytes)
 	for {
 		n, _, err := b.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
@@ -183,16 +183,16 @@
 	return false
 }
 
-// handleTCP answers a TCP packet. Data is echoed, so that callers can check that
+// handleTCP answers a TCP packet. It echoes data, so that clients can check that
 // they get their own.
 func (b *Backend) handleTCP(p *packet.Packet, seq uint32) {
 	b.mu.Lock()
-	held := b.flows[p.Tuple()]
+	open := b.flows[p.Tuple()]
 	full := len(b.flows) >= b.config.Connections
 	answer := packet.NewFlags(false, true, false, false)
 	switch {
-	case p.Flags().Opens() && (held || !full):
-		if !held {
+	case p.Flags().Opens() && (open || !full):
+		if !open {
 			b.config.Recorder.recordAccepted(b.config.Name)
 		}
 		b.flows[p.Tuple()] = true
@@ -200,10 +200,10 @@
 	case p.Flags().Opens():
 		b.config.Recorder.recordOverfull()
 		answer = packet.NewFlags(false, true, false, true)
-	case held && p.Flags().Ends():
+	case open && p.Flags().Ends():
 		delete(b.flows, p.Tuple())
 		answer = packet.NewFlags(false, true, true, false)
-	case !held:
+	case !open:
 		if p.Flags().Ends() {
 			answer = packet.NewFlags(false, true, true, false) // retransmitted FIN
 		} else {
@@ -224,13 +224,13 @@
 }
 
 // handleRequest runs a request in a free slot, or refuses it. A reset cancels
-// the caller's request.
+// the client's request.
 func (b *Backend) handleRequest(p *packet.Packet) {
 	m, err := work.Decode(p.Payload())
 	if err != nil {
 		return
 	}
-	key := callerPrefix(p.Tuple().Src()) + string(m.Token)
+	key := clientPrefix(p.Tuple().Src()) + string(m.Token)
 	if m.IsReset() {
 		b.cancelRequests(p.Tuple().Src(), m.MessageID)
 		return
@@ -255,19 +255,19 @@
 	if b.config.Now().Sub(b.started) < b.config.Warmup {
 		duration *= warmupSlowdown
 	}
-	if remaining, said := m.TimeLeft(); said {
+	if remaining, present := m.TimeLeft(); present {
 		duration = min(duration, remaining)
 	}
 	block, _ := m.Block()
 	b.running[key] = time.AfterFunc(duration, func() { b.completeRequest(p.Tuple(), m, key, block) })
 }
 
-// callerPrefix returns the part of a key of Backend.running that identifies the
-// caller, which has one request at a time.
-func callerPrefix(caller netip.AddrPort) string { return caller.String() + "/" }
+// clientPrefix returns the part of a key of Backend.running that identifies the
+// client, which has one request at a time.
+func clientPrefix(client netip.AddrPort) string { return client.String() + "/" }
 
-func messageKey(caller netip.AddrPort, id int32) string {
-	return caller.String() + string([]byte{byte(id >> 8), byte(id)})
+func messageKey(client netip.AddrPort, id int32) string {
+	return client.String() + string([]byte{byte(id >> 8), byte(id)})
 }
 
 func (b *Backend) completeRequest(t packet.Tuple, m work.Message, key string, block uint32) {
@@ -284,12 +284,12 @@
 	b.sendResponse(t, m, codes.Content, text, block)
 }
 
-// cancelRequests stops the caller's request and frees its slot.
-func (b *Backend) cancelRequests(caller netip.AddrPort, _ int32) {
+// cancelRequests stops the client's request and frees its slot.
+func (b *Backend) cancelRequests(client netip.AddrPort, _ int32) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for key, timer := range b.running {
-		if strings.HasPrefix(key, callerPrefix(caller)) {
+		if strings.HasPrefix(key, clientPrefix(client)) {
 			timer.Stop()
 			delete(b.running, key)
 			b.config.Recorder.recordCancelled()
--- a/internal/standin/caller.go
+++ b/internal/standin/caller.go
@@ -17,16 +17,16 @@
 )
 
 const (
-	segmentResend   = 250 * time.Millisecond
-	exchangeTimeout = 8 * time.Second
-	openTimeout     = 10 * time.Second
-	maxFINs         = 6
-	requestResend   = 300 * time.Millisecond
-	inboxSize       = 32
+	segmentRetransmitInterval = 250 * time.Millisecond
+	exchangeTimeout           = 8 * time.Second
+	openTimeout               = 10 * time.Second
+	maxFINs                   = 6
+	requestRetransmitInterval = 300 * time.Millisecond
+	inboxSize                 = 32
 )
 
 type (
-	// Callers opens flows and sends requests, each from a new caller address.
+	// Callers opens flows and sends requests, each from a new client address.
 	Callers struct {
 		fabric      *Fabric
 		recorder    *Recorder
@@ -52,12 +52,12 @@
 	}
 )
 
-// NewCallers returns callers that send through a fabric.
+// NewCallers returns clients that send through a fabric.
 func NewCallers(f *Fabric, r *Recorder, now func() time.Time) *Callers {
 	return &Callers{fabric: f, recorder: r, now: now}
 }
 
-// newAddress returns a caller address that has not been used before.
+// newAddress returns a client address that has not been used before.
 func (c *Callers) newAddress() netip.AddrPort {
 	const firstPort, ports = 1024, 60000
 	n := c.lastAddress.Add(1)
@@ -66,9 +66,9 @@
 	return netip.AddrPortFrom(ip, uint16(firstPort+n%ports))
 }
 
-// attachCaller attaches a new address to the fabric and returns it with a channel
+// attachClient attaches a new address to the fabric and returns it with a channel
 // of the packets sent to it. Packets are dropped while the channel is full.
-func (c *Callers) attachCaller() (netip.AddrPort, chan *packet.Packet) {
+func (c *Callers) attachClient() (netip.AddrPort, chan *packet.Packet) {
 	src := c.newAddress()
 	inbox := make(chan *packet.Packet, inboxSize)
 	c.fabric.Attach(src, func(p *packet.Packet) {
@@ -82,97 +82,97 @@
 
 // Flow opens a TCP flow, sends data and checks each echo, and closes the flow.
 func (c *Callers) Flow(ctx context.Context, f FlowConfig) {
-	src, inbox := c.attachCaller()
+	src, inbox := c.attachClient()
 	defer c.fabric.Detach(src)
 	c.recorder.recordFlowStart()
-	flow := &callerFlow{callers: c, tuple: packet.NewTuple(src, f.To, packet.TCP), inbox: inbox, end: c.now().Add(f.Duration)}
+	flow := &clientFlow{clients: c, tuple: packet.NewTuple(src, f.To, packet.TCP), inbox: inbox, end: c.now().Add(f.Duration)}
 	flow.run(ctx, f.Interval)
 }
 
-// callerFlow is the caller's end of a flow.
-type callerFlow struct {
-	callers *Callers
+// clientFlow is the client's end of a flow.
+type clientFlow struct {
+	clients *Callers
 	tuple   packet.Tuple
 	inbox   chan *packet.Packet
 	end     time.Time
 	seq     uint32
 }
 
-func (f *callerFlow) run(ctx context.Context, interval time.Duration) {
+func (f *clientFlow) run(ctx context.Context, interval time.Duration) {
 	if !f.open(ctx) {
 		return
 	}
-	for f.callers.now().Before(f.end) {
+	for f.clients.now().Before(f.end) {
 		if !f.echo(ctx) {
 			return
 		}
 		if !sleep(ctx, interval/2+rand.N(interval)) {
-			f.callers.recorder.recordFlowEnd()
+			f.clients.recorder.recordFlowEnd()
 			return
 		}
 	}
 	for range maxFINs {
 		f.send(packet.NewFlags(false, true, true, false), nil)
-		if p := f.receive(ctx, segmentResend); p != nil && p.Flags().Ends() {
+		if p := f.receive(ctx, segmentRetransmitInterval); p != nil && p.Flags().Ends() {
 			break
 		}
 	}
-	f.callers.recorder.recordFlowEnd()
+	f.clients.recorder.recordFlowEnd()
 }
 
-func (f *callerFlow) open(ctx context.Context) bool {
-	deadline := f.callers.now().Add(openTimeout)
-	for f.callers.now().Before(deadline) && ctx.Err() == nil {
+func (f *clientFlow) open(ctx context.Context) bool {
+	deadline := f.clients.now().Add(openTimeout)
+	for f.clients.now().Before(deadline) && ctx.Err() == nil {
 		f.send(packet.NewFlags(true, false, false, false), nil)
-		if p := f.receive(ctx, segmentResend); p != nil && p.Flags().Accepts() {
+		if p := f.receive(ctx, segmentRetransmitInterval); p != nil && p.Flags().Accepts() {
 			return true
 		}
 	}
-	f.callers.recorder.recordNotOpened()
+	f.clients.recorder.recordNotOpened()
 	return false
 }
 
 // echo sends a segment and waits for its echo. It reports whether the flow is
 // still open.
-func (f *callerFlow) echo(ctx context.Context) bool {
+func (f *clientFlow) echo(ctx context.Context) bool {
 	f.seq++
 	want := fmt.Sprintf("%s %d", f.tuple.Src(), f.seq)
-	deadline := f.callers.now().Add(exchangeTimeout)
-	for f.callers.now().Before(deadline) {
+	deadline := f.clients.now().Add(exchangeTimeout)
+	for f.clients.now().Before(deadline) {
 		f.send(packet.NewFlags(false, true, false, false), []byte(want))
-		p := f.receive(ctx, segmentResend)
+		p := f.receive(ctx, segmentRetransmitInterval)
 		switch {
 		case ctx.Err() != nil:
-			f.callers.recorder.recordFlowEnd()
+			f.clients.recorder.recordFlowEnd()
 			return false
 		case p == nil:
 		case p.Flags().Resets():
-			f.callers.recorder.recordBroken("reset")
+			f.clients.recorder.recordBroken("reset")
 			return false
 		case string(p.Payload()) == want:
 			return true
 		case len(p.Payload()) > 0 && !f.isOwnEcho(p.Payload()):
-			f.callers.recorder.recordCrossed()
+			f.clients.recorder.recordCrossed()
 		}
 	}
-	f.callers.recorder.recordBroken("silent")
+	f.clients.recorder.recordBroken("silent")
 	return false
 }
 
-// isOwnEcho reports whether the payload was sent on this flow, now or earlier.
-func (f *callerFlow) isOwnEcho(payload []byte) bool {
+// isOwnEcho reports whether the payload was sent on this flow.
+func (f *clientFlow) isOwnEcho(payload []byte) bool {
 	prefix := f.tuple.Src().String() + " "
 	return len(payload) > len(prefix) && string(payload[:len(prefix)]) == prefix
 }
 
-func (f *callerFlow) send(flags packet.Flags, payload []byte) {
+func (f *clientFlow) send(flags packet.Flags, payload []byte) {
 	if inner, err := packet.Build(f.tuple, flags, f.seq, 1, payload); err == nil {
-		f.callers.fabric.Send(inner)
+		f.clients.fabric.Send(inner)
 	}
 }
 
 // receive waits for a packet and returns nil after d or at the context's end.
-func (f *callerFlow) receive(ctx context.Context, d time.Duration) *packet.Packet {
+func (f *clientFlow) receive(ctx context.Context, d time.Duration) *packet.Packet {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
@@ -195,11 +195,11 @@
 	}
 }
 
-// Request sends a request, and resends it until it is answered or its deadline
+// Request sends a request, and retransmits it until it is answered or its deadline
 // has passed. It returns the outcome: "answered", "not_run", "unknown" or
 // "silent", which means that there was no response.
 func (c *Callers) Request(ctx context.Context, r RequestConfig) string {
-	src, inbox := c.attachCaller()
+	src, inbox := c.attachClient()
 	defer c.fabric.Detach(src)
 	if !r.Blockwise {
 		return c.requestOnce(ctx, r, src, inbox, codes.POST, nil)
@@ -222,8 +222,8 @@
 	return c.sendRequest(ctx, r, src, inbox, codes.GET, block, more)
 }
 
-// sendRequest sends one message until it is answered and returns the outcome. If
-// more is not nil, it is set to whether further blocks follow.
+// sendRequest sends one message, retransmits it until it is answered, and returns
+// the outcome. If more is not nil, it is set to whether further blocks follow.
 func (c *Callers) sendRequest(ctx context.Context, r RequestConfig, src netip.AddrPort, inbox chan *packet.Packet, code codes.Code, block *uint32, more *bool) string {
 	id := c.lastToken.Add(1)
 	token := binary.BigEndian.AppendUint64(nil, id)
@@ -264,10 +264,10 @@
 	return "silent"
 }
 
-// awaitResponse waits for the response with this token until the request is to
-// be resent.
+// awaitResponse waits for the response with this token until the request is due for
+// retransmission.
 func (c *Callers) awaitResponse(ctx context.Context, inbox chan *packet.Packet, token []byte) (work.Message, bool) {
-	timer := time.NewTimer(requestResend)
+	timer := time.NewTimer(requestRetransmitInterval)
 	defer timer.Stop()
 	for {
 		select {
@@ -277,7 +277,7 @@
 				continue
 			}
 			if string(m.Token) != string(token) {
-				continue // late response to an earlier request of this caller
+				continue // late response to an earlier request of this client
 			}
 			return m, true
 		case <-timer.C:
--- a/internal/standin/fabric.go
+++ b/internal/standin/fabric.go
@@ -1,7 +1,7 @@
-// Package standin simulates the surroundings of the load balancer in tests and
+// Package standin simulates the environment of the load balancer in tests and
 // the demo: a network fabric that sprays packets over the entries, backend
-// servers, and callers of flows and requests. Their counts are independent of
-// those of the load balancer.
+// servers, and clients that open flows and send requests. Their counts are
+// independent of those of the load balancer.
 package standin
 
 import (
@@ -16,20 +16,20 @@
 )
 
 const (
-	packetSize  = 9216
-	socketBytes = 4 << 20
+	maxPacketBytes    = 9216
+	socketBufferBytes = 4 << 20
 )
 
 type (
-	// Fabric sends each packet of a caller to a random entry, and delivers the
-	// packets that it gets from entries to the callers.
+	// Fabric sends each packet of a client to a random entry, and delivers the
+	// packets that it gets from entries to the clients.
 	Fabric struct {
 		conn      *net.UDPConn
 		encoder   *packet.Encoder
 		mu        sync.Mutex
 		rng       *rand.Rand
 		entries   map[string]netip.AddrPort
-		hidden    map[string]bool  // cut off from the callers, by name
+		hidden    map[string]bool  // cut off from the clients, by name
 		reachable []netip.AddrPort // entries that are not hidden
 		receivers map[netip.AddrPort]func(*packet.Packet)
 	}
@@ -58,13 +58,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("stand-in socket: %w", err)
 	}
-	if err := errors.Join(conn.SetReadBuffer(socketBytes), conn.SetWriteBuffer(socketBytes)); err != nil {
+	if err := errors.Join(conn.SetReadBuffer(socketBufferBytes), conn.SetWriteBuffer(socketBufferBytes)); err != nil {
 		return nil, errors.Join(err, conn.Close())
 	}
 	return conn, nil
 }
 
-// Addr returns the address to which entries send packets for callers.
+// Addr returns the address to which entries send packets for clients.
 func (f *Fabric) Addr() netip.AddrPort { return localAddr(f.conn) }
 
 func localAddr(conn *net.UDPConn) netip.AddrPort {
@@ -79,7 +79,7 @@
 // Close closes the socket.
 func (f *Fabric) Close() error { return f.conn.Close() }
 
-// AddEntry adds an entry that packets of callers are sent to.
+// AddEntry adds an entry to those that get packets of clients.
 func (f *Fabric) AddEntry(name string, addr netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -104,7 +104,7 @@
 	}
 }
 
-// SetHidden cuts entries off from the callers, or reconnects them.
+// SetHidden cuts entries off from the clients, or reconnects them.
 func (f *Fabric) SetHidden(names []string, hidden bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -115,12 +115,12 @@
 }
 
 // PickAmong returns a random entry among the allowed ones, hidden or not.
-func (f *Fabric) PickAmong(allowed func(name string) bool) (netip.AddrPort, bool) {
+func (f *Fabric) PickAmong(isAllowed func(name string) bool) (netip.AddrPort, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var candidates []netip.AddrPort
 	for name, addr := range f.entries {
-		if allowed(name) {
+		if isAllowed(name) {
 			candidates = append(candidates, addr)
 		}
 	}
@@ -140,21 +140,21 @@
 	return f.reachable[f.rng.IntN(len(f.reachable))], true
 }
 
-// Attach sets the function that receives packets for a caller's address.
-func (f *Fabric) Attach(caller netip.AddrPort, receive func(*packet.Packet)) {
+// Attach sets the function that receives packets for a client's address.
+func (f *Fabric) Attach(client netip.AddrPort, receive func(*packet.Packet)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.receivers[caller] = receive
+	f.receivers[client] = receive
 }
 
-// Detach removes the receiver of a caller's address.
-func (f *Fabric) Detach(caller netip.AddrPort) {
+// Detach removes the receiver of a client's address.
+func (f *Fabric) Detach(client netip.AddrPort) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	delete(f.receivers, caller)
+	delete(f.receivers, client)
 }
 
-// Send sends a caller's packet, without encapsulation, to a random entry.
+// Send sends a client's packet, given without encapsulation, to a random entry.
 func (f *Fabric) Send(inner []byte) {
 	to, ok := f.Pick()
 	if !ok {
@@ -167,7 +167,7 @@
 func (f *Fabric) serve() {
 	var d packet.Decoder
 	var p packet.Packet
-	buffer := make([]byte, packetSize)
+	buffer := make([]byte, maxPacketBytes)
 	for {
 		n, _, err := f.conn.ReadFromUDPAddrPort(buffer)
 		if errors.Is(err, net.ErrClosed) {
--- a/internal/standin/recorder.go
+++ b/internal/standin/recorder.go
@@ -8,25 +8,25 @@
 )
 
 type (
-	// Recorder counts what callers and backend servers see, independently of the
+	// Recorder counts what clients and backend servers see, independently of the
 	// load balancer, to detect violated guarantees.
 	Recorder struct {
 		mu              sync.Mutex
 		now             func() time.Time
 		counts          Counts
 		executions      map[string]int                     // of requests, by token
-		reportedNotRun  map[string]bool                    // tokens of requests whose callers were told that they didn't run
+		reportedNotRun  map[string]bool                    // tokens of requests that were reported to the client as not run
 		nonRepeatable   map[string]bool                    // tokens of requests that may run only once
 		latency         map[string]*hdrhistogram.Histogram // in microseconds, by class
 		accepted        map[string]int                     // flows, by endpoint
-		unplannedEvents []time.Time                        // when they happened
+		unplannedEvents []time.Time                        // their times
 		drainStarted    map[string]time.Time               // by endpoint
-		reasons         map[string]int                     // why flows broke and requests had no response
+		reasons         map[string]int                     // broken flows and requests without a response, by reason
 	}
 
 	// Counts is what a Recorder has counted.
 	Counts struct {
-		Flows           int `json:"flows"` // that callers tried to open
+		Flows           int `json:"flows"` // that clients tried to open
 		FlowsOpen       int `json:"flows_open"`
 		BrokenPlanned   int `json:"broken_planned"`   // flows, without a recent unplanned event
 		BrokenUnplanned int `json:"broken_unplanned"` // flows, soon after an unplanned event
@@ -35,13 +35,13 @@
 		Crossed         int `json:"crossed"`          // answers that belong to another flow or request
 		LateNew         int `json:"late_new"`         // flows and requests sent to a leaving endpoint
 		Overfull        int `json:"overfull"`         // flows refused by a full endpoint
-		Requests        int `json:"requests"`         // blocks of a block-wise response count singly
+		Requests        int `json:"requests"`         // each block of a block-wise response counts as one
 		Answered        int `json:"answered"`
-		NotRun          int `json:"not_run"`           // requests whose callers were told that they didn't run
-		Unknown         int `json:"unknown"`           // requests whose callers can't tell from the response whether they ran
+		NotRun          int `json:"not_run"`           // requests that were reported to the client as not run
+		Unknown         int `json:"unknown"`           // requests whose response leaves open whether they ran
 		NoAnswer        int `json:"no_answer"`         // requests without any response
 		RanTwice        int `json:"ran_twice"`         // requests that may run only once
-		FalseNotRun     int `json:"false_not_run"`     // requests that ran, contrary to what callers were told
+		FalseNotRun     int `json:"false_not_run"`     // requests that ran, but were reported as not run
 		RefusedByServer int `json:"refused_by_server"` // requests at endpoints without a free slot
 		Cancelled       int `json:"cancelled"`         // requests, while they ran
 		Incomplete      int `json:"incomplete"`        // responses with another block than requested
@@ -152,7 +152,7 @@
 	}
 }
 
-// recordBroken counts a flow that neither its caller nor its backend server
+// recordBroken counts a flow that neither its client nor its backend server
 // ended.
 func (r *Recorder) recordBroken(reason string) {
 	r.mu.Lock()
@@ -192,7 +192,7 @@
 	}
 }
 
-// recordOutcome records what the caller of a request was told.
+// recordOutcome records the outcome of a request as its client sees it.
 func (r *Recorder) recordOutcome(token, class, outcome string, latency time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/tools/experiment.go
+++ b/tools/experiment.go
@@ -18,7 +18,7 @@
 	var journalFolder, reason, baseReason, scoreReason, ablationPrefix string
 	c := &cobra.Command{
 		Use: "experiment", Short: "print scores and paired comparisons from the journal", Args: cobra.NoArgs,
-		Long: "With --why, compares the runs that have this reason in pairs: those of the sources that ran first with those of the others.\n" +
+		Long: "With --why, pairs the runs that have this reason and compares the first version of the sources with the later ones.\n" +
 			"With --scores, prints the scores that have this reason, day by day. Without --why, --ablation and --scores, lists the reasons.",
 		RunE: func(c *cobra.Command, _ []string) error {
 			entries, err := journal.Load(journalFolder)
@@ -43,7 +43,7 @@
 	}
 	c.Flags().StringVar(&journalFolder, "journal", "journal", "journal folder")
 	c.Flags().StringVar(&reason, "why", "", "reason of the runs to compare")
-	c.Flags().StringVar(&baseReason, "base", "", "reason of the runs to compare with, instead of those of the sources that ran first")
+	c.Flags().StringVar(&baseReason, "base", "", "reason of the baseline runs; if empty, the runs of the first version of the sources are the baseline")
 	c.Flags().StringVar(&ablationPrefix, "ablation", "", "prefix of the reasons of an ablation; the reason that ends in 'nothing' is the baseline")
 	c.Flags().StringVar(&scoreReason, "scores", "", "reason of the scores to print")
 	return c
