--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -74,7 +74,7 @@
 	return root
 }
 
-// connectionFlags holds the flags that tell a command how to reach an instance.
+// connectionFlags holds the flags for the connection to an instance and the output.
 type connectionFlags struct {
 	addr        string
 	certificate string
