--- a/internal/standin/recorder.go
+++ b/internal/standin/recorder.go
@@ -81,8 +81,8 @@
 	return all
 }
 
-// Opens returns the number of flows that each endpoint has accepted.
-func (r *Recorder) Opens() map[string]int {
+// AcceptedFlows returns the number of flows that each endpoint has accepted.
+func (r *Recorder) AcceptedFlows() map[string]int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	all := map[string]int{}
