--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -74,7 +74,7 @@
 	return root
 }
 
-// connectionFlags holds the flags that tell a command how to reach an instance.
+// connectionFlags holds the flags for the connection to an instance and the output.
 type connectionFlags struct {
 	addr        string
 	certificate string
@@ -110,7 +110,7 @@
 	return errors.Join(send(ctx, client), closeConn())
 }
 
-// query is what a query command needs to run.
+// query holds the connection, the arguments and the output of a query command.
 type query struct {
 	client wire.DRPCControlClient
 	args   []string
