--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -49,7 +49,7 @@
 		teamName    string
 		fabric      *standin.Fabric
 		recorder    *standin.Recorder
-		clients     *standin.Callers
+		clients     *standin.Clients
 		mu          sync.Mutex
 		instances   map[string]*instance.Instance
 		backends    map[string]map[string]*standin.Backend // by service and name
@@ -71,7 +71,7 @@
 	if f.fabric, err = standin.NewFabric(netip.MustParseAddrPort("127.0.0.1:0"), config.Seed); err != nil {
 		return nil, err
 	}
-	f.clients = standin.NewCallers(f.fabric, f.recorder, config.Now)
+	f.clients = standin.NewClients(f.fabric, f.recorder, config.Now)
 	if err := errors.Join(f.readSettings(), f.readIntent()); err != nil {
 		return f, err
 	}
--- a/internal/load/load.go
+++ b/internal/load/load.go
@@ -74,7 +74,7 @@
 		config   Config
 		ledger   *standin.Recorder
 		fabric   *standin.Fabric
-		clients  *standin.Callers
+		clients  *standin.Clients
 		backends map[string][]*standin.Backend
 		classes  []intent.Class
 		group    sync.WaitGroup
@@ -103,7 +103,7 @@
 	for _, i := range c.Settings.Instances {
 		g.fabric.AddEntry(i.Name, i.PacketAddr)
 	}
-	g.clients = standin.NewCallers(g.fabric, g.ledger, c.Now)
+	g.clients = standin.NewClients(g.fabric, g.ledger, c.Now)
 	for _, o := range c.Objects {
 		if o.Kind != intent.KindService {
 			continue
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -26,8 +26,8 @@
 )
 
 type (
-	// Callers opens flows and sends requests, each from a new client address.
-	Callers struct {
+	// Clients opens flows and sends requests, each from a new client address.
+	Clients struct {
 		fabric      *Fabric
 		recorder    *Recorder
 		now         func() time.Time
@@ -52,13 +52,13 @@
 	}
 )
 
-// NewCallers returns clients that send through a fabric.
-func NewCallers(f *Fabric, r *Recorder, now func() time.Time) *Callers {
-	return &Callers{fabric: f, recorder: r, now: now}
+// NewClients returns clients that send through a fabric.
+func NewClients(f *Fabric, r *Recorder, now func() time.Time) *Clients {
+	return &Clients{fabric: f, recorder: r, now: now}
 }
 
 // newAddress returns a client address that has not been used before.
-func (c *Callers) newAddress() netip.AddrPort {
+func (c *Clients) newAddress() netip.AddrPort {
 	const firstPort, ports = 1024, 60000
 	n := c.lastAddress.Add(1)
 	host := n / ports
@@ -68,7 +68,7 @@
 
 // attachClient attaches a new address to the fabric and returns it with a channel
 // of the packets sent to it. Packets are dropped while the channel is full.
-func (c *Callers) attachClient() (netip.AddrPort, chan *packet.Packet) {
+func (c *Clients) attachClient() (netip.AddrPort, chan *packet.Packet) {
 	src := c.newAddress()
 	inbox := make(chan *packet.Packet, inboxSize)
 	c.fabric.Attach(src, func(p *packet.Packet) {
@@ -81,7 +81,7 @@
 }
 
 // Flow opens a TCP flow, sends data and checks each echo, and closes the flow.
-func (c *Callers) Flow(ctx context.Context, f FlowConfig) {
+func (c *Clients) Flow(ctx context.Context, f FlowConfig) {
 	src, inbox := c.attachClient()
 	defer c.fabric.Detach(src)
 	c.recorder.recordFlowStart()
@@ -91,7 +91,7 @@
 
 // clientFlow is the client's end of a flow.
 type clientFlow struct {
-	clients *Callers
+	clients *Clients
 	tuple   packet.Tuple
 	inbox   chan *packet.Packet
 	end     time.Time
@@ -198,7 +198,7 @@
 // Request sends a request, and retransmits it until it is answered or its deadline
 // has passed. It returns the outcome: "answered", "not_run", "unknown" or
 // "silent", which means that there was no response.
-func (c *Callers) Request(ctx context.Context, r RequestConfig) string {
+func (c *Clients) Request(ctx context.Context, r RequestConfig) string {
 	src, inbox := c.attachClient()
 	defer c.fabric.Detach(src)
 	if !r.Blockwise {
@@ -214,17 +214,17 @@
 	}
 }
 
-func (c *Callers) requestOnce(ctx context.Context, r RequestConfig, src netip.AddrPort, inbox chan *packet.Packet, code codes.Code, block *uint32) string {
+func (c *Clients) requestOnce(ctx context.Context, r RequestConfig, src netip.AddrPort, inbox chan *packet.Packet, code codes.Code, block *uint32) string {
 	return c.sendRequest(ctx, r, src, inbox, code, block, nil)
 }
 
-func (c *Callers) requestBlock(ctx context.Context, r RequestConfig, src netip.AddrPort, inbox chan *packet.Packet, block *uint32, more *bool) string {
+func (c *Clients) requestBlock(ctx context.Context, r RequestConfig, src netip.AddrPort, inbox chan *packet.Packet, block *uint32, more *bool) string {
 	return c.sendRequest(ctx, r, src, inbox, codes.GET, block, more)
 }
 
 // sendRequest sends one message, retransmits it until it is answered, and returns
 // the outcome. If more is not nil, it is set to whether further blocks follow.
-func (c *Callers) sendRequest(ctx context.Context, r RequestConfig, src netip.AddrPort, inbox chan *packet.Packet, code codes.Code, block *uint32, more *bool) string {
+func (c *Clients) sendRequest(ctx context.Context, r RequestConfig, src netip.AddrPort, inbox chan *packet.Packet, code codes.Code, block *uint32, more *bool) string {
 	id := c.lastToken.Add(1)
 	token := binary.BigEndian.AppendUint64(nil, id)
 	m := work.Message{Message: message.Message{Token: token, Code: code, Type: message.Confirmable, MessageID: int32(id & 0xffff)}}
@@ -266,7 +266,7 @@
 
 // awaitResponse waits for the response with this token until the request is due for
 // retransmission.
-func (c *Callers) awaitResponse(ctx context.Context, inbox chan *packet.Packet, token []byte) (work.Message, bool) {
+func (c *Clients) awaitResponse(ctx context.Context, inbox chan *packet.Packet, token []byte) (work.Message, bool) {
 	timer := time.NewTimer(requestRetransmitInterval)
 	defer timer.Stop()
 	for {
@@ -290,7 +290,7 @@
 
 // classify returns the outcome of a request from its response, and records a
 // response that belongs to another request.
-func (c *Callers) classify(m work.Message, token []byte) string {
+func (c *Clients) classify(m work.Message, token []byte) string {
 	switch m.Code {
 	case codes.ServiceUnavailable:
 		return "not_run"
