--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -16,8 +16,9 @@
 	return v.Action() != flow.Forward
 }
 
-// FlowDecision returns the record of a verdict on a packet of a flow. Index and active are
-// the log indexes that the entry had applied and that were active everywhere.
+// FlowDecision returns the record of a verdict on a packet of a flow. index is the log
+// index that the entry had applied, active the one that all entries with a lease had
+// applied.
 func FlowDecision(now time.Time, entry, subject string, v flow.Verdict, index, active uint64) *wire.Decision {
 	d := &wire.Decision{
 		UnixNano: now.UnixNano(), Entry: entry, Subject: subject, Action: v.Action().String(),
@@ -92,7 +93,8 @@
 	work.AnswerGone:         "the caller must restart the block-wise transfer",
 }
 
-// WorkDecision returns the record of a state change of a request.
+// WorkDecision returns the record of a state change of a request. For index and active
+// see FlowDecision.
 func WorkDecision(now time.Time, entry string, e work.Event, endpoint string, index, active uint64) *wire.Decision {
 	nextStep := "nothing: this is normal"
 	if s, ok := workNextSteps[e.Cause]; ok {
--- a/internal/explain/recompute.go
+++ b/internal/explain/recompute.go
@@ -11,9 +11,9 @@
 	"oxbowsaddle/internal/wire"
 )
 
-// Recompute returns what an entry knows of a flow and would decide on its next
-// packet, with every endpoint of the service and why it was chosen or not. It
-// returns nil if the addresses in the request are invalid.
+// Recompute returns what an entry would now decide on the next packet of a flow, from
+// what it has stored about the flow, with every endpoint of the service and why it was
+// chosen or not. It returns nil if the addresses in the request are invalid.
 func Recompute(now time.Time, entry string, e *flow.Engine, r *wire.WhyRequest) *wire.Decision {
 	source, errSource := netip.ParseAddrPort(r.Source)
 	target, errTarget := netip.ParseAddrPort(r.Target)
--- a/internal/intent/check.go
+++ b/internal/intent/check.go
@@ -113,10 +113,10 @@
 	names = map[string]bool{}
 	addresses := map[netip.AddrPort]bool{}
 	for i, e := range s.Endpoints {
-		at := fmt.Sprintf("%s endpoint %d %q", location, i+1, e.Name)
-		c.endpoint(at, e, names)
+		path := fmt.Sprintf("%s endpoint %d %q", location, i+1, e.Name)
+		c.endpoint(path, e, names)
 		if other := c.document.serviceByEndpoint[e.Address]; other != name || addresses[e.Address] {
-			c.add(at, "address %s is already used by service %s", e.Address, other)
+			c.add(path, "address %s is already used by service %s", e.Address, other)
 		}
 		addresses[e.Address] = true
 	}
--- a/internal/intent/file.go
+++ b/internal/intent/file.go
@@ -29,13 +29,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("read configuration: %w", err)
 	}
-	var known map[string]json.RawMessage
-	if err := json.Unmarshal(plain, &known); err != nil {
+	var topLevel map[string]json.RawMessage
+	if err := json.Unmarshal(plain, &topLevel); err != nil {
 		return nil, fmt.Errorf("read configuration: %w", err)
 	}
-	for name := range known {
+	for name := range topLevel {
 		if name != "templates" && name != "services" && name != "teams" {
-			return nil, fmt.Errorf("read configuration: unknown field %q: templates, services or teams", name)
+			return nil, fmt.Errorf("read configuration: unknown field %q, expected templates, services or teams", name)
 		}
 	}
 	var f file
--- a/internal/intent/intent.go
+++ b/internal/intent/intent.go
@@ -65,8 +65,8 @@
 		Endpoints []Endpoint `json:"endpoints"`
 	}
 
-	// Team owns services and sets parameters within the bounds of its template. First
-	// lists its classes of traffic by priority, highest first.
+	// Team owns services and sets parameters within the bounds of its template.
+	// PriorityClasses lists its classes of traffic by priority, highest first.
 	Team struct {
 		Template        string           `json:"template"`
 		Services        []string         `json:"services"`
@@ -296,7 +296,7 @@
 }
 
 // Classes returns the classes of a service with their priorities: the position in
-// the team's `first` list, where 0 is the highest. Classes that aren't listed share
+// the team's PriorityClasses, where 0 is the highest. Classes that aren't listed share
 // the lowest priority.
 func (d Document) Classes(service string) []route.Class {
 	name, _ := d.TeamOf(service)
--- a/internal/intent/parameter.go
+++ b/internal/intent/parameter.go
@@ -28,8 +28,8 @@
 		Doc          string
 	}
 
-	// Parameter is a template's default and bounds of a parameter; nil means that the
-	// general one applies.
+	// Parameter is a template's default and bounds of a parameter. A nil field means that
+	// the value in ParameterSpec applies.
 	Parameter struct {
 		Default *Value `json:"default,omitempty"`
 		Min     *Value `json:"min,omitempty"`
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -103,13 +103,13 @@
 			p.addFault("times."+field, "%s must be shorter than %s (%s)", short.Std(), other, long.Std())
 		}
 	}
-	requireShorter("beat", 2*t.HeartbeatInterval, t.Lease, "times.lease, which must hold two of them")
+	requireShorter("beat", 2*t.HeartbeatInterval, t.Lease, "times.lease, which must cover two heartbeat intervals")
 	requireShorter("margin", t.ClockMargin, t.Lease, "times.lease")
 	if minimum := t.Lease + 2*t.ClockMargin + 2*t.HeartbeatInterval; t.IsolatedAfter < minimum {
-		p.addFault("times.island_after", "must be at least %s (lease + 2 margin + 2 beat): before, an entry elsewhere may hold a lease and not know of the partition", minimum.Std())
+		p.addFault("times.island_after", "must be at least %s (lease + 2 margin + 2 beat): sooner, an entry in another failure domain may still have a lease and not have detected the partition", minimum.Std())
 	}
 	requireShorter("probe", t.ProbeInterval, t.PeerTimeout, "times.heard_for")
-	requireShorter("log_heartbeat", 2*t.LogHeartbeatInterval, t.LogLease, "times.log_lease, which must hold two of them")
+	requireShorter("log_heartbeat", 2*t.LogHeartbeatInterval, t.LogLease, "times.log_lease, which must cover two heartbeat intervals")
 	requireShorter("log_drift", t.LogDrift, t.LogLease, "times.log_lease")
 	requireShorter("sweep_every", t.SweepInterval, t.SettleAfter, "times.settle_after")
 	requireShorter("check_timeout", t.CheckTimeout, 2*t.CheckInterval, "twice times.check")
--- a/internal/settings/parse.go
+++ b/internal/settings/parse.go
@@ -122,14 +122,14 @@
 		name := literal.String()
 		field := strings.TrimPrefix(path+"."+name, ".")
 		p.recordLine(field, member.Name.StartOffset)
-		place, known := fieldByTag(into, name)
+		fieldValue, known := fieldByTag(into, name)
 		switch {
 		case !known:
 			p.addFault(field, "unknown field")
 		case seen[name]:
 			p.addFault(field, "is set twice")
 		default:
-			p.decode(&member.Value, place, field)
+			p.decode(&member.Value, fieldValue, field)
 		}
 		seen[name] = true
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,8 +17,9 @@
 	// Duration is a time.Duration whose JSON form is a string such as "300ms".
 	Duration time.Duration
 
-	// Instance is an entry of the fleet, which is a control instance too if it has a data
-	// folder.
+	// Instance is one instance of the fleet. Each is an entry, which receives packets of
+	// clients. Those with a data folder are control instances too, which replicate the
+	// configuration.
 	Instance struct {
 		Name        string         `json:"name"`
 		Domain      string         `json:"domain"`
@@ -31,22 +32,22 @@
 	Limits struct {
 		MaxFlows              int `json:"flows"`            // flow table entries
 		MaxRecords            int `json:"records"`          // records held for buckets in transition
-		MaxWaiting            int `json:"waiting"`          // packets waiting for answers of peers
+		MaxWaiting            int `json:"waiting"`          // flows waiting for answers of peers
 		AsksPerSecond         int `json:"asks_a_second"`    // questions to peers per second
-		PushBytesPerSecond    int `json:"push_bytes"`       // bytes per second of records sent to holders
+		PushBytesPerSecond    int `json:"push_bytes"`       // bytes per second of flow records sent to their holders
 		ControlBytesPerSecond int `json:"control_bytes"`    // bytes per second of control traffic
-		MaxRequests           int `json:"requests"`         // requests held
+		MaxRequests           int `json:"requests"`         // requests per service
 		MaxDecisions          int `json:"decisions"`        // decisions kept for the why command
 		MemoryMegabytes       int `json:"memory_megabytes"` // heap size above which the budget counts as exceeded
-		CoreThousandths       int `json:"core_thousandths"` // thousandths of a core for control
+		CoreThousandths       int `json:"core_thousandths"` // processor time for control, in thousandths of a core
 		LogEntries            int `json:"log_entries"`      // log entries between snapshots
 		ChecksPerSecond       int `json:"checks_a_second"`  // health checks per second
 		SampleOneIn           int `json:"sample_one_in"`    // one in this many flows is traced
 		MaxMovesPerRound      int `json:"moves_at_once"`    // buckets moved at a time to balance load
-		MaxOperatorCalls      int `json:"operator_calls"`   // concurrent calls
+		MaxOperatorCalls      int `json:"operator_calls"`   // concurrent calls of operators
 		SocketBufferBytes     int `json:"queue_bytes"`      // size of a socket buffer
 		MaxRequestBytes       int `json:"request_bytes"`    // maximum size of a request
-		MaxHeldKeys           int `json:"held_at_peer"`     // request keys held as second holder
+		MaxHeldKeys           int `json:"held_at_peer"`     // request keys stored as second holder of a service
 		RetryFloor            int `json:"retry_floor"`      // retries per second that are always allowed
 	}
 
@@ -71,7 +72,7 @@
 		CheckInterval        Duration `json:"check"`          // interval of health checks
 		CheckTimeout         Duration `json:"check_timeout"`  // timeout of health checks and of calls to the platform
 		PlatformPollInterval Duration `json:"platform_poll"`  // interval of reading the platform's list of instances
-		Ramp                 Duration `json:"ramp"`           // how long a new endpoint's share of new flows rises
+		Ramp                 Duration `json:"ramp"`           // time in which a new endpoint's share of new flows rises to its full value
 		StopTimeout          Duration `json:"stop_timeout"`   // time limit of a planned stop
 	}
 
@@ -88,8 +89,8 @@
 		Level string `json:"level"`
 	}
 
-	// Trace sets the file to which spans are written: "-" is standard output, and none
-	// are written if it is empty.
+	// Trace configures tracing. File is the path to which spans are written: "-" is
+	// standard output, and an empty path disables tracing.
 	Trace struct {
 		File string `json:"file"`
 	}
@@ -97,7 +98,7 @@
 	// Settings is the content of a settings file.
 	Settings struct {
 		HashKey   string         `json:"hash_key"` // 32 hexadecimal digits, the same on every instance
-		Fabric    netip.AddrPort `json:"fabric"`   // of the network fabric, to which answers for callers are sent
+		Fabric    netip.AddrPort `json:"fabric"`   // address of the network fabric, to which answers for clients are sent
 		Platform  string         `json:"platform"` // URL of the list of instances, empty if there is none
 		Instances []Instance     `json:"instances"`
 		Limits    Limits         `json:"limits"`
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -95,8 +95,9 @@
 	return &Tracer{tracer: p.Tracer("oxbowsaddle"), provider: p, file: closer}, nil
 }
 
-// RecordHop writes the span of one hop. Its trace ID is the ID of the flow or request, so that
-// the spans of all entries join one trace without propagation between them.
+// RecordHop writes the span of one hop. Its trace ID, high and low, is the ID of the flow
+// or request, so that the spans of all entries join one trace without propagation
+// between them.
 func (t *Tracer) RecordHop(now time.Time, high, low uint64, name string, attributes ...attribute.KeyValue) {
 	if t.tracer == nil {
 		return
--- a/internal/telemetry/timing.go
+++ b/internal/telemetry/timing.go
@@ -8,8 +8,8 @@
 	metrics "github.com/rcrowley/go-metrics"
 )
 
-// sampleSize is the number of durations from which quantiles are estimated. It takes
-// 4 KB and gives an error of about 2% at the 95th percentile.
+// sampleSize is the number of durations from which quantiles are estimated. A larger
+// sample takes more memory and gives more accurate quantiles.
 const sampleSize = 512
 
 // quantiles lists the exported quantiles.
