--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -60,7 +60,7 @@
 		instance: i, incarnation: incarnation,
 		core: member.New(member.Config{
 			Name: i.self.Name, Domain: i.self.Domain, Incarnation: incarnation,
-			Peers: peer.Config{Self: i.self.Name, Domain: i.self.Domain, ProbeTimeout: t.PeerTimeout.Std(), IsolationDelay: t.IsolatedAfter.Std()},
+			Peers: peer.Config{Self: i.self.Name, Domain: i.self.Domain, ProbeTimeout: t.PeerTimeout.Std(), IsolationDelay: t.IsolationDelay.Std()},
 		}),
 		calls: make(callQueue, queue), results: make(chan heartbeatResult, 1),
 		loads: make(chan []*wire.EndpointLoad, 1), unlisted: make(chan []string, 1), handedOver: make(chan struct{}),
--- a/internal/instance/traffic.go
+++ b/internal/instance/traffic.go
@@ -128,7 +128,7 @@
 		Work: work.Config{
 			Self: i.self.Name, Domain: i.self.Domain, Incarnation: incarnation, Hasher: hasher,
 			MaxRequests: s.Limits.MaxRequests, MaxHeldKeys: s.Limits.MaxHeldKeys, HoldRetryInterval: s.Times.AskTimeout.Std(),
-			MinRetriesPerSecond: float64(s.Limits.RetryFloor), MaxPacketDelay: 2 * s.Times.Lease.Std(),
+			MinRetriesPerSecond: float64(s.Limits.MinRetriesPerSecond), MaxPacketDelay: 2 * s.Times.Lease.Std(),
 		},
 		OnFlow: t.onFlow,
 		OnWork: t.onWork,
--- a/internal/settings/check.go
+++ b/internal/settings/check.go
@@ -105,7 +105,7 @@
 	}
 	requireShorter("beat", 2*t.HeartbeatInterval, t.Lease, "times.lease, which must cover two heartbeat intervals")
 	requireShorter("margin", t.ClockMargin, t.Lease, "times.lease")
-	if minimum := t.Lease + 2*t.ClockMargin + 2*t.HeartbeatInterval; t.IsolatedAfter < minimum {
+	if minimum := t.Lease + 2*t.ClockMargin + 2*t.HeartbeatInterval; t.IsolationDelay < minimum {
 		p.addFault("times.island_after", "must be at least %s (lease + 2 margin + 2 beat): sooner, an entry in another failure domain may still have a lease and not have detected the partition", minimum.Std())
 	}
 	requireShorter("probe", t.ProbeInterval, t.PeerTimeout, "times.heard_for")
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -48,7 +48,7 @@
 		SocketBufferBytes     int `json:"queue_bytes"`      // size of a socket buffer
 		MaxRequestBytes       int `json:"request_bytes"`    // maximum size of a request
 		MaxHeldKeys           int `json:"held_at_peer"`     // request keys stored as second holder of a service
-		RetryFloor            int `json:"retry_floor"`      // retries per second that are always allowed
+		MinRetriesPerSecond   int `json:"retry_floor"`      // retries per second that are always allowed
 	}
 
 	// Times holds the intervals and timeouts of an instance.
@@ -58,7 +58,7 @@
 		Lease                Duration `json:"lease"`          // duration of an entry's lease
 		ClockMargin          Duration `json:"margin"`         // allowance for clock drift between instances
 		PeerTimeout          Duration `json:"heard_for"`      // how long after a probe a peer counts as reachable
-		IsolatedAfter        Duration `json:"island_after"`   // how long after its leases expired a partitioned failure domain serves by itself
+		IsolationDelay       Duration `json:"island_after"`   // how long after its leases expired a partitioned failure domain serves by itself
 		SettleAfter          Duration `json:"settle_after"`   // how long a bucket must have no flows on other endpoints before its transition ends
 		ReturnTimeout        Duration `json:"return_wait"`    // how long to wait for the entries of a failure domain that is reachable again
 		PlacementInterval    Duration `json:"place_every"`    // interval of placement decisions
@@ -133,10 +133,10 @@
 			MaxFlows: 200_000, MaxRecords: 100_000, MaxWaiting: 1024, AsksPerSecond: 500, PushBytesPerSecond: 2000, ControlBytesPerSecond: 3000,
 			MaxRequests: 20_000, MaxDecisions: 2000, MemoryMegabytes: 64, CoreThousandths: 13, LogEntries: 4096,
 			ChecksPerSecond: 50, SampleOneIn: 1000, MaxMovesPerRound: 8, MaxOperatorCalls: 32, SocketBufferBytes: 4 << 20,
-			MaxRequestBytes: 1152, MaxHeldKeys: 40_000, RetryFloor: 10,
+			MaxRequestBytes: 1152, MaxHeldKeys: 40_000, MinRetriesPerSecond: 10,
 		},
 		Times: Times{
-			HeartbeatInterval: 300 * ms, ProbeInterval: 400 * ms, Lease: 1500 * ms, ClockMargin: 150 * ms, PeerTimeout: 1300 * ms, IsolatedAfter: 2400 * ms,
+			HeartbeatInterval: 300 * ms, ProbeInterval: 400 * ms, Lease: 1500 * ms, ClockMargin: 150 * ms, PeerTimeout: 1300 * ms, IsolationDelay: 2400 * ms,
 			SettleAfter: 2500 * ms, ReturnTimeout: 5000 * ms, PlacementInterval: 250 * ms, SweepInterval: 1000 * ms,
 			AskTimeout: 60 * ms, PushRetryInterval: 250 * ms, HalfOpenTimeout: 2000 * ms,
 			LogHeartbeatInterval: 100 * ms, LogLease: 600 * ms, LogDrift: 60 * ms,
