--- a/internal/cmd/cmd.go
+++ b/internal/cmd/cmd.go
@@ -84,26 +84,26 @@
 	extraTime   time.Duration // added to callTimeout
 }
 
-func (conn *connectionFlags) addFlags(c *cobra.Command) {
-	c.Flags().StringVar(&conn.addr, "addr", defaultAddr, "control address of an instance; any one will do")
-	c.Flags().StringVar(&conn.certificate, "certificate", "", "certificate file of the operator, for mutual TLS")
-	c.Flags().StringVar(&conn.key, "key", "", "private key file of the operator")
-	c.Flags().StringVar(&conn.authority, "authority", "", "certificate file of the certificate authority")
-	c.Flags().StringVar(&conn.output, "output", "text", "output format: text or json")
+func (f *connectionFlags) addFlags(c *cobra.Command) {
+	c.Flags().StringVar(&f.addr, "addr", defaultAddr, "control address of an instance; any one will do")
+	c.Flags().StringVar(&f.certificate, "certificate", "", "certificate file of the operator, for mutual TLS")
+	c.Flags().StringVar(&f.key, "key", "", "private key file of the operator")
+	c.Flags().StringVar(&f.authority, "authority", "", "certificate file of the certificate authority")
+	c.Flags().StringVar(&f.output, "output", "text", "output format: text or json")
 }
 
 // call connects to the instance, runs send, and closes the connection.
-func (conn *connectionFlags) call(ctx context.Context, send func(context.Context, wire.DRPCControlClient) error) error {
-	addr, err := netip.ParseAddrPort(conn.addr)
+func (f *connectionFlags) call(ctx context.Context, send func(context.Context, wire.DRPCControlClient) error) error {
+	addr, err := netip.ParseAddrPort(f.addr)
 	if err != nil {
 		return UsageError{fmt.Errorf("--addr: %w", err)}
 	}
-	if conn.output != "text" && conn.output != "json" {
-		return UsageError{fmt.Errorf("--output is text or json, not %q", conn.output)}
+	if f.output != "text" && f.output != "json" {
+		return UsageError{fmt.Errorf("--output is text or json, not %q", f.output)}
 	}
-	ctx, cancel := context.WithTimeout(ctx, callTimeout+conn.extraTime)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout+f.extraTime)
 	defer cancel()
-	client, closeConn, err := instance.Dial(ctx, addr, settings.TLS{Certificate: conn.certificate, Key: conn.key, Authority: conn.authority})
+	client, closeConn, err := instance.Dial(ctx, addr, settings.TLS{Certificate: f.certificate, Key: f.key, Authority: f.authority})
 	if err != nil {
 		return err
 	}
--- a/internal/cmd/cmd_evacuate.go
+++ b/internal/cmd/cmd_evacuate.go
@@ -43,8 +43,8 @@
 
 // evacuate sends the order and follows redirects to the instance that can
 // accept it.
-func (conn *connectionFlags) evacuate(ctx context.Context, r *wire.EvacuateRequest) error {
-	next := *conn
+func (f *connectionFlags) evacuate(ctx context.Context, r *wire.EvacuateRequest) error {
+	next := *f
 	var reply *wire.EvacuateReply
 	for range maxAttempts {
 		err := next.call(ctx, func(ctx context.Context, client wire.DRPCControlClient) (err error) {
--- a/internal/cmd/cmd_why.go
+++ b/internal/cmd/cmd_why.go
@@ -63,13 +63,13 @@
 	return c
 }
 
-func (conn *connectionFlags) explain(c *cobra.Command, request *wire.WhyRequest) error {
-	return conn.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
+func (f *connectionFlags) explain(c *cobra.Command, request *wire.WhyRequest) error {
+	return f.call(c.Context(), func(ctx context.Context, client wire.DRPCControlClient) error {
 		reply, err := client.Why(ctx, request)
 		if err != nil {
 			return fault.Wrap(fault.Unreachable, err)
 		}
-		if conn.output == "json" {
+		if f.output == "json" {
 			return PrintJSON(c.OutOrStdout(), reply)
 		}
 		for _, d := range reply.Decisions {
--- a/internal/fault/fault.go
+++ b/internal/fault/fault.go
@@ -63,14 +63,14 @@
 }
 
 // Name returns the short name of the kind.
-func (kind Kind) Name() string { return kind.Answer().name }
+func (k Kind) Name() string { return k.Answer().name }
 
 // Answer returns the answer of the kind, or that of Internal if it is unknown.
-func (kind Kind) Answer() Answer {
-	if kind < 0 || kind >= kindCount {
+func (k Kind) Answer() Answer {
+	if k < 0 || k >= kindCount {
 		return answers[Internal]
 	}
-	return answers[kind]
+	return answers[k]
 }
 
 // ExitCode returns the exit code of a command that fails with this answer.
--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -173,7 +173,7 @@
 	c.instance.budget.charge(now, size)
 	target := c.target()
 	c.inFlight = true
-	go c.callHeartbeat(ctx, target, r, now)
+	go c.runHeartbeat(ctx, target, r, now)
 }
 
 // target returns the control instance to call: the known leader, or after a failed
@@ -191,8 +191,8 @@
 	return target
 }
 
-// callHeartbeat makes the heartbeat call in a goroutine of its own.
-func (c *controlLoop) callHeartbeat(ctx context.Context, target settings.Instance, r *wire.BeatRequest, sent time.Time) {
+// runHeartbeat makes the heartbeat call in a goroutine of its own.
+func (c *controlLoop) runHeartbeat(ctx context.Context, target settings.Instance, r *wire.BeatRequest, sent time.Time) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply *wire.BeatReply
--- a/internal/node/control.go
+++ b/internal/node/control.go
@@ -97,7 +97,7 @@
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return links.serve(ctx) })
+	group.Go(func() error { return links.run(ctx) })
 	group.Go(func() error { return c.endpoints.loop(ctx) })
 	for _, b := range []*batchLog{c.endpoints.fullBatches, c.endpoints.summaryBatches, c.endpoints.peerBatches} {
 		group.Go(func() error { return b.loop(ctx) })
--- a/internal/node/entry.go
+++ b/internal/node/entry.go
@@ -131,7 +131,7 @@
 		e.config.Log.Error("cannot listen for operators' commands", "address", e.config.OperatorAddr, "error", err)
 		return nil
 	}
-	return server.serve(ctx)
+	return server.run(ctx)
 }
 
 // Stop makes the entry not ready, and returns when routers have had time to remove it;
--- a/internal/node/linkloop.go
+++ b/internal/node/linkloop.go
@@ -8,9 +8,9 @@
 	"oxbowsaddle/internal/fault"
 )
 
-// maintainLink connects to an address, again after each failure, until ctx is done. rootCtx
+// runLink connects to an address, again after each failure, until ctx is done. rootCtx
 // is the parent context of all links.
-func (m *linkManager) maintainLink(ctx, rootCtx context.Context, address string, link *managedLink) {
+func (m *linkManager) runLink(ctx, rootCtx context.Context, address string, link *managedLink) {
 	var backoff dialBackoff
 	for ctx.Err() == nil {
 		err := m.serveLink(ctx, rootCtx, address, &backoff)
--- a/internal/node/linkmanager.go
+++ b/internal/node/linkmanager.go
@@ -213,7 +213,7 @@
 	linkCtx, cancel := context.WithCancel(rootCtx)
 	link := &managedLink{cancel: cancel}
 	m.links[address] = link
-	go m.maintainLink(linkCtx, rootCtx, address, link)
+	go m.runLink(linkCtx, rootCtx, address, link)
 }
 
 // activate marks the link to an address as active if the address is preferred, or if a
--- a/internal/node/linkserver.go
+++ b/internal/node/linkserver.go
@@ -38,8 +38,8 @@
 	return &linkServer{listener: listener, server: drpcserver.New(mux)}, nil
 }
 
-// serve accepts connections until the context is done.
-func (s *linkServer) serve(ctx context.Context) error {
+// run accepts connections until the context is done.
+func (s *linkServer) run(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() })
 	defer stop()
 	for {
@@ -51,11 +51,11 @@
 			time.Sleep(minDialPause) // probably out of file descriptors: wait until connections are closed
 			continue
 		}
-		go s.serveConn(ctx, linkConn{raw})
+		go s.runConn(ctx, linkConn{raw})
 	}
 }
 
-// serveConn serves one connection until it is closed. The dialing side logs the reason.
-func (s *linkServer) serveConn(ctx context.Context, conn linkConn) {
+// runConn serves one connection until it is closed. The dialing side logs the reason.
+func (s *linkServer) runConn(ctx context.Context, conn linkConn) {
 	_ = s.server.ServeOne(ctx, conn)
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -178,8 +178,8 @@
 func becameCold(rec *record, e Endpoint) bool { return e.Warmup > rec.endpoint.Warmup+coldMargin }
 
 // isCold reports whether the announced warm-up is still under way.
-func (rec *record) isCold(now time.Time) bool {
-	return rec.endpoint.Warmup > 0 && now.Sub(rec.lastHeard) < rec.endpoint.Warmup
+func (r *record) isCold(now time.Time) bool {
+	return r.endpoint.Warmup > 0 && now.Sub(r.lastHeard) < r.endpoint.Warmup
 }
 
 // differsForEntries reports whether two states differ in fields that entries must
--- a/internal/soak/entry.go
+++ b/internal/soak/entry.go
@@ -25,36 +25,36 @@
 
 // startEntry starts a new incarnation of an entry, without any state of the
 // previous one.
-func (sim *Sim) startEntry(name, domain string) {
+func (s *Sim) startEntry(name, domain string) {
 	incarnation := uint64(1)
-	if old := sim.entries[name]; old != nil {
+	if old := s.entries[name]; old != nil {
 		incarnation = old.incarnation + 1
 	}
-	e := &instance{sim: sim, name: name, domain: domain, incarnation: incarnation, alive: true}
+	e := &instance{sim: s, name: name, domain: domain, incarnation: incarnation, alive: true}
 	e.member = member.New(member.Config{
 		Name: name, Domain: domain, Incarnation: incarnation,
 		Peers: peer.Config{Self: name, Domain: domain, ProbeTimeout: 700 * time.Millisecond, IsolationDelay: leaseDuration + 2*clockMargin + 2*heartbeatInterval},
 	})
 	e.entry = entry.New(entry.Config{
 		Flow: flow.Config{
-			Self: name, Domain: domain, Incarnation: incarnation, Hasher: sim.hasher(), MaxFlows: 4096, MaxRecords: 4096, MaxWaiting: 256, AsksPerSecond: 2000,
+			Self: name, Domain: domain, Incarnation: incarnation, Hasher: s.hasher(), MaxFlows: 4096, MaxRecords: 4096, MaxWaiting: 256, AsksPerSecond: 2000,
 			PushBytesPerSecond: 20000, AskTimeout: 40 * time.Millisecond, PushRetryInterval: 60 * time.Millisecond,
-			HalfOpenTimeout: 2 * time.Second, SweepInterval: 200 * time.Millisecond, Modulo: sim.config.Modulo,
+			HalfOpenTimeout: 2 * time.Second, SweepInterval: 200 * time.Millisecond, Modulo: s.config.Modulo,
 		},
 		Work: work.Config{
-			Self: name, Domain: domain, Incarnation: incarnation, Hasher: sim.hasher(), MaxRequests: 2000, MaxHeldKeys: 20000,
+			Self: name, Domain: domain, Incarnation: incarnation, Hasher: s.hasher(), MaxRequests: 2000, MaxHeldKeys: 20000,
 			HoldRetryInterval: 40 * time.Millisecond, MinRetriesPerSecond: 5, MaxPacketDelay: 2 * leaseDuration,
 		},
 		OnFlow: func(_ time.Time, v flow.Verdict, p *packet.Packet, answer bool) {
-			sim.countVerdict(v)
-			sim.tracef("%s.%d flow %v bucket %d answer %v: %s %s %s flags %+v", name, incarnation, p.Tuple().Src(), v.Bucket(), answer, v.Action(), v.Reason(), endpointName(v), p.Flags())
+			s.countVerdict(v)
+			s.tracef("%s.%d flow %v bucket %d answer %v: %s %s %s flags %+v", name, incarnation, p.Tuple().Src(), v.Bucket(), answer, v.Action(), v.Reason(), endpointName(v), p.Flags())
 		},
 		OnWork: func(_ time.Time, v work.Event) {
-			sim.report.Reasons["work_"+v.State.String()+"_"+v.Cause.String()]++
-			sim.tracef("%s.%d token %x %s %s endpoint %d", name, incarnation, v.Token, v.State, v.Cause, v.Endpoint)
+			s.report.Reasons["work_"+v.State.String()+"_"+v.Cause.String()]++
+			s.tracef("%s.%d token %x %s %s endpoint %d", name, incarnation, v.Token, v.State, v.Cause, v.Endpoint)
 		},
-	}, sim.now)
-	sim.entries[name] = e
+	}, s.now)
+	s.entries[name] = e
 	e.repeat(tickInterval, e.tick)
 	e.repeat(heartbeatInterval, e.sendHeartbeat)
 	e.repeat(probeInterval, e.sendProbes)
--- a/internal/soak/faults.go
+++ b/internal/soak/faults.go
@@ -16,117 +16,117 @@
 
 // initialChange returns the initial configuration: a template, a team and its
 // two services.
-func (sim *Sim) initialChange() *wire.Change {
+func (s *Sim) initialChange() *wire.Change {
 	team := fmt.Sprintf(`{"template":"portal","services":["booking","desk"],"first":["issue"],`+
-		`"parameters":{"idle":%q,"balance":%g,"request_life":%q}}`, sim.config.IdleTimeout, sim.config.Balance, requestLifetime)
-	objects := append(sim.serviceObjects(), &wire.Object{Kind: "template", Name: "portal", Body: []byte(templateBody)},
+		`"parameters":{"idle":%q,"balance":%g,"request_life":%q}}`, s.config.IdleTimeout, s.config.Balance, requestLifetime)
+	objects := append(s.serviceObjects(), &wire.Object{Kind: "template", Name: "portal", Body: []byte(templateBody)},
 		&wire.Object{Kind: "team", Name: "visa", Body: []byte(team)})
 	return &wire.Change{Id: "first", Author: "soak", Objects: objects}
 }
 
 // serviceObjects returns the desired configuration of both services: "booking"
 // has a flow class, "desk" has two work classes.
-func (sim *Sim) serviceObjects() []*wire.Object {
+func (s *Sim) serviceObjects() []*wire.Object {
 	feed := `{"name":"feed","address":"` + serviceAddr + `","protocol":"tcp","kind":"flow"}`
 	issue := `{"name":"issue","address":"` + issueAddr + `","protocol":"udp","kind":"work"}`
 	batch := `{"name":"batch","address":"` + batchAddr + `","protocol":"udp","kind":"work","repeatable":true}`
 	return []*wire.Object{
-		{Kind: "service", Name: "booking", Body: sim.serviceBody(feed, "b", 9000, sim.config.Endpoints)},
-		{Kind: "service", Name: "desk", Body: sim.serviceBody(issue+","+batch, "k", 9500, workEndpoints)},
+		{Kind: "service", Name: "booking", Body: s.serviceBody(feed, "b", 9000, s.config.Endpoints)},
+		{Kind: "service", Name: "desk", Body: s.serviceBody(issue+","+batch, "k", 9500, workEndpoints)},
 	}
 }
 
 // serviceBody returns the JSON configuration of a service with endpoints on
 // consecutive ports.
-func (sim *Sim) serviceBody(classes, prefix string, port, endpoints int) []byte {
+func (s *Sim) serviceBody(classes, prefix string, port, endpoints int) []byte {
 	body := `{"classes":[` + classes + `],"endpoints":[`
 	for i := range endpoints {
 		if i > 0 {
 			body += ","
 		}
 		name := fmt.Sprint(prefix, i)
-		_, leaving := sim.leavingSince[name]
+		_, leaving := s.leavingSince[name]
 		body += fmt.Sprintf(`{"name":%q,"address":"127.0.0.1:%d","domain":"d%d","slots":%d,"connections":2000,"leaving":%v}`,
-			name, port+i, i%sim.config.Domains, workSlots, leaving)
+			name, port+i, i%s.config.Domains, workSlots, leaving)
 	}
 	return []byte(body + "]}")
 }
 
 // commitServices commits a change to the desired configuration of both services.
-func (sim *Sim) commitServices() {
-	sim.changeCount++
-	sim.commit(&wire.Command{Body: &wire.Command_Change{Change: &wire.Change{
-		Id: fmt.Sprint("change-", sim.changeCount), Author: "soak", Base: sim.state.Revision(),
-		Objects: sim.serviceObjects(),
+func (s *Sim) commitServices() {
+	s.changeCount++
+	s.commit(&wire.Command{Body: &wire.Command_Change{Change: &wire.Change{
+		Id: fmt.Sprint("change-", s.changeCount), Author: "soak", Base: s.state.Revision(),
+		Objects: s.serviceObjects(),
 	}}})
 }
 
 // Drain marks an endpoint of the flow service as leaving, unless half of the
 // endpoints are leaving already.
-func (sim *Sim) Drain(i int) {
+func (s *Sim) Drain(i int) {
 	name := fmt.Sprintf("b%d", i)
-	if len(sim.leavingSince) >= sim.config.Endpoints/2 {
+	if len(s.leavingSince) >= s.config.Endpoints/2 {
 		return
 	}
-	if _, already := sim.leavingSince[name]; !already {
-		sim.leavingSince[name] = sim.now
-		sim.commitServices()
+	if _, already := s.leavingSince[name]; !already {
+		s.leavingSince[name] = s.now
+		s.commitServices()
 	}
 }
 
 // ToggleWorkDrain marks an endpoint of the work service as leaving, or no longer
 // as leaving. The first endpoint always stays.
-func (sim *Sim) ToggleWorkDrain(i int) {
+func (s *Sim) ToggleWorkDrain(i int) {
 	name := fmt.Sprintf("k%d", i%workEndpoints)
-	if _, leaving := sim.leavingSince[name]; leaving {
-		delete(sim.leavingSince, name)
+	if _, leaving := s.leavingSince[name]; leaving {
+		delete(s.leavingSince, name)
 	} else if name != "k0" {
-		sim.leavingSince[name] = sim.now
+		s.leavingSince[name] = s.now
 	}
-	sim.commitServices()
+	s.commitServices()
 }
 
 // Undrain marks an endpoint of the flow service as no longer leaving.
-func (sim *Sim) Undrain(i int) {
+func (s *Sim) Undrain(i int) {
 	name := fmt.Sprintf("b%d", i)
-	if _, leaving := sim.leavingSince[name]; leaving {
-		delete(sim.leavingSince, name)
-		sim.commitServices()
+	if _, leaving := s.leavingSince[name]; leaving {
+		delete(s.leavingSince, name)
+		s.commitServices()
 	}
 }
 
 // Join adds an endpoint to the flow service.
-func (sim *Sim) Join() {
-	sim.config.Endpoints++
-	sim.commitServices()
+func (s *Sim) Join() {
+	s.config.Endpoints++
+	s.commitServices()
 }
 
 // Kill ends an entry without notice to the others.
-func (sim *Sim) Kill(name string) { sim.entries[name].alive = false }
+func (s *Sim) Kill(name string) { s.entries[name].alive = false }
 
 // Restart ends an entry without notice and starts it again without its state.
-func (sim *Sim) Restart(name string) {
-	old := sim.entries[name]
+func (s *Sim) Restart(name string) {
+	old := s.entries[name]
 	old.alive = false
-	sim.startEntry(name, old.domain)
+	s.startEntry(name, old.domain)
 }
 
 // Stop begins a planned stop: the entry hands its state over before it ends.
-func (sim *Sim) Stop(name string) { sim.entries[name].member.AnnounceStop() }
+func (s *Sim) Stop(name string) { s.entries[name].member.AnnounceStop() }
 
 // Pause suspends an entry; it handles messages that arrive meanwhile afterwards.
-func (sim *Sim) Pause(name string, d time.Duration) {
-	sim.entries[name].pausedUntil = sim.now.Add(d)
+func (s *Sim) Pause(name string, d time.Duration) {
+	s.entries[name].pausedUntil = s.now.Add(d)
 }
 
 // SetPartitioned cuts a domain off from the others or reconnects it. The
 // domain of the leader can't be cut off.
-func (sim *Sim) SetPartitioned(domain string, partitioned bool) {
-	if domain == leaderDomain || sim.partitioned[domain] == partitioned {
+func (s *Sim) SetPartitioned(domain string, partitioned bool) {
+	if domain == leaderDomain || s.partitioned[domain] == partitioned {
 		return
 	}
-	sim.partitioned[domain] = partitioned
+	s.partitioned[domain] = partitioned
 	if !partitioned {
-		sim.reconnectedAt[domain] = sim.now
+		s.reconnectedAt[domain] = s.now
 	}
 }
--- a/internal/soak/mix.go
+++ b/internal/soak/mix.go
@@ -8,85 +8,85 @@
 // RunRandomFaults injects one random fault per round. Faults may overlap. At the
 // end it reconnects all domains, restarts the entries that are down, and checks
 // that the fleet converges.
-func (sim *Sim) RunRandomFaults(rounds int) {
+func (s *Sim) RunRandomFaults(rounds int) {
 	for range rounds {
-		sim.injectRandomFault()
-		sim.Run(time.Duration(100+sim.rng.IntN(1500)) * time.Millisecond)
+		s.injectRandomFault()
+		s.Run(time.Duration(100+s.rng.IntN(1500)) * time.Millisecond)
 	}
-	for domain := range sim.config.Domains {
-		sim.SetPartitioned(fmt.Sprintf("d%d", domain), false)
+	for domain := range s.config.Domains {
+		s.SetPartitioned(fmt.Sprintf("d%d", domain), false)
 	}
-	for _, name := range sim.entryNames {
-		if !sim.entries[name].alive {
-			sim.Restart(name)
+	for _, name := range s.entryNames {
+		if !s.entries[name].alive {
+			s.Restart(name)
 		}
 	}
 	const settleTime = 12 * time.Second
-	sim.Run(settleTime)
-	sim.checkConverged()
+	s.Run(settleTime)
+	s.checkConverged()
 }
 
 // injectRandomFault draws a fault and the entry or endpoint that it affects.
-func (sim *Sim) injectRandomFault() {
-	name := sim.entryNames[sim.rng.IntN(len(sim.entryNames))]
-	endpoint := sim.rng.IntN(sim.config.Endpoints)
-	kind := sim.rng.IntN(13)
-	sim.tracef("fault %d instance %s endpoint %d", kind, name, endpoint)
+func (s *Sim) injectRandomFault() {
+	name := s.entryNames[s.rng.IntN(len(s.entryNames))]
+	endpoint := s.rng.IntN(s.config.Endpoints)
+	kind := s.rng.IntN(13)
+	s.tracef("fault %d instance %s endpoint %d", kind, name, endpoint)
 	const maxEndpoints = 12
 	switch kind {
 	case 0, 1:
-		sim.Drain(endpoint)
+		s.Drain(endpoint)
 	case 2, 3:
-		sim.Undrain(endpoint)
+		s.Undrain(endpoint)
 	case 4:
-		if sim.config.Endpoints < maxEndpoints {
-			sim.Join()
+		if s.config.Endpoints < maxEndpoints {
+			s.Join()
 		}
 	case 10:
-		sim.ToggleWorkDrain(endpoint)
+		s.ToggleWorkDrain(endpoint)
 	default:
-		sim.injectEntryFault(kind, name)
+		s.injectEntryFault(kind, name)
 	}
 }
 
 // injectEntryFault injects a fault of an entry or its domain, or recovers some.
-func (sim *Sim) injectEntryFault(kind int, name string) {
+func (s *Sim) injectEntryFault(kind int, name string) {
 	switch kind {
 	case 5:
-		if sim.countAlive() > 5 {
-			sim.Kill(name)
+		if s.countAlive() > 5 {
+			s.Kill(name)
 		}
 	case 6:
-		sim.Restart(name)
+		s.Restart(name)
 	case 7:
-		if sim.countAlive() > 5 && sim.entries[name].alive {
-			sim.Stop(name)
+		if s.countAlive() > 5 && s.entries[name].alive {
+			s.Stop(name)
 		}
 	case 8:
-		sim.Pause(name, time.Duration(sim.rng.IntN(5000))*time.Millisecond)
+		s.Pause(name, time.Duration(s.rng.IntN(5000))*time.Millisecond)
 	case 9:
-		sim.SetPartitioned(sim.entries[name].domain, true)
+		s.SetPartitioned(s.entries[name].domain, true)
 	case 11, 12:
-		sim.recoverSome()
+		s.recoverSome()
 	}
 }
 
 // recoverSome reconnects all domains and restarts each entry that is down with
 // probability 1/2.
-func (sim *Sim) recoverSome() {
-	for domain := range sim.config.Domains {
-		sim.SetPartitioned(fmt.Sprintf("d%d", domain), false)
+func (s *Sim) recoverSome() {
+	for domain := range s.config.Domains {
+		s.SetPartitioned(fmt.Sprintf("d%d", domain), false)
 	}
-	for _, n := range sim.entryNames {
-		if !sim.entries[n].alive && sim.rng.IntN(2) == 0 {
-			sim.Restart(n)
+	for _, n := range s.entryNames {
+		if !s.entries[n].alive && s.rng.IntN(2) == 0 {
+			s.Restart(n)
 		}
 	}
 }
 
-func (sim *Sim) countAlive() int {
+func (s *Sim) countAlive() int {
 	n := 0
-	for _, e := range sim.entries {
+	for _, e := range s.entries {
 		if e.alive {
 			n++
 		}
@@ -97,26 +97,26 @@
 // checkConverged checks that the controller lists no domain as partitioned or not
 // yet recovered, that every entry has a lease and follows the log, and that no
 // entry has counted an invariant violation.
-func (sim *Sim) checkConverged() {
-	if sim.state.Table().Uncertain() {
-		sim.violationf("after recovery: partitioned %v, returned %v, returned with loss %v", sim.state.Table().Partitioned(), sim.state.Table().Returned(), sim.state.Table().ReturnedWithLoss())
+func (s *Sim) checkConverged() {
+	if s.state.Table().Uncertain() {
+		s.violationf("after recovery: partitioned %v, returned %v, returned with loss %v", s.state.Table().Partitioned(), s.state.Table().Returned(), s.state.Table().ReturnedWithLoss())
 	}
-	for _, name := range sim.entryNames {
-		e := sim.entries[name]
+	for _, name := range s.entryNames {
+		e := s.entries[name]
 		if !e.alive {
 			continue
 		}
-		if !sim.now.Before(e.member.LeaseUntil()) {
-			sim.violationf("after recovery: %s has no lease", name)
+		if !s.now.Before(e.member.LeaseUntil()) {
+			s.violationf("after recovery: %s has no lease", name)
 		}
-		if e.member.State().Index() == sim.state.Index() && e.member.State().Checksum() != sim.state.Checksum() {
-			sim.violationf("after recovery: state of %s differs from the leader's at index %d", name, sim.state.Index())
+		if e.member.State().Index() == s.state.Index() && e.member.State().Checksum() != s.state.Checksum() {
+			s.violationf("after recovery: state of %s differs from the leader's at index %d", name, s.state.Index())
 		}
-		if behind := sim.state.Index() - e.member.State().Index(); behind > 20 {
-			sim.violationf("after recovery: %s is %d commands behind", name, behind)
+		if behind := s.state.Index() - e.member.State().Index(); behind > 20 {
+			s.violationf("after recovery: %s is %d commands behind", name, behind)
 		}
 		if violations := e.entry.Flow().Stats().InvariantViolations + e.entry.Work().Stats().InvariantViolations; violations > 0 {
-			sim.violationf("%s counted %d invariant violations", name, violations)
+			s.violationf("%s counted %d invariant violations", name, violations)
 		}
 	}
 }
--- a/internal/soak/requests.go
+++ b/internal/soak/requests.go
@@ -46,16 +46,16 @@
 )
 
 // AddRequester starts a client that sends requests.
-func (sim *Sim) AddRequester(domain string, repeatable bool) {
+func (s *Sim) AddRequester(domain string, repeatable bool) {
 	addr := issueAddr
 	if repeatable {
 		addr = batchAddr
 	}
-	r := &requester{sim: sim, domain: domain, index: len(sim.requesters), addr: netip.MustParseAddrPort(addr), repeatable: repeatable}
-	sim.requesters = append(sim.requesters, r)
+	r := &requester{sim: s, domain: domain, index: len(s.requesters), addr: netip.MustParseAddrPort(addr), repeatable: repeatable}
+	s.requesters = append(s.requesters, r)
 	src := netip.AddrPortFrom(netip.MustParseAddr(fmt.Sprintf("10.1.0.%d", r.index+1)), 4000)
 	r.tuple = packet.NewTuple(src, r.addr, packet.UDP)
-	sim.schedule(time.Duration(sim.rng.IntN(300))*time.Millisecond, r.startRequest)
+	s.schedule(time.Duration(s.rng.IntN(300))*time.Millisecond, r.startRequest)
 }
 
 // startRequest starts a new request.
--- a/internal/soak/sim.go
+++ b/internal/soak/sim.go
@@ -154,61 +154,61 @@
 }
 
 // Run processes all events in the next d of simulated time.
-func (sim *Sim) Run(d time.Duration) {
-	end := sim.now.Add(d)
-	for len(sim.queue) > 0 && !sim.queue[0].at.After(end) {
-		e := heap.Pop(&sim.queue).(event)
-		sim.now = e.at
+func (s *Sim) Run(d time.Duration) {
+	end := s.now.Add(d)
+	for len(s.queue) > 0 && !s.queue[0].at.After(end) {
+		e := heap.Pop(&s.queue).(event)
+		s.now = e.at
 		e.run()
 	}
-	sim.now = end
+	s.now = end
 }
 
 // Report returns the counts and violations so far.
-func (sim *Sim) Report() Report { return sim.report }
+func (s *Sim) Report() Report { return s.report }
 
 // schedule calls run after d of simulated time.
-func (sim *Sim) schedule(d time.Duration, run func()) {
-	sim.seq++
-	heap.Push(&sim.queue, event{sim.now.Add(d), sim.seq, run})
+func (s *Sim) schedule(d time.Duration, run func()) {
+	s.seq++
+	heap.Push(&s.queue, event{s.now.Add(d), s.seq, run})
 }
 
 // scheduleEvery calls run at an interval.
-func (sim *Sim) scheduleEvery(d time.Duration, run func()) {
-	sim.schedule(d, func() {
+func (s *Sim) scheduleEvery(d time.Duration, run func()) {
+	s.schedule(d, func() {
 		run()
-		sim.scheduleEvery(d, run)
+		s.scheduleEvery(d, run)
 	})
 }
 
 // send sends a message from one domain to another. It may be lost or duplicated,
 // and isn't delivered if a partition separates the domains.
-func (sim *Sim) send(from, to string, deliver func()) {
-	if sim.rng.IntN(1000) < lossPerMille {
+func (s *Sim) send(from, to string, deliver func()) {
+	if s.rng.IntN(1000) < lossPerMille {
 		return
 	}
 	times := 1
-	if sim.rng.IntN(1000) < duplicatePerMille {
+	if s.rng.IntN(1000) < duplicatePerMille {
 		times = 2
 	}
-	sim.deliver(from, to, times, deliver)
+	s.deliver(from, to, times, deliver)
 }
 
 // sendWithoutDuplicate is send without duplication. It is used for dispatched
 // requests: a real backend server recognises a duplicate datagram by its CoAP
 // message ID (RFC 7252, section 4.5), but the simulated ones don't, so that they
 // count requests that the fleet dispatches twice.
-func (sim *Sim) sendWithoutDuplicate(from, to string, deliver func()) {
-	if sim.rng.IntN(1000) >= lossPerMille {
-		sim.deliver(from, to, 1, deliver)
+func (s *Sim) sendWithoutDuplicate(from, to string, deliver func()) {
+	if s.rng.IntN(1000) >= lossPerMille {
+		s.deliver(from, to, 1, deliver)
 	}
 }
 
 // deliver schedules the deliveries, each with its own random delay.
-func (sim *Sim) deliver(from, to string, times int, deliver func()) {
+func (s *Sim) deliver(from, to string, times int, deliver func()) {
 	for range times {
-		sim.schedule(time.Millisecond+time.Duration(sim.rng.IntN(4000))*time.Microsecond, func() {
-			if from == to || !sim.partitioned[from] && !sim.partitioned[to] {
+		s.schedule(time.Millisecond+time.Duration(s.rng.IntN(4000))*time.Microsecond, func() {
+			if from == to || !s.partitioned[from] && !s.partitioned[to] {
 				deliver()
 			}
 		})
@@ -216,78 +216,78 @@
 }
 
 // tracef writes a line to the trace, if there is one.
-func (sim *Sim) tracef(format string, args ...any) {
-	if sim.trace != nil {
-		sim.trace(fmt.Sprintf("%v ", sim.now.Sub(time.Unix(1_000_000, 0))) + fmt.Sprintf(format, args...))
+func (s *Sim) tracef(format string, args ...any) {
+	if s.trace != nil {
+		s.trace(fmt.Sprintf("%v ", s.now.Sub(time.Unix(1_000_000, 0))) + fmt.Sprintf(format, args...))
 	}
 }
 
 // violationf records a violation; only the first ones are kept.
-func (sim *Sim) violationf(format string, args ...any) {
+func (s *Sim) violationf(format string, args ...any) {
 	const maxViolations = 20
-	if len(sim.report.Violations) < maxViolations {
-		sim.report.Violations = append(sim.report.Violations, fmt.Sprintf("%v: ", sim.now.Sub(time.Unix(1_000_000, 0)))+fmt.Sprintf(format, args...))
+	if len(s.report.Violations) < maxViolations {
+		s.report.Violations = append(s.report.Violations, fmt.Sprintf("%v: ", s.now.Sub(time.Unix(1_000_000, 0)))+fmt.Sprintf(format, args...))
 	}
 }
 
 // commit appends a command to the log and applies it at once. Replication isn't
 // simulated; it has its own test.
-func (sim *Sim) commit(c *wire.Command) control.Answer {
-	c.UnixNano = sim.now.UnixNano()
+func (s *Sim) commit(c *wire.Command) control.Answer {
+	c.UnixNano = s.now.UnixNano()
 	data, err := proto.Marshal(c)
 	if err != nil {
 		panic(err)
 	}
-	index := sim.state.Index() + 1
-	answer, err := sim.state.Apply(index, data)
+	index := s.state.Index() + 1
+	answer, err := s.state.Apply(index, data)
 	if err != nil {
 		panic(err)
 	}
-	sim.tracef("commit %d %v", index, c)
-	sim.log = append(sim.log, &wire.LogEntry{Index: index, Term: 1, Command: data})
+	s.tracef("commit %d %v", index, c)
+	s.log = append(s.log, &wire.LogEntry{Index: index, Term: 1, Command: data})
 	return answer
 }
 
 // tickController commits the commands that the controller proposes.
-func (sim *Sim) tickController() {
-	for _, c := range sim.controller.Tick(sim.now) {
-		sim.commit(c)
+func (s *Sim) tickController() {
+	for _, c := range s.controller.Tick(s.now) {
+		s.commit(c)
 	}
-	sim.checkActiveIndex()
+	s.checkActiveIndex()
 }
 
 // checkActiveIndex checks that every entry with a valid lease has applied the log
 // up to the active index.
-func (sim *Sim) checkActiveIndex() {
-	for _, name := range sim.entryNames {
-		e := sim.entries[name]
-		if e.alive && sim.now.Before(e.member.LeaseUntil()) && e.member.State().Index() < sim.controller.Active() {
-			sim.violationf("%s holds a lease at index %d, but the active index is %d", name, e.member.State().Index(), sim.controller.Active())
+func (s *Sim) checkActiveIndex() {
+	for _, name := range s.entryNames {
+		e := s.entries[name]
+		if e.alive && s.now.Before(e.member.LeaseUntil()) && e.member.State().Index() < s.controller.Active() {
+			s.violationf("%s holds a lease at index %d, but the active index is %d", name, e.member.State().Index(), s.controller.Active())
 		}
 	}
 }
 
 // feed returns the source of log entries and snapshots for heartbeat replies.
-func (sim *Sim) feed() controller.Feed {
+func (s *Sim) feed() controller.Feed {
 	return controller.Feed{
 		Entries: func(from uint64, _ int) ([]*wire.LogEntry, bool) {
-			if from == 0 || from > uint64(len(sim.log)) {
+			if from == 0 || from > uint64(len(s.log)) {
 				return nil, true
 			}
-			return sim.log[from-1:], true
+			return s.log[from-1:], true
 		},
 		Snapshot: func() (uint64, []byte, error) {
-			data, err := sim.state.Snapshot()
-			return sim.state.Index(), data, err
+			data, err := s.state.Snapshot()
+			return s.state.Index(), data, err
 		},
 	}
 }
 
 // handleHeartbeat answers a heartbeat as the leader does.
-func (sim *Sim) handleHeartbeat(r *wire.BeatRequest) *wire.BeatReply {
-	grant := sim.controller.HandleHeartbeat(sim.now, r, true)
-	reply := &wire.BeatReply{Leader: true, Term: 1, LeaderName: "leader", LeaseNanos: int64(grant.Lease), Active: grant.Active, Commit: sim.state.Index()}
-	if err := sim.feed().Fill(reply, r); err != nil {
+func (s *Sim) handleHeartbeat(r *wire.BeatRequest) *wire.BeatReply {
+	grant := s.controller.HandleHeartbeat(s.now, r, true)
+	reply := &wire.BeatReply{Leader: true, Term: 1, LeaderName: "leader", LeaseNanos: int64(grant.Lease), Active: grant.Active, Commit: s.state.Index()}
+	if err := s.feed().Fill(reply, r); err != nil {
 		panic(err)
 	}
 	return reply
@@ -295,11 +295,11 @@
 
 // reachableEntries returns the running entries that a packet from a domain can
 // reach.
-func (sim *Sim) reachableEntries(domain string) []*instance {
+func (s *Sim) reachableEntries(domain string) []*instance {
 	var entries []*instance
-	for _, name := range sim.entryNames {
-		e := sim.entries[name]
-		if e.alive && (e.domain == domain || !sim.partitioned[domain] && !sim.partitioned[e.domain]) {
+	for _, name := range s.entryNames {
+		e := s.entries[name]
+		if e.alive && (e.domain == domain || !s.partitioned[domain] && !s.partitioned[e.domain]) {
 			entries = append(entries, e)
 		}
 	}
@@ -307,18 +307,18 @@
 }
 
 // workServiceID returns the ID of the work service.
-func (sim *Sim) workServiceID() uint32 { return 2 }
+func (s *Sim) workServiceID() uint32 { return 2 }
 
-func (sim *Sim) hasher() route.Hasher { return route.NewHasher([16]byte{1, 2, 3}) }
+func (s *Sim) hasher() route.Hasher { return route.NewHasher([16]byte{1, 2, 3}) }
 
 // countVerdict adds a decision on a flow packet to the report.
-func (sim *Sim) countVerdict(v flow.Verdict) {
-	sim.report.Reasons[v.Reason().String()]++
+func (s *Sim) countVerdict(v flow.Verdict) {
+	s.report.Reasons[v.Reason().String()]++
 	switch v.Action() {
 	case flow.Relay:
-		sim.report.Relayed++
+		s.report.Relayed++
 	case flow.Forward:
-		sim.report.Forwarded++
+		s.report.Forwarded++
 	}
 }
 
--- a/internal/soak/traffic.go
+++ b/internal/soak/traffic.go
@@ -56,23 +56,23 @@
 
 // deliverToBackend sends a packet from an entry to an endpoint. It checks that a
 // UDP packet goes to the work service and a TCP packet to the flow service.
-func (sim *Sim) deliverToBackend(e *instance, endpoint *route.Endpoint, inner []byte) {
-	b := sim.backends[endpoint.ID()]
+func (s *Sim) deliverToBackend(e *instance, endpoint *route.Endpoint, inner []byte) {
+	b := s.backends[endpoint.ID()]
 	if b == nil {
-		b = &backend{sim: sim, id: endpoint.ID(), name: endpoint.Name(), domain: endpoint.Domain(), addr: endpoint.Addr(), flows: map[packet.Tuple]time.Time{}}
-		sim.backends[endpoint.ID()] = b
-		sim.backendsByAddr[endpoint.Addr()] = b
+		b = &backend{sim: s, id: endpoint.ID(), name: endpoint.Name(), domain: endpoint.Domain(), addr: endpoint.Addr(), flows: map[packet.Tuple]time.Time{}}
+		s.backends[endpoint.ID()] = b
+		s.backendsByAddr[endpoint.Addr()] = b
 	}
 	p := decode(inner, nil)
-	if work := p.Tuple().Transport() == packet.UDP; work != (endpoint.Service() == sim.workServiceID()) {
-		sim.report.Crossed++
-		sim.violationf("a packet for %v was sent to endpoint %s of another service", p.Tuple().Dst(), endpoint.Name())
+	if work := p.Tuple().Transport() == packet.UDP; work != (endpoint.Service() == s.workServiceID()) {
+		s.report.Crossed++
+		s.violationf("a packet for %v was sent to endpoint %s of another service", p.Tuple().Dst(), endpoint.Name())
 	}
 	if p.Tuple().Transport() == packet.UDP {
-		sim.sendWithoutDuplicate(e.domain, b.domain, func() { b.receiveRequest(p) })
+		s.sendWithoutDuplicate(e.domain, b.domain, func() { b.receiveRequest(p) })
 		return
 	}
-	sim.send(e.domain, b.domain, func() { b.receive(inner, e.name) })
+	s.send(e.domain, b.domain, func() { b.receive(inner, e.name) })
 }
 
 // receive handles a TCP packet that came through the entry via.
@@ -120,11 +120,11 @@
 
 // checkFlowEndpoint checks that a packet of an established flow reaches the
 // endpoint that the flow is established with.
-func (sim *Sim) checkFlowEndpoint(p *packet.Packet, b *backend, via string) {
-	for _, c := range sim.clients {
+func (s *Sim) checkFlowEndpoint(p *packet.Packet, b *backend, via string) {
+	for _, c := range s.clients {
 		if c.tuple == p.Tuple() && c.state == clientOpen && c.endpoint != b.id {
-			sim.report.Split++
-			sim.violationf("a packet of flow %v on endpoint %d reached endpoint %d via %s", p.Tuple().Src(), c.endpoint, b.id, via)
+			s.report.Split++
+			s.violationf("a packet of flow %v on endpoint %d reached endpoint %d via %s", p.Tuple().Src(), c.endpoint, b.id, via)
 		}
 	}
 }
@@ -153,10 +153,10 @@
 }
 
 // AddClient starts a client that opens flows one after the other.
-func (sim *Sim) AddClient(domain string) {
-	c := &client{sim: sim, domain: domain, index: len(sim.clients), port: 1000}
-	sim.clients = append(sim.clients, c)
-	sim.schedule(time.Duration(sim.rng.IntN(500))*time.Millisecond, c.openFlow)
+func (s *Sim) AddClient(domain string) {
+	c := &client{sim: s, domain: domain, index: len(s.clients), port: 1000}
+	s.clients = append(s.clients, c)
+	s.schedule(time.Duration(s.rng.IntN(500))*time.Millisecond, c.openFlow)
 }
 
 // openFlow starts a new flow from the next port.
@@ -222,16 +222,16 @@
 }
 
 // deliverToClient sends an answer to the client whose tuple it carries.
-func (sim *Sim) deliverToClient(domain string, inner []byte) {
+func (s *Sim) deliverToClient(domain string, inner []byte) {
 	p := decode(inner, nil)
-	for _, c := range sim.clients {
+	for _, c := range s.clients {
 		if c.tuple == p.Tuple().Reverse() {
-			sim.send(domain, c.domain, func() { c.receive(p) })
+			s.send(domain, c.domain, func() { c.receive(p) })
 		}
 	}
-	for _, r := range sim.requesters {
+	for _, r := range s.requesters {
 		if r.tuple == p.Tuple().Reverse() {
-			sim.send(domain, r.domain, func() { r.receive(p) })
+			s.send(domain, r.domain, func() { r.receive(p) })
 		}
 	}
 }
--- a/internal/standin/backend.go
+++ b/internal/standin/backend.go
@@ -93,13 +93,13 @@
 	mux.HandleFunc("/health", b.health)
 	b.config.HealthAddr = netip.MustParseAddrPort(listener.Addr().String())
 	b.http = &http.Server{Handler: mux, ReadHeaderTimeout: time.Second}
-	go b.serveHealth(listener)
-	go b.serve()
+	go b.runHealth(listener)
+	go b.run()
 	return b, nil
 }
 
-// serveHealth answers health checks until the server is closed.
-func (b *Backend) serveHealth(listener net.Listener) { _ = b.http.Serve(listener) }
+// runHealth answers health checks until the server is closed.
+func (b *Backend) runHealth(listener net.Listener) { _ = b.http.Serve(listener) }
 
 // Name returns the name of the endpoint.
 func (b *Backend) Name() string { return b.config.Name }
@@ -149,7 +149,7 @@
 	_ = json.NewEncoder(w).Encode(answer)
 }
 
-func (b *Backend) serve() {
+func (b *Backend) run() {
 	var d packet.Decoder
 	var p packet.Packet
 	buffer := make([]byte, maxPacketBytes)
--- a/internal/standin/fabric.go
+++ b/internal/standin/fabric.go
@@ -49,7 +49,7 @@
 		conn: conn, encoder: encoder, rng: rand.New(rand.NewPCG(seed, 5)),
 		entries: map[string]netip.AddrPort{}, hidden: map[string]bool{}, receivers: map[netip.AddrPort]func(*packet.Packet){},
 	}
-	go f.serve()
+	go f.run()
 	return f, nil
 }
 
@@ -164,7 +164,7 @@
 	_, _ = f.conn.WriteToUDPAddrPort(f.encoder.AppendPlain(nil, inner), to)
 }
 
-func (f *Fabric) serve() {
+func (f *Fabric) run() {
 	var d packet.Decoder
 	var p packet.Packet
 	buffer := make([]byte, maxPacketBytes)
