--- a/internal/node/suspicions_test.go
+++ b/internal/node/suspicions_test.go
@@ -28,7 +28,7 @@
 		}})
 		other.steerer.Learn(other.config.Now(), "c", reports)
 		other.steerer.Decide(other.config.Now(), steer.Packet{
-			Src: netip.MustParseAddrPort("127.0.0.3:1"), Dst: netip.MustParseAddrPort("127.0.0.4:1"), Flags: steer.Ack, Tag: steer.Tag("i-1"), Len: 1,
+			Src: netip.MustParseAddrPort("127.0.0.3:1"), Dst: netip.MustParseAddrPort("127.0.0.4:1"), Flags: steer.ACK, Tag: steer.Tag("i-1"), Len: 1,
 		}) // opens a flow on the endpoint, so that it is probed
 		other.mu.Unlock()
 		for _, r := range fleet {
--- a/internal/steer/bench_test.go
+++ b/internal/steer/bench_test.go
@@ -50,7 +50,7 @@
 			r := s.routes[bookingAddr]
 			b.ReportAllocs()
 			for n := 0; b.Loop(); n++ {
-				s.choose(start, r, fleetSynPacket(n), nil, nil)
+				s.choose(start, r, fleetSYNPacket(n), nil, nil)
 			}
 		})
 	}
--- a/internal/steer/cold_test.go
+++ b/internal/steer/cold_test.go
@@ -43,7 +43,7 @@
 			s := fleet(4)
 			for n := range flows {
 				at := start.Add(time.Duration(rand.New(rand.NewPCG(uint64(n), 1)).Int64N(int64(coldFor))))
-				d := s.Decide(at, fleetSynPacket(n))
+				d := s.Decide(at, fleetSYNPacket(n))
 				Expect(d.Action).To(Equal(Forward))
 				placed[d.ID]++
 			}
@@ -61,7 +61,7 @@
 			}
 			placed := 0
 			for n := range 4000 {
-				if d := s.Decide(at, fleetSynPacket(n)); d.Number >= 200 {
+				if d := s.Decide(at, fleetSYNPacket(n)); d.Number >= 200 {
 					placed++
 				}
 			}
@@ -73,24 +73,24 @@
 		s := New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 10_000})
 		setColdRate(s, 1, 4)
 		s.Learn(start, "c1", reports(coldReport(1, "plateau"), coldReport(2, "plateau"), fleetReport(3, "almadies")))
-		d := s.Decide(start, fleetSynPacket(1))
+		d := s.Decide(start, fleetSYNPacket(1))
 		Expect(d.Number).To(Equal(uint64(3)))
 		s.Learn(start, "c1", reports(func() *wire.EndpointReport {
 			m := fleetReport(3, "almadies")
 			m.Sequence, m.Leaving = 2, true
 			return m
 		}()))
-		d = s.Decide(start, fleetSynPacket(2))
+		d = s.Decide(start, fleetSYNPacket(2))
 		Expect(d.Action).To(Equal(Reset))
 		Expect(d.Reason).To(Equal(Cold))
-		Expect(s.Explain(start, fleetSynPacket(2).Src, bookingAddr).Candidates[0].Verdict).To(ContainSubstring("warm in 2s"))
+		Expect(s.Explain(start, fleetSYNPacket(2).Src, bookingAddr).Candidates[0].Verdict).To(ContainSubstring("warm in 2s"))
 	})
 
 	It("get no retransmission of a SYN that was sent before they became cold again", func() {
 		s := New(Config{Domain: "plateau", MaxFlowAge: time.Minute, MaxFlows: 10_000})
 		setColdRate(s, 1, 4)
 		s.Learn(start, "c1", reports(fleetReport(1, "plateau")))
-		p := fleetSynPacket(1)
+		p := fleetSYNPacket(1)
 		Expect(s.Decide(start, p).Number).To(Equal(uint64(1)))
 		again := coldReport(1, "plateau")
 		again.Sequence = 2
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -36,7 +36,7 @@
 	placedIn := func(flows int) map[string]int {
 		counts := map[string]int{}
 		for n := range flows {
-			p := fleetSynPacket(n)
+			p := fleetSYNPacket(n)
 			if d := s.Decide(start, p); d.Action == Forward {
 				counts[domainOf(d)]++
 			}
@@ -59,10 +59,10 @@
 	})
 
 	It("keeps its established flows, and gets new ones after the evacuation ends", func() {
-		syn := fleetSynPacket(1)
+		syn := fleetSYNPacket(1)
 		d := s.Decide(start, syn)
 		s.SetEvacuations(setOf(4, "plateau"))
-		later := s.Decide(start.Add(time.Second), Packet{Src: syn.Src, Dst: syn.Dst, Flags: Ack, Seq: 8, Ack: 2, Tag: d.Tag, Len: 10})
+		later := s.Decide(start.Add(time.Second), Packet{Src: syn.Src, Dst: syn.Dst, Flags: ACK, Seq: 8, Ack: 2, Tag: d.Tag, Len: 10})
 		Expect(later.Action).To(Equal(Forward))
 		Expect(later.ID).To(Equal(d.ID))
 		s.SetEvacuations(setOf(6))
@@ -83,7 +83,7 @@
 	})
 
 	It("gets no retransmitted SYN", func() {
-		syn := fleetSynPacket(1)
+		syn := fleetSYNPacket(1)
 		s.Decide(start, syn)
 		s.SetEvacuations(setOf(4, "plateau"))
 		syn.Retransmission = 1
@@ -91,7 +91,7 @@
 	})
 
 	It("gets no retransmitted SYN if all are evacuated, and the flow, which may be established, is not reset", func() {
-		syn := fleetSynPacket(1)
+		syn := fleetSYNPacket(1)
 		s.Decide(start, syn)
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
 		syn.Retransmission = 1
@@ -102,7 +102,7 @@
 
 	It("has new flows reset if all are evacuated, and explains why", func() {
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
-		syn := fleetSynPacket(1)
+		syn := fleetSYNPacket(1)
 		d := s.Decide(start, syn)
 		Expect(d.Action).To(Equal(Reset))
 		Expect(d.Reason).To(Equal(Evacuated))
@@ -148,7 +148,7 @@
 					}
 				default:
 					p := Packet{
-						Src: netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, 0, 1}), uint16(1+n)), Dst: bookingAddr, Flags: Syn, Seq: 7,
+						Src: netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, 0, 1}), uint16(1+n)), Dst: bookingAddr, Flags: SYN, Seq: 7,
 						Retransmission: rapid.IntRange(0, 2).Draw(t, "copy"),
 					}
 					d := s.Decide(start, p)
--- a/internal/steer/explain.go
+++ b/internal/steer/explain.go
@@ -39,7 +39,7 @@
 		d.Parameter = r.describe()
 	}
 	considered := map[*backend]bool{}
-	reason := s.explainFlow(now, d, r, Packet{Src: src, Dst: dst, Flags: Syn}, considered)
+	reason := s.explainFlow(now, d, r, Packet{Src: src, Dst: dst, Flags: SYN}, considered)
 	d.Reason, d.NextStep = reason.String(), nextSteps[reason]
 	if r != nil {
 		d.Candidates = s.candidates(now, r, d, considered)
--- a/internal/steer/flow.go
+++ b/internal/steer/flow.go
@@ -77,10 +77,10 @@
 	if !f.established && b != nil {
 		s.establish(now, f, b)
 	}
-	if p.Flags.Has(Fin) {
+	if p.Flags.Has(FIN) {
 		s.noteResponseSize(now, f, p.Ack)
 	}
-	if p.Flags.Has(Fin) || p.Flags.Has(Rst) {
+	if p.Flags.Has(FIN) || p.Flags.Has(RST) {
 		s.removeFlow(f)
 		return
 	}
--- a/internal/steer/flow_test.go
+++ b/internal/steer/flow_test.go
@@ -34,7 +34,7 @@
 		s.Decide(start.Add(defaultIdleTimeout+time.Second), synPacket(9000, 7, 0))
 		Expect(s.Counts(start).Flows).To(Equal(1))
 		p := flowPacket(9000, Tag("booking-1"), 8, 1, 0)
-		p.Flags |= Fin
+		p.Flags |= FIN
 		s.Decide(start.Add(defaultIdleTimeout+time.Second), p)
 		Expect(s.Counts(start).Flows).To(BeZero())
 		for _, b := range s.byID {
--- a/internal/steer/outage_test.go
+++ b/internal/steer/outage_test.go
@@ -17,19 +17,19 @@
 			answered, firstTry = append(answered, 0), append(firstTry, 0)
 			for i := range perSecond {
 				now := begin.Add(time.Duration(second)*time.Second + time.Duration(i)*time.Second/perSecond)
-				p := fleetSynPacket(second*perSecond + i)
+				p := fleetSYNPacket(second*perSecond + i)
 				for retransmissions, after := range []time.Duration{0, 200 * time.Millisecond, 600 * time.Millisecond} {
 					p.Retransmission = retransmissions
 					d := s.Decide(now.Add(after), p)
 					if d.Action != Forward || cut(s.byID[d.ID].Domain) {
-						s.Decide(now.Add(after+openTimeout+sweepInterval), fleetSynPacket(10_000)) // lets the sweep run
+						s.Decide(now.Add(after+openTimeout+sweepInterval), fleetSYNPacket(10_000)) // lets the sweep run
 						continue
 					}
 					answered[second]++
 					if retransmissions == 0 {
 						firstTry[second]++
 					}
-					s.Decide(now.Add(after+time.Millisecond), Packet{Src: p.Src, Dst: p.Dst, Flags: Ack, Seq: p.Seq + 1, Ack: 2, Tag: d.Tag})
+					s.Decide(now.Add(after+time.Millisecond), Packet{Src: p.Src, Dst: p.Dst, Flags: ACK, Seq: p.Seq + 1, Ack: 2, Tag: d.Tag})
 					break
 				}
 			}
@@ -76,7 +76,7 @@
 		healed := start.Add(10 * time.Second)
 		s.NoteLeader(healed)
 		for n := range 60 {
-			d := s.Decide(healed, fleetSynPacket(1000+n))
+			d := s.Decide(healed, fleetSYNPacket(1000+n))
 			Expect(s.byID[d.ID].Domain).NotTo(Equal("plateau"))
 		}
 	})
@@ -84,7 +84,7 @@
 	It("gets no new flow if all are evacuated, even at a cut-off entry", func() {
 		s := fleetSteerer(threeDomains(40))
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
-		d := s.Decide(start.Add(time.Minute), fleetSynPacket(1))
+		d := s.Decide(start.Add(time.Minute), fleetSYNPacket(1))
 		Expect(d.Action).To(Equal(Reset))
 		Expect(d.Reason).To(Equal(Evacuated))
 	})
--- a/internal/steer/outlier_test.go
+++ b/internal/steer/outlier_test.go
@@ -86,8 +86,8 @@
 func (f *outlierFleet) request(s *Steerer) {
 	f.ports++
 	src := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(f.random.IntN(250)), byte(f.random.IntN(250))}), f.ports)
-	d := s.Decide(f.now, Packet{Src: src, Dst: bookingAddr, Flags: Syn, Seq: 7})
-	p := Packet{Src: src, Dst: bookingAddr, Flags: Ack, Seq: 8, Ack: 1, Tag: d.Tag, Len: 100}
+	d := s.Decide(f.now, Packet{Src: src, Dst: bookingAddr, Flags: SYN, Seq: 7})
+	p := Packet{Src: src, Dst: bookingAddr, Flags: ACK, Seq: 8, Ack: 1, Tag: d.Tag, Len: 100}
 	s.Decide(f.now, p)
 	second := int(f.now.Sub(start) / time.Second)
 	for len(f.hangingRequests) <= second {
@@ -202,10 +202,10 @@
 	It("keeps established flows on an ejected endpoint", func() {
 		f := newOutlierFleet(2, 30)
 		s := f.entries[0]
-		p := fleetSynPacket(1)
+		p := fleetSYNPacket(1)
 		d := s.Decide(start, p)
 		Expect(s.EjectOutlier(start, d.ID)).To(BeTrue())
-		later := s.Decide(start.Add(time.Millisecond), Packet{Src: p.Src, Dst: p.Dst, Flags: Ack, Seq: 8, Ack: 1, Tag: d.Tag, Len: 10})
+		later := s.Decide(start.Add(time.Millisecond), Packet{Src: p.Src, Dst: p.Dst, Flags: ACK, Seq: 8, Ack: 1, Tag: d.Tag, Len: 10})
 		Expect(later.Action).To(Equal(Forward))
 		Expect(later.ID).To(Equal(d.ID))
 	})
--- a/internal/steer/packet.go
+++ b/internal/steer/packet.go
@@ -8,10 +8,10 @@
 
 // TCP flags that decisions depend on.
 const (
-	Syn Flags = 1 << iota
-	Ack
-	Fin
-	Rst
+	SYN Flags = 1 << iota
+	ACK
+	FIN
+	RST
 )
 
 type (
@@ -38,7 +38,7 @@
 func (f Flags) Has(flags Flags) bool { return f&flags == flags }
 
 // Opens reports whether the packet is a SYN that opens a flow.
-func (p Packet) Opens() bool { return p.Flags == Syn }
+func (p Packet) Opens() bool { return p.Flags == SYN }
 
 // hash returns a hash that is the same for all retransmissions of a SYN.
 func (p Packet) hash() uint64 {
--- a/internal/steer/pool_test.go
+++ b/internal/steer/pool_test.go
@@ -44,10 +44,10 @@
 	return s
 }
 
-// fleetSynPacket returns the SYN of the n-th of many flows.
-func fleetSynPacket(n int) Packet {
+// fleetSYNPacket returns the SYN of the n-th of many flows.
+func fleetSYNPacket(n int) Packet {
 	client := netip.AddrPortFrom(netip.AddrFrom4([4]byte{100, 64, byte(n >> 16), byte(n >> 8)}), uint16(1000+n&255))
-	return Packet{Src: client, Dst: bookingAddr, Flags: Syn, Seq: 7}
+	return Packet{Src: client, Dst: bookingAddr, Flags: SYN, Seq: 7}
 }
 
 var _ = Describe("placement over a large service", func() {
@@ -56,11 +56,11 @@
 	placements := func(s *Steerer, flows int) map[string]int {
 		counts := map[string]int{}
 		for n := range flows {
-			p := fleetSynPacket(n)
+			p := fleetSYNPacket(n)
 			d := s.Decide(start, p)
 			ExpectWithOffset(1, d.Reason).To(Equal(Placed))
 			counts[d.ID]++
-			p.Flags, p.Tag, p.Seq = Rst, d.Tag, 8
+			p.Flags, p.Tag, p.Seq = RST, d.Tag, 8
 			s.Decide(start, p)
 		}
 		return counts
@@ -95,7 +95,7 @@
 		s := fleetSteerer(irregularFleet(480))
 		busy, idle := 0, 0
 		for n := range 60 { // of about 96 in the own failure domain
-			d := s.Decide(start, fleetSynPacket(n))
+			d := s.Decide(start, fleetSYNPacket(n))
 			if s.byID[d.ID].flows > 1 {
 				busy++
 			} else {
@@ -117,7 +117,7 @@
 			}
 		}
 		for n := range 500 {
-			d := s.Decide(start, fleetSynPacket(n))
+			d := s.Decide(start, fleetSYNPacket(n))
 			Expect(silent[d.ID]).To(BeFalse())
 		}
 	})
@@ -128,12 +128,12 @@
 		for _, id := range localIDs(fleet) {
 			s.byID[id].silent, s.byID[id].silentAt = true, start
 		}
-		d := s.Decide(start, fleetSynPacket(1))
+		d := s.Decide(start, fleetSYNPacket(1))
 		Expect(s.byID[d.ID].Domain).NotTo(Equal("plateau"))
 		for _, id := range localIDs(fleet) {
 			s.byID[id].silent = false
 		}
-		d = s.Decide(start, fleetSynPacket(2))
+		d = s.Decide(start, fleetSYNPacket(2))
 		Expect(s.byID[d.ID].Domain).To(Equal("plateau"))
 	})
 
@@ -156,7 +156,7 @@
 		Expect(s.pools["booking"][remoteTier]).To(BeEmpty())
 		Expect(s.pools["documents"][localTier]).To(HaveLen(120))
 		for n := range 500 {
-			b := s.byID[s.Decide(start, fleetSynPacket(n)).ID]
+			b := s.byID[s.Decide(start, fleetSYNPacket(n)).ID]
 			Expect(b.acceptsFlows()).To(BeTrue())
 			Expect(b.Service).To(Equal("booking"))
 		}
@@ -166,11 +166,11 @@
 		fleet := irregularFleet(480)
 		one, other := fleetSteerer(fleet), fleetSteerer(fleet)
 		for n := range 50 {
-			first, second := one.Decide(start, fleetSynPacket(n)), other.Decide(start, fleetSynPacket(n))
+			first, second := one.Decide(start, fleetSYNPacket(n)), other.Decide(start, fleetSYNPacket(n))
 			Expect(first.ID).To(Equal(second.ID))
 			for _, s := range []*Steerer{one, other} {
-				p := fleetSynPacket(n)
-				p.Flags, p.Tag, p.Seq = Rst, first.Tag, 8
+				p := fleetSYNPacket(n)
+				p.Flags, p.Tag, p.Seq = RST, first.Tag, 8
 				s.Decide(start, p)
 			}
 		}
@@ -178,7 +178,7 @@
 
 	It("matches its explanation, which says which endpoints were not looked at", func() {
 		s := fleetSteerer(irregularFleet(480))
-		p := fleetSynPacket(5)
+		p := fleetSYNPacket(5)
 		p.Seq = 0 // as Explain assumes
 		d := s.Explain(start, p.Src, p.Dst)
 		Expect(s.Decide(start, p).ID).To(Equal(d.Endpoint))
@@ -194,7 +194,7 @@
 
 	It("does not allocate", func() {
 		s := fleetSteerer(irregularFleet(480))
-		r, p := s.routes[bookingAddr], fleetSynPacket(1)
+		r, p := s.routes[bookingAddr], fleetSYNPacket(1)
 		Expect(averageAllocs(func() { s.choose(start, r, p, nil, nil) })).To(BeZero())
 	})
 })
--- a/internal/steer/reachability.go
+++ b/internal/steer/reachability.go
@@ -161,7 +161,7 @@
 // decideUnreachable decides on a packet of a flow whose endpoint is out of reach. If the last
 // miss is too old, the endpoint is probed again before the flow is reset.
 func (s *Steerer) decideUnreachable(now time.Time, b *backend, p Packet) Decision {
-	if !b.reach.replaced && now.Sub(b.reach.lastMissAt) > missValidity || p.Flags.Has(Rst) {
+	if !b.reach.replaced && now.Sub(b.reach.lastMissAt) > missValidity || p.Flags.Has(RST) {
 		b.reach.nextProbeAt = time.Time{}
 		s.probe(now, b, OutOfReach)
 		return b.forward(Steered)
--- a/internal/steer/response_size_test.go
+++ b/internal/steer/response_size_test.go
@@ -28,14 +28,14 @@
 	request := func(bytes func(id string) uint32) {
 		n++
 		now = now.Add(100 * time.Millisecond)
-		p := fleetSynPacket(n)
+		p := fleetSYNPacket(n)
 		d := s.Decide(now, p)
-		p = Packet{Src: p.Src, Dst: p.Dst, Flags: Ack, Seq: 8, Ack: 5001, Tag: d.Tag, Len: 100}
+		p = Packet{Src: p.Src, Dst: p.Dst, Flags: ACK, Seq: 8, Ack: 5001, Tag: d.Tag, Len: 100}
 		s.Decide(now.Add(time.Millisecond), p)
 		size := bytes(d.ID)
 		p.Seq, p.Len, p.Ack = 108, 0, 5001+size
 		s.Decide(now.Add(60*time.Millisecond), p)
-		p.Flags = Ack | Fin
+		p.Flags = ACK | FIN
 		s.Decide(now.Add(61*time.Millisecond), p)
 	}
 
--- a/internal/steer/steer.go
+++ b/internal/steer/steer.go
@@ -118,7 +118,7 @@
 		s.nextSweep = now.Add(sweepInterval)
 		s.sweep(now)
 	}
-	if p.Flags.Has(Syn) {
+	if p.Flags.Has(SYN) {
 		if !p.Opens() || p.Len > 0 {
 			return Decision{Reason: Malformed}
 		}
@@ -149,7 +149,7 @@
 	if b == nil {
 		return Decision{Reason: UnknownTag}
 	}
-	if b.Gone && now.Sub(b.goneAt) > goneGracePeriod && !p.Flags.Has(Rst) {
+	if b.Gone && now.Sub(b.goneAt) > goneGracePeriod && !p.Flags.Has(RST) {
 		s.removeFlow(f)
 		return Decision{Action: Reset, Reason: EndpointGone, Seq: p.Ack, ID: b.ID}
 	}
--- a/internal/steer/steer_test.go
+++ b/internal/steer/steer_test.go
@@ -67,13 +67,13 @@
 // synPacket returns the SYN of a flow to booking, or its n-th retransmission.
 func synPacket(port uint16, seq uint32, retransmissions int) Packet {
 	client := netip.AddrPortFrom(netip.MustParseAddr("100.64.0.7"), port)
-	return Packet{Src: client, Dst: bookingAddr, Flags: Syn, Seq: seq, Retransmission: retransmissions}
+	return Packet{Src: client, Dst: bookingAddr, Flags: SYN, Seq: seq, Retransmission: retransmissions}
 }
 
 // flowPacket returns a later packet of the flow that synPacket opens.
 func flowPacket(port uint16, tag uint32, seq, ack uint32, length int) Packet {
 	p := synPacket(port, seq, 0)
-	p.Flags, p.Tag, p.Ack, p.Len = Ack, tag, ack, length
+	p.Flags, p.Tag, p.Ack, p.Len = ACK, tag, ack, length
 	return p
 }
 
@@ -148,7 +148,7 @@
 
 	It("drops malformed packets", func() {
 		p := synPacket(1000, 7, 0)
-		p.Flags = Syn | Ack
+		p.Flags = SYN | ACK
 		Expect(s.Decide(start, p).Reason).To(Equal(Malformed))
 		p = synPacket(1000, 7, 0)
 		p.Len = 5
