--- a/internal/explain/explain.go
+++ b/internal/explain/explain.go
@@ -51,15 +51,15 @@
 // flowNextSteps says what an operator can do about each reason. Reasons that are
 // not listed need no action.
 var flowNextSteps = map[flow.Reason]string{
-	flow.UnknownService: "accept a service with this address, or correct the caller's address",
+	flow.UnknownService: "accept a service with this address, or correct the address that the client uses",
 	flow.NoEndpoint:     "the service has no endpoint that takes new work: add one, or end a drain",
-	flow.NoLease:        "this entry has no lease: see `oxbowsaddle why lag`; another entry serves the caller",
-	flow.NobodyKnows:    "both entries with the flow's record failed; the caller was reset and can open a new flow",
+	flow.NoLease:        "this entry has no lease: see `oxbowsaddle why lag`; another entry serves the client",
+	flow.NobodyKnows:    "both entries with the flow's record failed; the client was reset and can open another flow",
 	flow.WithheldCut:    "a partitioned failure domain may hold this flow: restore the network between the domains",
 	flow.AskLimit:       "raise limits.asks_a_second or limits.waiting if this repeats",
 	flow.AskTimeout:     "a peer did not answer: check its load and the network between the entries",
 	flow.RecordLimit:    "raise limits.records, or drain fewer backend servers at a time",
-	flow.OwnerChanging:  "nothing: an entry is joining or leaving, and the caller retransmits its SYN",
+	flow.OwnerChanging:  "nothing: an entry is joining or leaving, and the client retransmits its SYN",
 	flow.HopLimit:       "entries disagree on which entries are live: this ends within a lease, else see `why lag`",
 	flow.WrongEndpoint:  "a backend server answers for a flow of another one: check its addresses",
 	flow.UnknownSource:  "an answer came from an address without an endpoint: check the backend server's tunnel address",
@@ -90,7 +90,7 @@
 	work.BothHoldersLost:    "owner and second holder failed within seconds: requests are refused as unknown for request_life",
 	work.CutOff:             "the failure domain is partitioned and runs only repeatable requests",
 	work.LeaseLost:          "the owner was paused or partitioned: see `oxbowsaddle why lag`",
-	work.AnswerGone:         "the caller must restart the block-wise transfer",
+	work.AnswerGone:         "the client must restart the block-wise transfer",
 }
 
 // WorkDecision returns the record of a state change of a request. For index and active
