--- a/internal/instance/control.go
+++ b/internal/instance/control.go
@@ -29,7 +29,7 @@
 		err   error
 	}
 
-	// controlLoop owns the entry's control state. Its methods, except stop, callHeartbeat
+	// controlLoop owns the entry's control state. Its methods, except stop, runHeartbeat
 	// and runPlatform, run on the control goroutine.
 	controlLoop struct {
 		instance       *Instance
