--- a/internal/attachment/attachment_test.go
+++ b/internal/attachment/attachment_test.go
@@ -68,7 +68,7 @@
 	return n
 }
 
-var _ = ginkgo.Describe("the links of entries", func() {
+var _ = ginkgo.Describe("the links", func() {
 	for _, size := range []struct{ entries, instances, domains, losses int }{
 		{60, 6, 3, 2}, {1000, 25, 5, 2}, {6800, 96, 16, 2},
 	} {
--- a/internal/directory/fleet_test.go
+++ b/internal/directory/fleet_test.go
@@ -133,7 +133,7 @@
 
 func (f *fleet) stop(inst *instance) { inst.d = nil }
 
-// wipe replaces an instance's disk by an empty one, and so changes its id.
+// wipe replaces an instance's disk by an empty one, and so changes its ID.
 func (f *fleet) wipe(inst *instance) {
 	f.stop(inst)
 	inst.diskGeneration++
@@ -340,7 +340,7 @@
 
 var _ = Describe("control instances under random faults", func() {
 	for _, size := range []struct{ instances, maxLosses int }{{3, 1}, {4, 1}, {5, 2}, {6, 2}} {
-		It(fmt.Sprintf("lose no acknowledged change and return no outdated one: %d instances, %d disks lost at once", size.instances, size.maxLosses), func() {
+		It(fmt.Sprintf("lose no acknowledged change and return no outdated one, with %d instances and up to %d disks lost at once", size.instances, size.maxLosses), func() {
 			for seed := *firstSeed; seed < *firstSeed+*runs; seed++ {
 				f := newFleet(seed, size.instances, size.maxLosses)
 				f.run(4000)
--- a/internal/document/document_test.go
+++ b/internal/document/document_test.go
@@ -37,14 +37,14 @@
 		Expect(back).To(Equal(d))
 	})
 
-	DescribeTable("is rejected with the location of each fault", func(mutate func(*Config), fault string) {
+	DescribeTable("is rejected, with the location of the fault, if it has", func(mutate func(*Config), fault string) {
 		c := valid()
 		mutate(&c)
 		d, faults := New(c)
 		Expect(d).To(BeNil())
 		Expect(faults).To(ContainElement(ContainSubstring(fault)))
 	},
-		Entry("unknown service", func(c *Config) { c.Routes[1].Shares[0].Service = "other" }, `routes[1] "r2": service "other" is not known`),
+		Entry("an unknown service", func(c *Config) { c.Routes[1].Shares[0].Service = "other" }, `routes[1] "r2": service "other" is not known`),
 		Entry("the same address twice", func(c *Config) { c.Routes[1].Addr = c.Routes[0].Addr }, `also belongs to route "r1"`),
 		Entry("no timeout", func(c *Config) { c.Routes[0].Timeout = 0 }, `routes[0] "r1": timeout`),
 		Entry("no weight", func(c *Config) { c.Routes[0].Shares[1].Weight = 0 }, `service "documents" has no weight`),
--- a/internal/node/blackhole_test.go
+++ b/internal/node/blackhole_test.go
@@ -135,14 +135,14 @@
 	for _, direction := range []struct {
 		name                  string
 		dropWrites, dropReads bool
-	}{{"both directions", true, true}, {"from the dialing side", true, false}, {"to the dialing side", false, true}} {
-		ginkgo.It("between an entry and the control instances are detected and replaced: "+direction.name, func() {
+	}{{"in both directions", true, true}, {"from the dialing side", true, false}, {"to the dialing side", false, true}} {
+		ginkgo.It("between an entry and the control instances are detected and replaced, if data is dropped "+direction.name, func() {
 			links.blackhole(everyConn, direction.dropWrites, direction.dropReads)
 			order()
 			expectApplied()
 		})
 
-		ginkgo.It("among control instances are detected and replaced: "+direction.name, func() {
+		ginkgo.It("among control instances are detected and replaced, if data is dropped "+direction.name, func() {
 			peers.blackhole(everyConn, direction.dropWrites, direction.dropReads)
 			order()
 			expectApplied()
--- a/internal/registry/incarnation_test.go
+++ b/internal/registry/incarnation_test.go
@@ -11,7 +11,7 @@
 	"oxbowsaddle/internal/wire"
 )
 
-var _ = Describe("incarnations that share an id", func() {
+var _ = Describe("incarnations that share an ID", func() {
 	var r *Registry
 	first, second := Incarnation("a", 1000), Incarnation("a", 2000)
 	BeforeEach(func() { r = New(Config{HeartbeatPeriod: heartbeatPeriod}, start) })
@@ -47,7 +47,7 @@
 		Expect(known(r, Incarnation("a", 3000)).Gone).To(BeFalse())
 	})
 
-	It("are distinct from an id without a start time", func() {
+	It("are distinct from an ID without a start time", func() {
 		Expect(Incarnation("a", 0)).To(Equal("a"))
 		r.Heartbeat(start, endpoint("a", 5, nil))
 		_, applied := r.Heartbeat(start, endpoint("a", 4, nil))
--- a/internal/steer/evacuation_test.go
+++ b/internal/steer/evacuation_test.go
@@ -100,7 +100,7 @@
 		Expect(d.Reason).To(Equal(Evacuated))
 	})
 
-	It("has new flows reset if all are evacuated, and explains why", func() {
+	It("has new flows reset, with an explanation, if all are evacuated", func() {
 		s.SetEvacuations(setOf(4, "plateau", "almadies", "diamniadio"))
 		syn := fleetSYNPacket(1)
 		d := s.Decide(start, syn)
@@ -112,7 +112,7 @@
 		Expect(explanation.Candidates[0].Verdict).To(ContainSubstring("is evacuated by revision 4"))
 	})
 
-	It("has its unreachable endpoints not probed", func() {
+	It("gets no probes of unreachable endpoints", func() {
 		probed := 0
 		s.config.StartProbe = func(Probe) bool { probed++; return true }
 		b := s.byID["booking-0"]
--- a/internal/steer/pool_test.go
+++ b/internal/steer/pool_test.go
@@ -76,7 +76,7 @@
 	}
 
 	// The bound of five standard deviations makes a failure by chance negligibly rare.
-	DescribeTable("gives endpoints of equal load the same share, whatever their order", func(count int) {
+	DescribeTable("gives endpoints of equal load the same share, whatever their order,", func(count int) {
 		fleet := irregularFleet(count)
 		equals := localIDs(fleet)
 		const each = 200
@@ -87,8 +87,8 @@
 			Expect(counts[id]).To(BeNumerically("~", each, bound), id)
 		}
 	},
-		Entry("full scan", 70),
-		Entry("sample", 480),
+		Entry("in a full scan", 70),
+		Entry("in a sample", 480),
 	)
 
 	It("prefers idle endpoints, even if only a sample is considered", func() {
@@ -122,7 +122,7 @@
 		}
 	})
 
-	It("goes to another failure domain if none is left in its own, and back", func() {
+	It("goes to another failure domain while the entry's own has no endpoint left, and back", func() {
 		fleet := irregularFleet(480)
 		s := fleetSteerer(fleet)
 		for _, id := range localIDs(fleet) {
--- a/internal/steer/response_size_test.go
+++ b/internal/steer/response_size_test.go
@@ -43,7 +43,7 @@
 		name         string
 		mean, spread float64
 	}{{"all alike", 600, 0.02}, {"spread", 2000, 0.6}, {"large", 40000, 0.7}} {
-		It("are reported, and others are not: "+route.name, func() {
+		It("are reported, and others are not, if the usual sizes are "+route.name, func() {
 			bad := map[string]bool{}
 			for n := 0; n < 120; n += 21 { // 6 of the 40 in the failure domain
 				bad[fleetReport(n, "").Id] = true
