--- a/internal/control/state.go
+++ b/internal/control/state.go
@@ -21,7 +21,7 @@
 )
 
 const (
-	// outcomeLimit is the number of change ids kept to detect resent changes.
+	// outcomeLimit is the number of change IDs kept to detect resent changes.
 	outcomeLimit = 20000
 	// historyLimit is the number of changes kept to be shown and reverted.
 	historyLimit = 500
@@ -68,10 +68,10 @@
 		document         intent.Document
 		objects          map[objectKey]*wire.StoredObject
 		outcomes         map[string]*wire.Outcome
-		outcomeOrder     []string // change ids, oldest first
+		outcomeOrder     []string // change IDs, oldest first
 		history          []*wire.HistoryEntry
 		leavingEndpoints map[uint32]leavingEndpoint
-		services         map[string]uint32 // ids by name
+		services         map[string]uint32 // IDs by name
 		nextEndpointID   uint32
 		nextServiceID    uint32
 	}
@@ -233,7 +233,7 @@
 func (s *State) applyChange(b *route.Builder, now time.Time, change *wire.Change) Answer {
 	answer, next := s.preview(change)
 	if answer.Outcome != Accepted {
-		return answer // not recorded, so that a corrected change can be sent with the same id
+		return answer // not recorded, so that a corrected change can be sent with the same ID
 	}
 	s.recordChange(now, change)
 	before := s.document
--- a/internal/demo/fleet.go
+++ b/internal/demo/fleet.go
@@ -313,7 +313,7 @@
 }
 
 // submit sends a change to one instance after the other until it is accepted.
-// All attempts carry the same id, so it is applied once.
+// All attempts carry the same ID, so it is applied once.
 func (f *fleet) submit(ctx context.Context, objects []*wire.Object) error {
 	const maxAttempts, retryInterval = 40, 250 * time.Millisecond
 	f.changeCount++
--- a/internal/directory/directory.go
+++ b/internal/directory/directory.go
@@ -30,7 +30,7 @@
 type (
 	// Config identifies a control instance.
 	Config struct {
-		Self    string // instance id, stored on its disk
+		Self    string // instance ID, stored on its disk
 		Address string // for other control instances, IP:port
 		Front   string // for operators and endpoints, IP:port
 		Domain  string // failure domain
@@ -74,8 +74,8 @@
 		evacuations *evacuation.Set
 		applied     uint64
 		proposals   map[uint64]uint64 // term by log index
-		peers       map[string]*peer  // by id
-		replaced    map[string]bool   // ids whose address now belongs to another id
+		peers       map[string]*peer  // by ID
+		replaced    map[string]bool   // IDs whose address now belongs to another ID
 		leaderSince time.Time         // zero while this instance is not the current leader
 	}
 )
@@ -106,7 +106,7 @@
 }
 
 // Step handles a message from another control instance. Messages to a previous
-// id at this address are dropped.
+// ID at this address are dropped.
 func (d *Directory) Step(now time.Time, m *wire.LogMessage) {
 	if m.To == d.config.Self {
 		d.replica.Step(now, m)
@@ -128,7 +128,7 @@
 	d.changeVoters(now)
 }
 
-// Leader returns the id of the known leader, or "".
+// Leader returns the ID of the known leader, or "".
 func (d *Directory) Leader() string { return d.replica.Leader() }
 
 // Status returns the instance's own view of the fleet.
--- a/internal/directory/members.go
+++ b/internal/directory/members.go
@@ -18,8 +18,8 @@
 }
 
 // HandleRoster updates the known peers from the roster of another control
-// instance, which lists itself first. An instance that reports a new id at a
-// known address has lost its disk, so the previous id is marked as replaced.
+// instance, which lists itself first. An instance that reports a new ID at a
+// known address has lost its disk, so the previous ID is marked as replaced.
 func (d *Directory) HandleRoster(now time.Time, roster *wire.Roster) {
 	for i, c := range roster.Instances {
 		if c.Id == d.config.Self || d.replaced[c.Id] {
@@ -40,7 +40,7 @@
 	}
 }
 
-// markReplaced marks the other ids at the address of an instance as replaced.
+// markReplaced marks the other IDs at the address of an instance as replaced.
 func (d *Directory) markReplaced(c *wire.ControlInstance) {
 	for id, p := range d.peers {
 		if id != c.Id && p.instance.Address == c.Address {
@@ -56,7 +56,7 @@
 }
 
 // addressTaken reports whether the address of an instance belongs to this
-// instance or to a known peer with another id.
+// instance or to a known peer with another ID.
 func (d *Directory) addressTaken(c *wire.ControlInstance) bool {
 	if c.Address == d.config.Address {
 		return true
@@ -69,13 +69,13 @@
 	return false
 }
 
-// AddressOf returns the peer address contained in an id.
+// AddressOf returns the peer address contained in an ID.
 func AddressOf(id string) string {
 	address, _, _ := strings.Cut(id, "#")
 	return address
 }
 
-// Roster lists this instance first, then its peers by id. Peers silent for
+// Roster lists this instance first, then its peers by ID. Peers silent for
 // longer than maxListedSilence are forgotten.
 func (d *Directory) Roster(now time.Time) *wire.Roster {
 	r := &wire.Roster{Voters: d.replica.Voters(), Leader: d.replica.Leader(), Leads: d.replica.Current(now)}
--- a/internal/directory/voters.go
+++ b/internal/directory/voters.go
@@ -112,7 +112,7 @@
 	return best
 }
 
-// countInDomain counts the ids in a failure domain.
+// countInDomain counts the IDs in a failure domain.
 func (d *Directory) countInDomain(ids []string, domain string) int {
 	n := 0
 	for _, id := range ids {
--- a/internal/node/identity.go
+++ b/internal/node/identity.go
@@ -11,9 +11,9 @@
 // identityFile is the name of the file with the identity of a control instance.
 const identityFile = "identity"
 
-// loadIdentity reads the identity of the instance, or creates and saves a new one. An id
-// lives only as long as the disk: after the loss of a disk the instance gets a new id at the
-// same address, so that votes and acknowledgements of the old id are neither attributed
+// loadIdentity reads the identity of the instance, or creates and saves a new one. An ID
+// lives only as long as the disk: after the loss of a disk the instance gets a new ID at the
+// same address, so that votes and acknowledgements of the old ID are neither attributed
 // to the new one nor contradicted by it.
 func loadIdentity(files storage.Files, c ControlConfig) (*wire.Identity, error) {
 	stored := &wire.Identity{}
@@ -26,7 +26,7 @@
 }
 
 // newIdentity returns the identity of a founder for a seed at the first start of the whole
-// fleet, and otherwise an id that has never been used.
+// fleet, and otherwise an ID that has never been used.
 func newIdentity(c ControlConfig) *wire.Identity {
 	address := c.PeerAddr.String()
 	var founders []string
--- a/internal/registry/digest.go
+++ b/internal/registry/digest.go
@@ -50,7 +50,7 @@
 }
 
 // Sum returns the checksum of an endpoint's record, without the fields that every
-// heartbeat changes. For an endpoint that is gone only its id counts. The sum of the
+// heartbeat changes. For an endpoint that is gone only its ID counts. The sum of the
 // zero value is 0.
 func Sum(e Endpoint) uint64 {
 	if e.ID == "" {
--- a/internal/registry/incarnation.go
+++ b/internal/registry/incarnation.go
@@ -7,15 +7,15 @@
 )
 
 const (
-	// incarnationSeparator separates the shared id of an endpoint from the start time
+	// incarnationSeparator separates the shared ID of an endpoint from the start time
 	// of the incarnation.
 	incarnationSeparator = "~"
 	// timestampBase is the number base of the start time.
 	timestampBase = 36
 )
 
-// Incarnation returns the id of one incarnation of an endpoint whose starts share an
-// id. Each start has its own flows, tags and health state. Born is the start time in
+// Incarnation returns the ID of one incarnation of an endpoint whose starts share an
+// ID. Each start has its own flows, tags and health state. Born is the start time in
 // milliseconds; if it is 0, id already names a single start and is returned as is.
 func Incarnation(id string, born int64) string {
 	if born <= 0 {
@@ -24,8 +24,8 @@
 	return id + incarnationSeparator + strconv.FormatInt(born, timestampBase)
 }
 
-// parseIncarnation splits the id of an incarnation into the shared id and the start
-// time, which is 0 if the id has none.
+// parseIncarnation splits the ID of an incarnation into the shared ID and the start
+// time, which is 0 if the ID has none.
 func parseIncarnation(id string) (sharedID string, born int64) {
 	sharedID, text, found := strings.Cut(id, incarnationSeparator)
 	if !found {
@@ -39,7 +39,7 @@
 }
 
 // supersede handles the first message of an incarnation. It marks an older
-// incarnation with the same shared id as gone. If a newer one is known, the given
+// incarnation with the same shared ID as gone. If a newer one is known, the given
 // incarnation has already ended, and supersede only returns the newer one.
 func (r *Registry) supersede(now time.Time, id string) (later *record) {
 	sharedID, born := parseIncarnation(id)
@@ -57,7 +57,7 @@
 	return nil
 }
 
-// indexNewest updates the index of the newest incarnation of each shared id.
+// indexNewest updates the index of the newest incarnation of each shared ID.
 func (r *Registry) indexNewest(id string, rec *record) {
 	sharedID, born := parseIncarnation(id)
 	if born == 0 {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -61,7 +61,7 @@
 		stalled          time.Duration      // total time for which this process was stalled
 		digest           Digest             // of all records
 		relays           bool               // whether changes learned from peers are relayed to other peers
-		newestBySharedID map[string]*record // newest incarnation by shared id
+		newestBySharedID map[string]*record // newest incarnation by shared ID
 	}
 
 	// record is the state of one incarnation. The fields ending in Rev hold the
@@ -248,7 +248,7 @@
 }
 
 // Leave applies an endpoint's message that it ends, and returns the revision of the
-// change. If incarnations share the id, the message does not name one of them, and
+// change. If incarnations share the ID, the message does not name one of them, and
 // is taken for the newest one's only if that announced that it is leaving. Otherwise
 // it may be a delayed message of an earlier incarnation and must not reset the newest
 // one's flows; an incarnation whose leaving heartbeat never arrived becomes silent
--- a/internal/registry/reports.go
+++ b/internal/registry/reports.go
@@ -16,7 +16,7 @@
 const maxSums = 40
 
 // Changes returns, for an entry, the records that changed after a revision, newest
-// first. Of records that only became silent or were heard again it lists the id,
+// first. Of records that only became silent or were heard again it lists the ID,
 // since a whole failure domain may do so at once. The cost is proportional to the
 // number of changes.
 func (r *Registry) Changes(now time.Time, after uint64) *wire.Reports {
@@ -42,7 +42,7 @@
 
 // ChangeSummary returns a summary of the changes after a revision, for an entry
 // that receives the records themselves from another control instance. It contains
-// their checksums, the ids of endpoints that became silent or were heard again in this
+// their checksums, the IDs of endpoints that became silent or were heard again in this
 // instance's view, and the records that became cold again, which checksums do not
 // cover. If more than maxSums checksums have changed it contains the digest instead.
 func (r *Registry) ChangeSummary(now time.Time, after uint64) *wire.Reports {
@@ -66,7 +66,7 @@
 	return out
 }
 
-// Summary returns the digest and the ids of silent endpoints, for an entry that receives
+// Summary returns the digest and the IDs of silent endpoints, for an entry that receives
 // only summaries from now on.
 func (r *Registry) Summary(now time.Time) *wire.Reports {
 	out := r.newReports(now)
