--- a/internal/cmd/cmd_platform.go
+++ b/internal/cmd/cmd_platform.go
@@ -85,7 +85,7 @@
 	group.Go(func() error { return serveHTTP(runCtx, s.ReadinessAddr, platform.ReadinessHandler(entry.Ready)) })
 	group.Go(func() error { return serveMetrics(runCtx, p, entry.WriteMetrics) })
 	group.Go(func() error {
-		return p.watchSettings(runCtx, func(seeds []netip.AddrPort) { entry.SetSeeds(runCtx, seeds) })
+		return p.settingsLoop(runCtx, func(seeds []netip.AddrPort) { entry.SetSeeds(runCtx, seeds) })
 	})
 	group.Go(func() error {
 		stopOnSignal(ctx, runCtx, entry, p.log)
@@ -123,7 +123,7 @@
 	group.Go(func() error { return serveHTTP(ctx, s.ControlAddr, platform.ControlHandler(control)) })
 	group.Go(func() error { return serveMetrics(ctx, p, control.WriteMetrics) })
 	group.Go(func() error {
-		return p.watchSettings(ctx, func(seeds []netip.AddrPort) { control.SetSeeds(ctx, seeds) })
+		return p.settingsLoop(ctx, func(seeds []netip.AddrPort) { control.SetSeeds(ctx, seeds) })
 	})
 	err := ignoreShutdown(group.Wait())
 	p.log.Info("stop", "error", err)
--- a/internal/cmd/platform_process.go
+++ b/internal/cmd/platform_process.go
@@ -61,9 +61,9 @@
 	}
 }
 
-// watchSettings reloads the settings file at SIGHUP and when its content
+// settingsLoop reloads the settings file at SIGHUP and when its content
 // changes, until ctx ends.
-func (p platformProcess) watchSettings(ctx context.Context, setSeeds func(seeds []netip.AddrPort)) error {
+func (p platformProcess) settingsLoop(ctx context.Context, setSeeds func(seeds []netip.AddrPort)) error {
 	hangUp := make(chan os.Signal, 1)
 	signal.Notify(hangUp, syscall.SIGHUP)
 	defer signal.Stop(hangUp)
