--- a/internal/attachment/attachment_test.go
+++ b/internal/attachment/attachment_test.go
@@ -140,7 +140,7 @@
 		Expect(f.links(func(string) bool { return false })[0]).To(HaveLen(maxUnusable))
 	})
 
-	ginkgo.It("go to instances of unknown failure domain only if there are too few others", func() {
+	ginkgo.It("go to instances of an unknown failure domain only if there are too few others", func() {
 		c := Config{Entry: "e", Domain: "d0", Links: 3}
 		known := []Candidate{{"a:1", "d0"}, {"b:1", "d1"}}
 		seeds := []Candidate{{"s:1", ""}, {"t:1", ""}}
--- a/internal/steer/outlier_test.go
+++ b/internal/steer/outlier_test.go
@@ -187,7 +187,7 @@
 		Expect(f.ejected).To(BeEmpty())
 	})
 
-	It("ejects a third of a service at most", func() {
+	It("ejects at most a third of a service", func() {
 		f := newOutlierFleet(2, 30)
 		for n := range 30 {
 			for range 2 {
