--- a/internal/attachment/attachment_test.go
+++ b/internal/attachment/attachment_test.go
@@ -68,7 +68,7 @@
 	return n
 }
 
-var _ = ginkgo.Describe("the links of entries", func() {
+var _ = ginkgo.Describe("the links", func() {
 	for _, size := range []struct{ entries, instances, domains, losses int }{
 		{60, 6, 3, 2}, {1000, 25, 5, 2}, {6800, 96, 16, 2},
 	} {
@@ -140,7 +140,7 @@
 		Expect(f.links(func(string) bool { return false })[0]).To(HaveLen(maxUnusable))
 	})
 
-	ginkgo.It("go to instances of unknown failure domain only if there are too few others", func() {
+	ginkgo.It("go to instances of an unknown failure domain only if there are too few others", func() {
 		c := Config{Entry: "e", Domain: "d0", Links: 3}
 		known := []Candidate{{"a:1", "d0"}, {"b:1", "d1"}}
 		seeds := []Candidate{{"s:1", ""}, {"t:1", ""}}
--- a/internal/steer/response_size_test.go
+++ b/internal/steer/response_size_test.go
@@ -28,14 +28,14 @@
 	request := func(bytes func(id string) uint32) {
 		n++
 		now = now.Add(100 * time.Millisecond)
-		p := fleetSynPacket(n)
+		p := fleetSYNPacket(n)
 		d := s.Decide(now, p)
-		p = Packet{Src: p.Src, Dst: p.Dst, Flags: Ack, Seq: 8, Ack: 5001, Tag: d.Tag, Len: 100}
+		p = Packet{Src: p.Src, Dst: p.Dst, Flags: ACK, Seq: 8, Ack: 5001, Tag: d.Tag, Len: 100}
 		s.Decide(now.Add(time.Millisecond), p)
 		size := bytes(d.ID)
 		p.Seq, p.Len, p.Ack = 108, 0, 5001+size
 		s.Decide(now.Add(60*time.Millisecond), p)
-		p.Flags = Ack | Fin
+		p.Flags = ACK | FIN
 		s.Decide(now.Add(61*time.Millisecond), p)
 	}
 
@@ -43,7 +43,7 @@
 		name         string
 		mean, spread float64
 	}{{"all alike", 600, 0.02}, {"spread", 2000, 0.6}, {"large", 40000, 0.7}} {
-		It("are reported, and others are not: "+route.name, func() {
+		It("are reported, and others are not, if the usual sizes are "+route.name, func() {
 			bad := map[string]bool{}
 			for n := 0; n < 120; n += 21 { // 6 of the 40 in the failure domain
 				bad[fleetReport(n, "").Id] = true
